--- a/control/golden_adapter_test.go
+++ b/control/golden_adapter_test.go
@@ -38,8 +38,10 @@
 		Tenants:            []control.Tenant{{RateLimit: 20, Share: 0.7}, {RateLimit: 5, Share: 0.3}},
 		RoleByKind:         []control.Role{control.RolePrefill, control.RoleDecode, control.RoleColocated},
 		MemoryTokensByKind: []float64{0, engineMemory, engineMemory},
-		ReportFields: []control.ReportField{control.ReportOther, control.ReportInFlight, control.ReportQueued,
-			control.ReportUtilization, control.ReportMemory, control.ReportBacklog},
+		ReportFields: []control.ReportField{
+			control.ReportOther, control.ReportInFlight, control.ReportQueued,
+			control.ReportUtilization, control.ReportMemory, control.ReportBacklog,
+		},
 		CanHealthCheck: true, CanCancel: true, MustSubscribe: true,
 		MaxAttempts: 4, MaxRetryAfter: 5 * time.Second, ConnectTimeout: time.Second,
 		KVRetentionLimit: 3 * time.Second, DrainGrace: 2 * time.Second, AnswerGrace: time.Second,
@@ -49,8 +51,10 @@
 
 // goldenClasses has a class of each effect and each scope.
 func goldenClasses() []control.Class {
-	base := control.Class{TTFTObjective: 1500 * time.Millisecond, TTFTPer1000Tokens: 300 * time.Millisecond, Deadline: 8 * time.Second,
-		ITLObjective: 50 * time.Millisecond, PriorityWeight: 1, LateWeightShare: 0.5}
+	base := control.Class{
+		TTFTObjective: 1500 * time.Millisecond, TTFTPer1000Tokens: 300 * time.Millisecond, Deadline: 8 * time.Second,
+		ITLObjective: 50 * time.Millisecond, PriorityWeight: 1, LateWeightShare: 0.5,
+	}
 	list := make([]control.Class, 6)
 	for i := range list {
 		list[i] = base
@@ -66,8 +70,10 @@
 
 // ending makes the event that ends an attempt.
 func (a *attempt) ending(result verdict, took time.Duration, final bool, report []float64) control.Outcome {
-	return control.Outcome{ID: a.call.ID, Attempt: a.number, Endpoint: a.engine.entry.ID, Result: result, Elapsed: took,
-		Final: final, Report: report}
+	return control.Outcome{
+		ID: a.call.ID, Attempt: a.number, Endpoint: a.engine.entry.ID, Result: result, Elapsed: took,
+		Final: final, Report: report,
+	}
 }
 
 // missing makes the ending of an attempt whose decode engine could not fetch the state.
--- a/control/golden_scripts_test.go
+++ b/control/golden_scripts_test.go
@@ -66,9 +66,11 @@
 	rng := rand.New(rand.NewPCG(seed, 99))
 	for range number {
 		from := time.Duration(rng.Float64() * float64(length))
-		list = append(list, fault{engine: endpointID(1 + rng.IntN(count)), kind: faultKind(rng.IntN(int(faultKinds))),
+		list = append(list, fault{
+			engine: endpointID(1 + rng.IntN(count)), kind: faultKind(rng.IntN(int(faultKinds))),
 			from: from, to: from + time.Second + time.Duration(rng.Float64()*float64(6*time.Second)),
-			chance: 0.25 + 0.75*rng.Float64(), factor: 2 + 5*rng.Float64()})
+			chance: 0.25 + 0.75*rng.Float64(), factor: 2 + 5*rng.Float64(),
+		})
 	}
 	return list
 }
@@ -132,68 +134,120 @@
 func goldenScripts() []*script {
 	const second = time.Second
 	return []*script{
-		{name: "short", seed: 1, length: 4 * second, fleet: pool(2, 3, 1), rate: 25, promptMean: 800, answerMean: 60,
-			sessions: 10, prefixes: 3, reports: 0.5, faults: chaos(1, 8, 6, 4*second), earlyLeave: 0.1},
-		{name: "steady", seed: 2, length: 30 * second, fleet: pool(6, 8, 0), rate: 60, promptMean: 700, answerMean: 120,
-			sessions: 60, prefixes: 6, reports: 0.7, earlyLeave: 0.02},
-		{name: "overload", seed: 3, length: 30 * second, fleet: pool(5, 3, 0), rate: 50, promptMean: 1200,
-			answerMean: 500, sessions: 40, prefixes: 5, reports: 0.5, earlyLeave: 0.05, burst: 12, burstChance: 0.05},
-		{name: "overload-unreported", seed: 4, length: 30 * second, fleet: pool(8, 3, 1), rate: 50, promptMean: 900,
-			answerMean: 500, sessions: 40, prefixes: 5, burst: 10, burstChance: 0.1, quantum: 10 * time.Millisecond},
-		{name: "slow-prefill", seed: 5, length: 30 * second, fleet: pool(3, 6, 0), rate: 45, promptMean: 1500,
-			answerMean: 80, sessions: 50, prefixes: 12, reports: 1},
-		{name: "five-routers", seed: 6, length: 25 * second, instances: 5, configure: routers(5), fleet: pool(6, 5, 2),
+		{
+			name: "short", seed: 1, length: 4 * second, fleet: pool(2, 3, 1), rate: 25, promptMean: 800, answerMean: 60,
+			sessions: 10, prefixes: 3, reports: 0.5, faults: chaos(1, 8, 6, 4*second), earlyLeave: 0.1,
+		},
+		{
+			name: "steady", seed: 2, length: 30 * second, fleet: pool(6, 8, 0), rate: 60, promptMean: 700, answerMean: 120,
+			sessions: 60, prefixes: 6, reports: 0.7, earlyLeave: 0.02,
+		},
+		{
+			name: "overload", seed: 3, length: 30 * second, fleet: pool(5, 3, 0), rate: 50, promptMean: 1200,
+			answerMean: 500, sessions: 40, prefixes: 5, reports: 0.5, earlyLeave: 0.05, burst: 12, burstChance: 0.05,
+		},
+		{
+			name: "overload-unreported", seed: 4, length: 30 * second, fleet: pool(8, 3, 1), rate: 50, promptMean: 900,
+			answerMean: 500, sessions: 40, prefixes: 5, burst: 10, burstChance: 0.1, quantum: 10 * time.Millisecond,
+		},
+		{
+			name: "slow-prefill", seed: 5, length: 30 * second, fleet: pool(3, 6, 0), rate: 45, promptMean: 1500,
+			answerMean: 80, sessions: 50, prefixes: 12, reports: 1,
+		},
+		{
+			name: "five-routers", seed: 6, length: 25 * second, instances: 5, configure: routers(5), fleet: pool(6, 5, 2),
 			rate: 70, promptMean: 1200, answerMean: 400, sessions: 60, prefixes: 8, reports: 0.6,
-			faults: chaos(6, 15, 13, 25*second)},
-		{name: "hundred-routers", seed: 7, length: 25 * second, instances: 8, configure: routers(100),
+			faults: chaos(6, 15, 13, 25*second),
+		},
+		{
+			name: "hundred-routers", seed: 7, length: 25 * second, instances: 8, configure: routers(100),
 			fleet: pool(10, 10, 3), rate: 60, promptMean: 1000, answerMean: 200, sessions: 60, prefixes: 8, reports: 0.3,
-			burst: 6, burstChance: 0.1, faults: chaos(7, 20, 23, 25*second)},
-		{name: "mixed-pool", seed: 8, length: 30 * second, fleet: pool(4, 4, 5), rate: 60, promptMean: 1000,
-			answerMean: 250, sessions: 50, prefixes: 8, reports: 0.5, faults: half(9, 13, faultSlow, 0, 30*second, 0.5)},
-		{name: "mixed-alone", seed: 9, length: 30 * second, fleet: pool(0, 0, 6), rate: 35, promptMean: 800,
-			answerMean: 150, sessions: 50, prefixes: 4, reports: 0.5, faults: chaos(9, 12, 6, 30*second)},
-		{name: "chaos", seed: 10, length: 40 * second, fleet: pool(8, 8, 2), rate: 60, promptMean: 800, answerMean: 150,
-			sessions: 80, prefixes: 6, reports: 0.5, faults: chaos(10, 70, 18, 40*second), earlyLeave: 0.1, watchFails: 0.5},
-		{name: "chaos-batched", seed: 11, length: 40 * second, fleet: pool(5, 9, 1), rate: 70, promptMean: 700,
+			burst: 6, burstChance: 0.1, faults: chaos(7, 20, 23, 25*second),
+		},
+		{
+			name: "mixed-pool", seed: 8, length: 30 * second, fleet: pool(4, 4, 5), rate: 60, promptMean: 1000,
+			answerMean: 250, sessions: 50, prefixes: 8, reports: 0.5, faults: half(9, 13, faultSlow, 0, 30*second, 0.5),
+		},
+		{
+			name: "mixed-alone", seed: 9, length: 30 * second, fleet: pool(0, 0, 6), rate: 35, promptMean: 800,
+			answerMean: 150, sessions: 50, prefixes: 4, reports: 0.5, faults: chaos(9, 12, 6, 30*second),
+		},
+		{
+			name: "chaos", seed: 10, length: 40 * second, fleet: pool(8, 8, 2), rate: 60, promptMean: 800, answerMean: 150,
+			sessions: 80, prefixes: 6, reports: 0.5, faults: chaos(10, 70, 18, 40*second), earlyLeave: 0.1, watchFails: 0.5,
+		},
+		{
+			name: "chaos-batched", seed: 11, length: 40 * second, fleet: pool(5, 9, 1), rate: 70, promptMean: 700,
 			answerMean: 120, prefixes: 4, reports: 0.2, faults: chaos(11, 70, 15, 40*second),
-			quantum: 25 * time.Millisecond, burst: 8, burstChance: 0.05},
-		{name: "widespread-faults", seed: 12, length: 30 * second, fleet: pool(21, 21, 0), rate: 90, promptMean: 700,
-			answerMean: 100, sessions: 90, prefixes: 30, reports: 0.5, faults: widespreadFaults()},
-		{name: "silence", seed: 13, length: 40 * second, fleet: pool(6, 6, 0), rate: 40, promptMean: 800, answerMean: 100,
-			sessions: 40, prefixes: 5, reports: 0.5, faults: silences()},
-		{name: "silence-on-sockets", seed: 13, length: 40 * second, fleet: pool(6, 6, 0), rate: 40, promptMean: 800, answerMean: 100,
-			sessions: 40, prefixes: 5, reports: 0.5, faults: silences(), configure: releaseUnderAttempts},
-		{name: "churn", seed: 14, length: 60 * second, fleet: pool(8, 8, 3), rate: 50, promptMean: 800, answerMean: 150,
+			quantum: 25 * time.Millisecond, burst: 8, burstChance: 0.05,
+		},
+		{
+			name: "widespread-faults", seed: 12, length: 30 * second, fleet: pool(21, 21, 0), rate: 90, promptMean: 700,
+			answerMean: 100, sessions: 90, prefixes: 30, reports: 0.5, faults: widespreadFaults(),
+		},
+		{
+			name: "silence", seed: 13, length: 40 * second, fleet: pool(6, 6, 0), rate: 40, promptMean: 800, answerMean: 100,
+			sessions: 40, prefixes: 5, reports: 0.5, faults: silences(),
+		},
+		{
+			name: "silence-on-sockets", seed: 13, length: 40 * second, fleet: pool(6, 6, 0), rate: 40, promptMean: 800, answerMean: 100,
+			sessions: 40, prefixes: 5, reports: 0.5, faults: silences(), configure: releaseUnderAttempts,
+		},
+		{
+			name: "churn", seed: 14, length: 60 * second, fleet: pool(8, 8, 3), rate: 50, promptMean: 800, answerMean: 150,
 			sessions: 60, prefixes: 6, reports: 0.5, changes: churns(14, 700*time.Millisecond, 60*second),
-			faults: []fault{{kind: faultSilent, from: 8 * second, to: 55 * second, chance: 0.4}}},
-		{name: "light-weights", seed: 15, length: 30 * second, fleet: light(pool(7, 9, 2)), rate: 40, promptMean: 800,
-			answerMean: 150, sessions: 40, prefixes: 8, reports: 0.5},
-		{name: "giant-prompts", seed: 16, length: 30 * second, fleet: pool(4, 5, 0), rate: 30, promptMean: 800,
+			faults: []fault{{kind: faultSilent, from: 8 * second, to: 55 * second, chance: 0.4}},
+		},
+		{
+			name: "light-weights", seed: 15, length: 30 * second, fleet: light(pool(7, 9, 2)), rate: 40, promptMean: 800,
+			answerMean: 150, sessions: 40, prefixes: 8, reports: 0.5,
+		},
+		{
+			name: "giant-prompts", seed: 16, length: 30 * second, fleet: pool(4, 5, 0), rate: 30, promptMean: 800,
 			answerMean: 100, giants: 0.05, reports: 0.5,
-			configure: func(set *control.Settings) { set.MaxRetryAfter = 500 * second }},
-		{name: "idle-sessions", seed: 17, length: 200 * second, fleet: pool(8, 8, 0), rate: 4, promptMean: 800,
-			answerMean: 100, sessions: 220, prefixes: 2, reports: 0.5},
-		{name: "rare-prefixes", seed: 24, length: 240 * second, fleet: pool(4, 4, 0), rate: 3, promptMean: 800,
-			answerMean: 100, prefixes: 2000, reports: 0.5},
-		{name: "unknown-memory", seed: 25, length: 30 * second, fleet: pool(4, 4, 2), rate: 60, promptMean: 1000,
+			configure: func(set *control.Settings) { set.MaxRetryAfter = 500 * second },
+		},
+		{
+			name: "idle-sessions", seed: 17, length: 200 * second, fleet: pool(8, 8, 0), rate: 4, promptMean: 800,
+			answerMean: 100, sessions: 220, prefixes: 2, reports: 0.5,
+		},
+		{
+			name: "rare-prefixes", seed: 24, length: 240 * second, fleet: pool(4, 4, 0), rate: 3, promptMean: 800,
+			answerMean: 100, prefixes: 2000, reports: 0.5,
+		},
+		{
+			name: "unknown-memory", seed: 25, length: 30 * second, fleet: pool(4, 4, 2), rate: 60, promptMean: 1000,
 			answerMean: 400, sessions: 40, prefixes: 4, reports: 0.2, burst: 8, burstChance: 0.05,
-			configure: func(set *control.Settings) { set.MemoryTokensByKind = []float64{0, 0, 0} }},
-		{name: "pauses", seed: 18, length: 80 * second, fleet: pool(6, 3, 0), rate: 60, promptMean: 900, answerMean: 350,
+			configure: func(set *control.Settings) { set.MemoryTokensByKind = []float64{0, 0, 0} },
+		},
+		{
+			name: "pauses", seed: 18, length: 80 * second, fleet: pool(6, 3, 0), rate: 60, promptMean: 900, answerMean: 350,
 			sessions: 40, prefixes: 4, reports: 0.5, pauseEvery: 4200 * time.Millisecond,
-			configure: withoutProbes},
-		{name: "no-state", seed: 19, length: 30 * second, fleet: pool(6, 5, 1), rate: 60, promptMean: 700,
-			answerMean: 200, sessions: 40, prefixes: 4, reports: 0.5, faults: turningAway(), configure: bareSettings},
-		{name: "relapses", seed: 20, length: 120 * second, fleet: pool(4, 4, 0), rate: 25, promptMean: 500,
-			answerMean: 60, reports: 0.3, faults: relapses(120 * second), configure: hastyClasses},
-		{name: "first-silences", seed: 23, length: 60 * second, fleet: pool(6, 6, 0), rate: 40, promptMean: 500,
+			configure: withoutProbes,
+		},
+		{
+			name: "no-state", seed: 19, length: 30 * second, fleet: pool(6, 5, 1), rate: 60, promptMean: 700,
+			answerMean: 200, sessions: 40, prefixes: 4, reports: 0.5, faults: turningAway(), configure: bareSettings,
+		},
+		{
+			name: "relapses", seed: 20, length: 120 * second, fleet: pool(4, 4, 0), rate: 25, promptMean: 500,
+			answerMean: 60, reports: 0.3, faults: relapses(120 * second), configure: hastyClasses,
+		},
+		{
+			name: "first-silences", seed: 23, length: 60 * second, fleet: pool(6, 6, 0), rate: 40, promptMean: 500,
 			answerMean: 60, reports: 0.3, faults: firstSilences(12), configure: hastyClasses,
-			promptCancels: true},
-		{name: "stale-reports", seed: 21, length: 60 * second, configure: patientClasses, fleet: pool(8, 8, 0), rate: 12,
-			promptMean: 700, answerMean: 100, sessions: 30, prefixes: 4, reports: 0.03, background: 0.92},
-		{name: "lost-connections", seed: 22, length: 30 * second, fleet: pool(6, 6, 2), rate: 40, promptMean: 700,
+			promptCancels: true,
+		},
+		{
+			name: "stale-reports", seed: 21, length: 60 * second, configure: patientClasses, fleet: pool(8, 8, 0), rate: 12,
+			promptMean: 700, answerMean: 100, sessions: 30, prefixes: 4, reports: 0.03, background: 0.92,
+		},
+		{
+			name: "lost-connections", seed: 22, length: 30 * second, fleet: pool(6, 6, 2), rate: 40, promptMean: 700,
 			answerMean: 100, sessions: 30, prefixes: 4, reports: 0.3, watchFails: 0.8, earlyLeave: 0.1,
 			configure: func(set *control.Settings) { set.MaxAttempts = 2 },
-			faults:    []fault{{kind: faultReset, to: 20 * second, chance: 0.5}}},
+			faults:    []fault{{kind: faultReset, to: 20 * second, chance: 0.5}},
+		},
 	}
 }
 
@@ -211,8 +265,10 @@
 func silences() (list []fault) {
 	for i := range 12 {
 		from := time.Duration(i) * 3 * time.Second
-		list = append(list, fault{engine: endpointID(1 + i*5%12), kind: faultSilent, from: from,
-			to: from + 4*time.Second, chance: []float64{1, 0.3}[i%2]})
+		list = append(list, fault{
+			engine: endpointID(1 + i*5%12), kind: faultSilent, from: from,
+			to: from + 4*time.Second, chance: []float64{1, 0.3}[i%2],
+		})
 	}
 	return list
 }
@@ -233,8 +289,10 @@
 func firstSilences(engines int) (list []fault) {
 	for i := range engines {
 		from := time.Duration(2+4*i) * time.Second
-		list = append(list, fault{engine: endpointID(1 + i), kind: faultSilent, from: from,
-			to: from + 3*time.Second, chance: 1})
+		list = append(list, fault{
+			engine: endpointID(1 + i), kind: faultSilent, from: from,
+			to: from + 3*time.Second, chance: 1,
+		})
 	}
 	return list
 }
--- a/control/golden_service_test.go
+++ b/control/golden_service_test.go
@@ -121,8 +121,10 @@
 }
 
 func newService(sc *script, observe func(instant, int, []control.Action)) *service {
-	s := &service{script: sc, set: goldenSettings(sc.seed), rng: rand.New(rand.NewPCG(sc.seed, 77)), observe: observe,
-		byID: map[endpointID]*engine{}, calls: map[callID]*clientCall{}, now: 5_000_000, began: 5_000_000}
+	s := &service{
+		script: sc, set: goldenSettings(sc.seed), rng: rand.New(rand.NewPCG(sc.seed, 77)), observe: observe,
+		byID: map[endpointID]*engine{}, calls: map[callID]*clientCall{}, now: 5_000_000, began: 5_000_000,
+	}
 	if sc.configure != nil {
 		sc.configure(&s.set)
 	}
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -61,8 +61,10 @@
 
 // request is a request of a session of its own.
 func (s *script) request(id RequestID, class int) Request {
-	return Request{ID: id, Class: class, SessionID: uint64(id), PromptTokens: 1000, MaxTokens: 100,
-		Deadline: s.now.Add(4 * time.Second)}
+	return Request{
+		ID: id, Class: class, SessionID: uint64(id), PromptTokens: 1000, MaxTokens: 100,
+		Deadline: s.now.Add(4 * time.Second),
+	}
 }
 
 // actionsOf returns the actions of one type.
@@ -128,8 +130,10 @@
 					actions = s.finishPrefill(forward, attempt)
 					continue
 				}
-				actions = s.handle(20*ms, Outcome{ID: id, Attempt: attempt, Endpoint: forward.Endpoint, Result: OK,
-					Elapsed: 20 * ms, Final: true})
+				actions = s.handle(20*ms, Outcome{
+					ID: id, Attempt: attempt, Endpoint: forward.Endpoint, Result: OK,
+					Elapsed: 20 * ms, Final: true,
+				})
 			}
 		}
 	}
--- a/control/internal/indexedheap/indexedheap_test.go
+++ b/control/internal/indexedheap/indexedheap_test.go
@@ -24,11 +24,13 @@
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
+
 func (h *standardHeap) Push(x any) {
 	pushed := x.(*item)
 	pushed.index = len(*h)
 	*h = append(*h, pushed)
 }
+
 func (h *standardHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
--- a/control/service_test.go
+++ b/control/service_test.go
@@ -132,8 +132,15 @@
 		restart             bool
 		skew                float64 // what every tenth router sees, over the mean of the others
 	}{
-		{25, 12, 3, 0.6, 1.5, false, 6}, {25, 12, 9, 0.6, 1.5, false, 6}, {25, 12, 3, 0.6, 1.5, true, 6}, {25, 8, 2, 0.8, 2, false, 6},
-		{25, 12, 11, 0.6, 1.5, true, 6}, {20, 6, 6, 0.5, 1.5, true, 1}, {300, 40, 10, 0.6, 1.5, true, 6}, {300, 40, 30, 0.6, 1.5, true, 6}, {5, 10, 4, 0.7, 1.5, true, 3},
+		{25, 12, 3, 0.6, 1.5, false, 6},
+		{25, 12, 9, 0.6, 1.5, false, 6},
+		{25, 12, 3, 0.6, 1.5, true, 6},
+		{25, 8, 2, 0.8, 2, false, 6},
+		{25, 12, 11, 0.6, 1.5, true, 6},
+		{20, 6, 6, 0.5, 1.5, true, 1},
+		{300, 40, 10, 0.6, 1.5, true, 6},
+		{300, 40, 30, 0.6, 1.5, true, 6},
+		{5, 10, 4, 0.7, 1.5, true, 3},
 	} {
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%+v/%d", c, seed), func(t *testing.T) {
@@ -141,8 +148,10 @@
 				settings := testSettings(RolePrefill, RoleDecode)
 				settings.Routers, settings.CanHealthCheck, settings.SlowStartShare, settings.OverloadDuration, settings.SlowStartDuration = c.routers, true, 0.35, 3*time.Second, 10*time.Second
 				const prefillRate, decodeRate = 25.0, 20.0 // that one engine does in a second
-				f := &simulatedService{settings: settings, rng: rand.New(rand.NewPCG(seed, 7)), now: Time(time.Hour.Microseconds()), engines: map[EndpointID]*simulatedEngine{},
-					routers: make([]*Router, c.routers), starts: make([]int, c.routers)}
+				f := &simulatedService{
+					settings: settings, rng: rand.New(rand.NewPCG(seed, 7)), now: Time(time.Hour.Microseconds()), engines: map[EndpointID]*simulatedEngine{},
+					routers: make([]*Router, c.routers), starts: make([]int, c.routers),
+				}
 				for _, s := range testEndpoints(c.each, c.each) {
 					service := time.Duration(float64(time.Second) / []float64{prefillRate, decodeRate}[s.Kind])
 					f.engines[s.ID] = &simulatedEngine{Endpoint: s, serviceTime: service}
@@ -237,8 +246,10 @@
 				t.Parallel()
 				settings := testSettings(RolePrefill, RoleDecode)
 				settings.Routers, settings.CanHealthCheck, settings.MemoryTokensByKind = c.routers, true, []float64{0, 60000}
-				f := &simulatedService{settings: settings, rng: rand.New(rand.NewPCG(seed, 9)), now: Time(time.Hour.Microseconds()), engines: map[EndpointID]*simulatedEngine{},
-					routers: make([]*Router, c.routers), starts: make([]int, c.routers), relativeSize: map[RequestID]float64{}, answered: map[RequestID]bool{}}
+				f := &simulatedService{
+					settings: settings, rng: rand.New(rand.NewPCG(seed, 9)), now: Time(time.Hour.Microseconds()), engines: map[EndpointID]*simulatedEngine{},
+					routers: make([]*Router, c.routers), starts: make([]int, c.routers), relativeSize: map[RequestID]float64{}, answered: map[RequestID]bool{},
+				}
 				for _, s := range testEndpoints(c.each, c.each) {
 					f.engines[s.ID] = &simulatedEngine{Endpoint: s, serviceTime: 40 * ms}
 					f.endpoints = append(f.endpoints, s)
--- a/control/walk_test.go
+++ b/control/walk_test.go
@@ -268,8 +268,10 @@
 
 // newWalker returns a walker with random settings, whose router knows all engines.
 func newWalker(t *rapid.T) *walker {
-	w := &walker{t: t, now: control.Time(time.Hour.Microseconds()), requests: map[control.RequestID]*walkedRequest{}, known: map[control.EndpointID]control.EndpointState{},
-		listed: map[control.EndpointID]membership.Endpoint{}}
+	w := &walker{
+		t: t, now: control.Time(time.Hour.Microseconds()), requests: map[control.RequestID]*walkedRequest{}, known: map[control.EndpointID]control.EndpointState{},
+		listed: map[control.EndpointID]membership.Endpoint{},
+	}
 	w.settings = walkedSettings(t)
 	w.router, w.releases = control.New(w.settings, w.now), kvrelease.New(w.settings.KVRetentionLimit)
 	for id := control.EndpointID(1); id <= walkedEngines; id++ {
@@ -283,9 +285,11 @@
 // walkedSettings draws settings with a class of each kind of idempotency and each scope.
 func walkedSettings(t *rapid.T) control.Settings {
 	const ms = time.Millisecond
-	settings := control.Settings{Seed: uint64(rapid.IntRange(1, 1000).Draw(t, "seed")), Routers: 1, RoleByKind: []control.Role{control.RolePrefill, control.RoleDecode, control.RoleColocated}, MemoryTokensByKind: make([]float64, 3),
+	settings := control.Settings{
+		Seed: uint64(rapid.IntRange(1, 1000).Draw(t, "seed")), Routers: 1, RoleByKind: []control.Role{control.RolePrefill, control.RoleDecode, control.RoleColocated}, MemoryTokensByKind: make([]float64, 3),
 		CanCancel: true, CanHealthCheck: rapid.Bool().Draw(t, "probes"), MaxAttempts: rapid.IntRange(1, 6).Draw(t, "attempts"), ReleaseSparesAttempts: rapid.Bool().Draw(t, "spares"), KVRetentionLimit: time.Duration(rapid.SampledFrom([]int{0, 200, 500}).Draw(t, "pin")) * ms, ConnectTimeout: 250 * ms,
-		AnswerGrace: 8 * ms, SlowStartShare: 0.35, SlowStartDuration: 3 * time.Second, OverloadMultiple: 2.5, OverloadDuration: time.Second, MaxRetryAfter: time.Second}
+		AnswerGrace: 8 * ms, SlowStartShare: 0.35, SlowStartDuration: 3 * time.Second, OverloadMultiple: 2.5, OverloadDuration: time.Second, MaxRetryAfter: time.Second,
+	}
 	for _, effect := range []control.Idempotency{control.Idempotent, control.NotIdempotent, control.IdempotentWithKey, control.IdempotentWithKey, control.IdempotentWithKey} {
 		c := control.Class{TTFTObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: effect, DedupWindow: 400 * ms}
 		c.DedupScope = control.DedupScope(max(len(settings.Classes)-2, 0))
@@ -325,8 +329,10 @@
 // ask adds a request whose client waits for so long.
 func (w *walker) ask(class int, patience time.Duration) {
 	w.lastID++
-	request := &walkedRequest{Request: control.Request{ID: w.lastID, Class: class, SessionID: uint64(rapid.IntRange(0, 5).Draw(w.t, "session")), PrefixHash: uint64(rapid.IntRange(0, 3).Draw(w.t, "prefix")),
-		PromptTokens: 1000, MaxTokens: 100, Deadline: w.now.Add(patience)}}
+	request := &walkedRequest{Request: control.Request{
+		ID: w.lastID, Class: class, SessionID: uint64(rapid.IntRange(0, 5).Draw(w.t, "session")), PrefixHash: uint64(rapid.IntRange(0, 3).Draw(w.t, "prefix")),
+		PromptTokens: 1000, MaxTokens: 100, Deadline: w.now.Add(patience),
+	}}
 	w.requests[request.ID] = request
 	w.handle(request.Request)
 }
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -23,8 +23,10 @@
 var defaultForward = []string{"x-client-request-id", "traceparent", "tracestate", "baggage"}
 
 // neverForwarded are fields that belong to one connection or are set by the router.
-var neverForwarded = []string{"host", "connection", "content-length", "transfer-encoding", "te", "trailer",
-	"upgrade", "keep-alive", "expect", "x-request-id", "content-type"}
+var neverForwarded = []string{
+	"host", "connection", "content-length", "transfer-encoding", "te", "trailer",
+	"upgrade", "keep-alive", "expect", "x-request-id", "content-type",
+}
 
 // parseRequest reads how requests are decoded.
 func (c *Config) parseRequest(s *inifile.Section) {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -26,16 +26,26 @@
 
 // engineGroups is the demo's fleet: 17 engines in two zones.
 var engineGroups = []engineGroup{
-	{name: "reader", kind: "reader", pool: "chat", role: control.RolePrefill, count: 4,
-		spec: fakeengine.Spec{PrefillTokensPerSecond: 60000, DecodeSlots: 64, MaxWaiting: 64}},
-	{name: "writer", kind: "writer", pool: "chat", role: control.RoleDecode, count: 6,
-		spec: fakeengine.Spec{PrefillTokensPerSecond: 20000, TokenInterval: 10 * time.Millisecond, DecodeSlots: 24, MaxWaiting: 24, AnswerTokens: 20}},
-	{name: "mixed", kind: "mixed", pool: "chat", role: control.RoleColocated, count: 2,
-		spec: fakeengine.Spec{PrefillTokensPerSecond: 30000, TokenInterval: 12 * time.Millisecond, DecodeSlots: 16, MaxWaiting: 24, AnswerTokens: 20}},
-	{name: "embed", kind: "embedder", pool: "embeddings", role: control.RoleColocated, count: 3,
-		spec: fakeengine.Spec{PrefillTokensPerSecond: 20000, DecodeSlots: 64, MaxWaiting: 64, Dimensions: 64}},
-	{name: "rank", kind: "ranker", pool: "rerank", role: control.RoleColocated, count: 2,
-		spec: fakeengine.Spec{PrefillTokensPerSecond: 20000, DecodeSlots: 64, MaxWaiting: 64}},
+	{
+		name: "reader", kind: "reader", pool: "chat", role: control.RolePrefill, count: 4,
+		spec: fakeengine.Spec{PrefillTokensPerSecond: 60000, DecodeSlots: 64, MaxWaiting: 64},
+	},
+	{
+		name: "writer", kind: "writer", pool: "chat", role: control.RoleDecode, count: 6,
+		spec: fakeengine.Spec{PrefillTokensPerSecond: 20000, TokenInterval: 10 * time.Millisecond, DecodeSlots: 24, MaxWaiting: 24, AnswerTokens: 20},
+	},
+	{
+		name: "mixed", kind: "mixed", pool: "chat", role: control.RoleColocated, count: 2,
+		spec: fakeengine.Spec{PrefillTokensPerSecond: 30000, TokenInterval: 12 * time.Millisecond, DecodeSlots: 16, MaxWaiting: 24, AnswerTokens: 20},
+	},
+	{
+		name: "embed", kind: "embedder", pool: "embeddings", role: control.RoleColocated, count: 3,
+		spec: fakeengine.Spec{PrefillTokensPerSecond: 20000, DecodeSlots: 64, MaxWaiting: 64, Dimensions: 64},
+	},
+	{
+		name: "rank", kind: "ranker", pool: "rerank", role: control.RoleColocated, count: 2,
+		spec: fakeengine.Spec{PrefillTokensPerSecond: 20000, DecodeSlots: 64, MaxWaiting: 64},
+	},
 }
 
 // Specs is the demo's fleet, with the engines of each group in two zones by turns.
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -45,6 +45,7 @@
 	}
 	return len(b)
 }
+
 func (e *echo) EOF(c *Conn) {
 	if c.Paused() && e.maxUnsent > 0 { // early: more lies unread
 		return
--- a/internal/eventloop/syscalls_test.go
+++ b/internal/eventloop/syscalls_test.go
@@ -52,8 +52,10 @@
 // TestAcceptErrorsOfOneConnectionDoNotStopAccepting follows accept(2): errors of the network belong to one
 // connection, and lack of resources pauses the listener.
 func TestAcceptErrorsOfOneConnectionDoNotStopAccepting(t *testing.T) {
-	for _, errno := range []unix.Errno{unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
-		unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ECONNABORTED, unix.EINTR, unix.ETIMEDOUT} {
+	for _, errno := range []unix.Errno{
+		unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
+		unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ECONNABORTED, unix.EINTR, unix.ETIMEDOUT,
+	} {
 		if !isPassing(errno) || noResources(errno) {
 			t.Errorf("%v stops accepting", errno)
 		}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -126,8 +126,10 @@
 			t.Errorf("in pieces of %d: %v, %v; want %v", piece, got, err, want)
 		}
 	}
-	for _, in := range []string{"HTTP/1.1 20 OK\r\n\r\n", "HTTP/2 200 OK\r\n\r\n", "HTTP/1.1 101 Go\r\n\r\n", "\r\nHTTP/1.1 200 OK\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"} {
+	for _, in := range []string{
+		"HTTP/1.1 20 OK\r\n\r\n", "HTTP/2 200 OK\r\n\r\n", "HTTP/1.1 101 Go\r\n\r\n", "\r\nHTTP/1.1 200 OK\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+	} {
 		if got, err := parseAll(NewResponses(&limits), []byte(in), 5); err == nil {
 			t.Errorf("%q parsed as %v", in, got)
 		}
--- a/internal/platform/eventlog_test.go
+++ b/internal/platform/eventlog_test.go
@@ -38,8 +38,10 @@
 		t.Errorf("answered %d, want 502", got.code)
 	}
 	w.waitFor("the KV state is released", func() bool { return len(w.log.lines("KV released")) > 0 })
-	w.expectLine("attempt ended", map[string]any{"request_id": "c1", "attempt": 1, "endpoint_name": "s-1",
-		"role": "decode", "result": "reset", "written": true})
+	w.expectLine("attempt ended", map[string]any{
+		"request_id": "c1", "attempt": 1, "endpoint_name": "s-1",
+		"role": "decode", "result": "reset", "written": true,
+	})
 	w.expectLine("request ended", map[string]any{"request_id": "c1", "outcome": "failed", "reason": "not_repeatable", "attempts": 2})
 	w.expectLine("KV release enqueued", map[string]any{"request_id": "c1", "reason": "request_finished"})
 	w.expectLine("KV released", map[string]any{"request_id": "c1"})
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -409,9 +409,11 @@
 // startRouter starts a router process, and waits until it serves.
 func (f *fleet) startRouter() {
 	f.Helper()
-	config, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": f.serveDiscovery(),
+	config, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": f.serveDiscovery(),
 		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 256},
-		"known": json.RawMessage(f.list()), "settings": json.RawMessage(testSettings)})
+		"known": json.RawMessage(f.list()), "settings": json.RawMessage(testSettings),
+	})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/platform/golden_rig_test.go
+++ b/internal/platform/golden_rig_test.go
@@ -209,8 +209,10 @@
 // newGoldenRig makes a rig with an engine of each flavor. The router isn't started yet.
 func newGoldenRig(t *testing.T, flavors ...string) *goldenRig {
 	t.Helper()
-	rig := &goldenRig{t: t, finished: make(chan error, 1), script: map[string][]reply{}, zone: "a",
-		arrived: make(chan string, 1024), ended: make(chan struct{}, 1024)}
+	rig := &goldenRig{
+		t: t, finished: make(chan error, 1), script: map[string][]reply{}, zone: "a",
+		arrived: make(chan string, 1024), ended: make(chan struct{}, 1024),
+	}
 	rig.discovery = rig.listen()
 	for i, flavor := range flavors {
 		listener := rig.listen()
@@ -576,5 +578,7 @@
 }
 
 // roleNames name engines in transcripts, by their flavor.
-var roleNames = map[string]string{"r1": "prefill", "w1": "decode", "m1": "mixed",
-	"intake": "prefill", "speaker": "decode", "desk": "prefill", "reader-aloud": "decode"}
+var roleNames = map[string]string{
+	"r1": "prefill", "w1": "decode", "m1": "mixed",
+	"intake": "prefill", "speaker": "decode", "desk": "prefill", "reader-aloud": "decode",
+}
--- a/internal/platform/golden_sites_test.go
+++ b/internal/platform/golden_sites_test.go
@@ -240,7 +240,8 @@
 	for _, class := range site.Class {
 		classes = append(classes, map[string]any{
 			wire.key("name"): class.Name, wire.timeKey("aim"): class.Aim * microsPerMilli, wire.timeKey("deadline"): class.Deadline * microsPerMilli,
-			wire.key("worth"): class.Worth, wire.key("late_worth"): class.LateWorth, wire.key("effect"): wire.word(class.Effect), wire.key("stream"): class.Stream})
+			wire.key("worth"): class.Worth, wire.key("late_worth"): class.LateWorth, wire.key("effect"): wire.word(class.Effect), wire.key("stream"): class.Stream,
+		})
 	}
 	object, err := json.Marshal(map[string]any{
 		wire.key("balancers"): site.Scale.Balancers[0], wire.key("me"): 0, wire.key("zone"): 0,
@@ -249,17 +250,20 @@
 		wire.key("family_info"): map[string]any{
 			wire.key("kind_role"): site.Fam.Role, wire.key("kind_memory_tokens"): memory, wire.timeKey("release"): site.Fam.Release * microsPerMilli,
 			wire.key("resume"): site.Fam.Resume, wire.key("writers_read"): site.Fam.WritersRead,
-			wire.timeKey("token_aim"): tokenAims, "AimUsPer1000PromptTokens": promptAims},
+			wire.timeKey("token_aim"): tokenAims, "AimUsPer1000PromptTokens": promptAims,
+		},
 		wire.key("limits"): map[string]any{
 			wire.key("max_attempts"): site.Allow.MaxAttempts, wire.key("max_open"): mostHeldRequests, wire.key("cancel"): site.Allow.Cancel,
 			wire.key("probes"): site.Allow.Probes, wire.key("retry_after"): site.Allow.RetryAfter, wire.key("second_copies"): site.Allow.SecondCopies,
 			wire.timeKey("max_retry_after"): site.Clients.MaxRetryAfter * microsPerMilli,
 			wire.timeKey("conn_idle"):       tier.Conn.Idle * microsPerSecond,
-			wire.timeKey("connect_timeout"): tier.Conn.ConnectTimeout * microsPerMilli},
+			wire.timeKey("connect_timeout"): tier.Conn.ConnectTimeout * microsPerMilli,
+		},
 		wire.key("rules"): map[string]any{
 			wire.key("cold_from"): tier.Kind[0].ColdFrom[0], wire.timeKey("cold"): tier.Kind[0].ColdFor[0] * microsPerSecond,
 			wire.timeKey("drain_grace"): site.Rules.DrainGrace * microsPerMilli, wire.key("fall_multiple"): site.Rules.FallMultiple,
-			wire.timeKey("fall"): site.Rules.FallAfter * microsPerMilli, wire.timeKey("answer_slack"): protocol.Slack * microsPerMilli},
+			wire.timeKey("fall"): site.Rules.FallAfter * microsPerMilli, wire.timeKey("answer_slack"): protocol.Slack * microsPerMilli,
+		},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -330,13 +334,15 @@
 func dumpConfig(t *testing.T, cfg *Config) string {
 	t.Helper()
 	set, ctl := &cfg.Settings, &cfg.Settings.Control
-	out := goldenConfig{Seed: fmt.Sprintf("%016x", ctl.Seed), Name: cfg.Name, Cores: cfg.Limits.Cores, MemoryMB: cfg.Limits.MemoryMB, Sockets: cfg.Limits.Sockets,
+	out := goldenConfig{
+		Seed: fmt.Sprintf("%016x", ctl.Seed), Name: cfg.Name, Cores: cfg.Limits.Cores, MemoryMB: cfg.Limits.MemoryMB, Sockets: cfg.Limits.Sockets,
 		Routers: ctl.Routers, Rank: ctl.Rank, Zone: ctl.Zone, Zones: set.ZoneNames, Classes: dumpClasses(set), Kinds: dumpKinds(set),
 		ReportFields: len(ctl.ReportFields), Tenants: len(ctl.Tenants), Probes: ctl.CanHealthCheck, Cancel: ctl.CanCancel, AskFleet: ctl.MustSubscribe,
 		DecodePrefills: ctl.DecodeCanPrefill, Resume: set.ResumesStreams, MaxAttempts: ctl.MaxAttempts, MaxHeld: set.MaxRequests,
 		MaxRetryAfter: ctl.MaxRetryAfter.String(), ConnectTimeout: ctl.ConnectTimeout.String(), ConnIdle: set.EngineIdleTimeout.String(),
 		PinLimit: ctl.KVRetentionLimit.String(), DrainGrace: ctl.DrainGrace.String(), AnswerGrace: ctl.AnswerGrace.String(),
-		ColdFrom: ctl.SlowStartShare, ColdFor: ctl.SlowStartDuration.String(), FallMultiple: ctl.OverloadMultiple, FallAfter: ctl.OverloadDuration.String()}
+		ColdFrom: ctl.SlowStartShare, ColdFor: ctl.SlowStartDuration.String(), FallMultiple: ctl.OverloadMultiple, FallAfter: ctl.OverloadDuration.String(),
+	}
 	text, err := json.MarshalIndent(out, "", "  ")
 	if err != nil {
 		t.Fatal(err)
@@ -346,8 +352,10 @@
 
 func dumpClasses(set *platformsettings.Settings) (out []goldenClass) {
 	for i, class := range set.Control.Classes {
-		out = append(out, goldenClass{Name: set.ClassNames[i], Aim: class.TTFTObjective.String(), PromptAim: class.TTFTPer1000Tokens.String(), TokenAim: class.ITLObjective.String(),
-			Deadline: class.Deadline.String(), Worth: class.PriorityWeight, LateWorth: class.LateWeightShare, Effect: goldenEffects[class.Idempotency], Attempts: class.MaxAttempts})
+		out = append(out, goldenClass{
+			Name: set.ClassNames[i], Aim: class.TTFTObjective.String(), PromptAim: class.TTFTPer1000Tokens.String(), TokenAim: class.ITLObjective.String(),
+			Deadline: class.Deadline.String(), Worth: class.PriorityWeight, LateWorth: class.LateWeightShare, Effect: goldenEffects[class.Idempotency], Attempts: class.MaxAttempts,
+		})
 	}
 	return out
 }
@@ -362,8 +370,10 @@
 // siteEdits rewrite a request in the words of real.json.
 func siteEdits(protocol *httpNames, deadline time.Duration) []string {
 	header := &protocol.Header
-	return []string{"X-Call-Id", header.ID, "X-Call-Class", header.Class, "X-Route-Hash", header.Key, "X-Call-Info", header.Extras,
-		"X-Budget: 16000m", fmt.Sprintf("%s: %dm", header.Deadline, deadline.Milliseconds())}
+	return []string{
+		"X-Call-Id", header.ID, "X-Call-Class", header.Class, "X-Route-Hash", header.Key, "X-Call-Info", header.Extras,
+		"X-Budget: 16000m", fmt.Sprintf("%s: %dm", header.Deadline, deadline.Milliseconds()),
+	}
 }
 
 // siteList rewrites discovery's list in the words of real.json.
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -485,8 +485,10 @@
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
 		t.Error(err)
 	}
-	for key, value := range map[string]any{"listen": "nowhere", "discovery": "x:y", "seed": "xyz", "settings": map[string]any{"RequestClasses": 3},
-		"limits": map[string]any{"cores": 0.5, "memory_mb": 1, "sockets": 256}} {
+	for key, value := range map[string]any{
+		"listen": "nowhere", "discovery": "x:y", "seed": "xyz", "settings": map[string]any{"RequestClasses": 3},
+		"limits": map[string]any{"cores": 0.5, "memory_mb": 1, "sockets": 256},
+	} {
 		was := w.config[key]
 		w.config[key] = value
 		w.saveConfig()
--- a/internal/platform/race_test.go
+++ b/internal/platform/race_test.go
@@ -319,9 +319,18 @@
 // otherSettings differ from testSettings in names, idempotencies, deadlines and limits.
 func otherSettings(t *testing.T) string {
 	set := testSettings
-	for _, edit := range [][2]string{{`"ask"`, `"tide"`}, {`"note"`, `"wave"`}, {`"r1"`, `"x9"`}, {`"w1"`, `"y9"`}, {`"Zones":["a","b"]`, `"Zones":["q"]`},
-		{`"DeadlineUs":4000000,"Effect":"idempotent"`, `"DeadlineUs":900000,"Effect":"at_most_once"`}, {`"Effect":"at_most_once","LateWorth":0.2`, `"Effect":"idempotent","LateWorth":0.2`},
-		{`"PinLimitUs":500000`, `"PinLimitUs":200000`}, {`"AttemptsCap":5`, `"AttemptsCap":2`}, {`"MostHeld":1000`, `"MostHeld":1`}} {
+	for _, edit := range [][2]string{
+		{`"ask"`, `"tide"`},
+		{`"note"`, `"wave"`},
+		{`"r1"`, `"x9"`},
+		{`"w1"`, `"y9"`},
+		{`"Zones":["a","b"]`, `"Zones":["q"]`},
+		{`"DeadlineUs":4000000,"Effect":"idempotent"`, `"DeadlineUs":900000,"Effect":"at_most_once"`},
+		{`"Effect":"at_most_once","LateWorth":0.2`, `"Effect":"idempotent","LateWorth":0.2`},
+		{`"PinLimitUs":500000`, `"PinLimitUs":200000`},
+		{`"AttemptsCap":5`, `"AttemptsCap":2`},
+		{`"MostHeld":1000`, `"MostHeld":1`},
+	} {
 		if !strings.Contains(set, edit[0]) {
 			t.Fatal(edit)
 		}
--- a/internal/platform/world_test.go
+++ b/internal/platform/world_test.go
@@ -311,9 +311,11 @@
 	w.discovery.firstMessage = w.list()
 	go w.discovery.serve(w)
 	w.configPath = filepath.Join(t.TempDir(), "config.json")
-	w.config = map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": w.discovery.ln.Addr().String(), "seed": "8c1f30d27a5be964",
+	w.config = map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": w.discovery.ln.Addr().String(), "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 256},
-		"known":  json.RawMessage(w.list()), "settings": json.RawMessage(settings)}
+		"known":  json.RawMessage(w.list()), "settings": json.RawMessage(settings),
+	}
 	w.saveConfig()
 	cfg, err := LoadConfig(w.getenv)
 	if err != nil {
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -27,8 +27,10 @@
 	if got.Routers != 2 || got.Seed != 4 || got.MaxRetryAfter != 0 ||
 		!reflect.DeepEqual(got.RoleByKind, []control.Role{control.RolePrefill, control.RoleColocated}) ||
 		!reflect.DeepEqual(got.MemoryTokensByKind, []float64{5, 0}) ||
-		!reflect.DeepEqual(got.ReportFields, []control.ReportField{control.ReportInFlight, control.ReportOther, control.ReportBacklog,
-			control.ReportMemory}) ||
+		!reflect.DeepEqual(got.ReportFields, []control.ReportField{
+			control.ReportInFlight, control.ReportOther, control.ReportBacklog,
+			control.ReportMemory,
+		}) ||
 		got.Classes[0].Idempotency != control.NotIdempotent || got.Classes[0].TTFTObjective != time.Millisecond || settings.EngineIdleTimeout != 7*time.Millisecond ||
 		!reflect.DeepEqual([][]string{settings.ClassNames, settings.KindNames, settings.ZoneNames}, [][]string{{"talk"}, {"r", "b"}, {"x"}}) {
 		t.Fatalf("got %+v", settings)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -145,8 +145,10 @@
 	took   time.Duration
 }
 
-var deadlines = map[string]time.Duration{"ask": 5 * time.Second, "job": 6 * time.Second, "note": 6 * time.Second, "search": 3 * time.Second}
-var effects = map[string]invariant.Effect{"job": invariant.IdempotentWithKey, "note": invariant.NotIdempotent}
+var (
+	deadlines = map[string]time.Duration{"ask": 5 * time.Second, "job": 6 * time.Second, "note": 6 * time.Second, "search": 3 * time.Second}
+	effects   = map[string]invariant.Effect{"job": invariant.IdempotentWithKey, "note": invariant.NotIdempotent}
+)
 
 func (w *world) ask(c call) reply {
 	if c.class == "" {
@@ -210,15 +212,19 @@
 func (r reply) served() bool {
 	return r.status == 200 && r.err == nil && (json.Valid([]byte(r.body)) || strings.HasSuffix(r.body, "data: [DONE]\n\n"))
 }
+
 func (r reply) refused() bool {
 	return (r.status == 429 || r.status == 503) && r.header.Get("Retry-After") != "" && r.header.Get("Retry-After-Ms") != ""
 }
+
 func (r reply) failed() bool {
 	return (r.status == 502 || r.status == 504) && r.header.Get("X-Should-Retry") == "false"
 }
+
 func (r reply) broken() bool {
 	return r.status == 200 && r.err != nil && strings.Contains(r.body, `{"error"`) && !strings.Contains(r.body, "[DONE]")
 }
+
 func (r reply) String() string {
 	return fmt.Sprintf("%d %v %.300q after %v", r.status, r.err, r.body, r.took)
 }
--- a/internal/router/scatter_test.go
+++ b/internal/router/scatter_test.go
@@ -307,8 +307,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, list := range []string{strings.ReplaceAll(string(text), "kind = embedder", "kind = embedder\nrevision = 2"),
-		strings.Replace(string(text), "kind = embedder", "kind = embedder\nrevision = 2", 1)} {
+	for i, list := range []string{
+		strings.ReplaceAll(string(text), "kind = embedder", "kind = embedder\nrevision = 2"),
+		strings.Replace(string(text), "kind = embedder", "kind = embedder\nrevision = 2", 1),
+	} {
 		if err := os.WriteFile(nodes, []byte(list), 0o644); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -16,15 +16,21 @@
 	id := control.EndpointID(0x0a124a07<<16 | 0x1b5b)
 	return Batch{Clock: 8412250, Number: 12, Records: []Event{
 		{Router: 3, Body: Start{Seed: 9, Settings: []byte("{}")}},
-		{Body: EndpointTable{Number: 2, Endpoints: []control.Endpoint{{ID: id, State: control.Ready, Kind: 1, Cell: 2, Zone: 1,
-			Weight: 1.5, StartedAt: 77}}}},
+		{Body: EndpointTable{Number: 2, Endpoints: []control.Endpoint{{
+			ID: id, State: control.Ready, Kind: 1, Cell: 2, Zone: 1,
+			Weight: 1.5, StartedAt: 77,
+		}}}},
 		{Router: 3, Body: EndpointListUpdate{Version: 4, Table: 2, Scope: ScopeCached}},
-		{Router: 3, Body: control.Request{ID: 7, Class: 1, Tenant: 2, SessionID: 5, PrefixHash: 6, PrefixTokens: 100,
-			PromptTokens: 200, MaxTokens: 50, Deadline: 99, Resumed: true}},
+		{Router: 3, Body: control.Request{
+			ID: 7, Class: 1, Tenant: 2, SessionID: 5, PrefixHash: 6, PrefixTokens: 100,
+			PromptTokens: 200, MaxTokens: 50, Deadline: 99, Resumed: true,
+		}},
 		{Router: 3, Body: control.AnswerStarted{ID: 7, Endpoint: id, Attempt: 1, Elapsed: 5 * time.Millisecond}},
 		{Router: 3, Body: control.ReservationResult{ID: 7, Attempt: 1, Endpoint: id, Held: true}},
-		{Router: 3, Body: control.Outcome{ID: 7, Attempt: 1, Endpoint: id, Result: control.PrefillDone,
-			Elapsed: time.Second, Final: true, CachedTokens: 3, Report: []float64{0.5, 2}}},
+		{Router: 3, Body: control.Outcome{
+			ID: 7, Attempt: 1, Endpoint: id, Result: control.PrefillDone,
+			Elapsed: time.Second, Final: true, CachedTokens: 3, Report: []float64{0.5, 2},
+		}},
 		{Router: 3, Body: control.Outcome{ID: 7, Attempt: 2, Endpoint: id, Result: control.Rejected, KVMissing: true}},
 		{Router: 3, Body: control.ClientGone{ID: 7}},
 		{Router: 3, Body: control.Timer{Token: 4}},
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -119,6 +119,7 @@
 func (h timerHeap) Less(i, j int) bool { return h[i].when < h[j].when }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].index, h[j].index = i, j }
 func (h *timerHeap) Push(x any)        { t := x.(*heapTimer); t.index = len(*h); *h = append(*h, t) }
+
 func (h *timerHeap) Pop() any {
 	t := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
