--- a/cmd/martenlock/serve.go
+++ b/cmd/martenlock/serve.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"martenlock/internal/platform"
-	"martenlock/internal/service"
+	"martenlock/internal/serve"
 )
 
 // pendingSignals is how many signals may arrive while settings are being reloaded.
@@ -33,16 +33,16 @@
 		Long:    serveHelp,
 		Example: "  martenlock serve -c martenlock.ini",
 		Args:    cobra.NoArgs,
-		RunE:    func(*cobra.Command, []string) error { return serve(path) },
+		RunE:    func(*cobra.Command, []string) error { return runServe(path) },
 	}
 	command.Flags().StringVarP(&path, "config", "c", "martenlock.ini", "settings `FILE` (INI)")
 	return command
 }
 
-// serve runs a router until a signal ends it.
-func serve(path string) error {
-	service.TuneCollector()
-	running, err := service.Start(path, os.Stderr)
+// runServe runs a router until a signal ends it.
+func runServe(path string) error {
+	serve.TuneCollector()
+	running, err := serve.Start(path, os.Stderr)
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 		Example: "  martenlock check martenlock.ini",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			settings, nodes, err := service.Check(args[0])
+			settings, nodes, err := serve.Check(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/bench/child.go
+++ b/internal/bench/child.go
@@ -12,7 +12,7 @@
 	"runtime/pprof"
 	"sync"
 
-	"martenlock/internal/service"
+	"martenlock/internal/serve"
 )
 
 // processKind is what a process of the benchmark runs.
@@ -93,7 +93,7 @@
 
 // startRouter starts the router in this process. cleanUp removes its files.
 func startRouter(backend string) (address string, cleanUp func(), err error) {
-	service.TuneCollector()
+	serve.TuneCollector()
 	dir, err := os.MkdirTemp("", "martenlock-bench-")
 	if err != nil {
 		return "", nil, err
@@ -114,7 +114,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	running, err := service.Start(path, os.Stderr)
+	running, err := serve.Start(path, os.Stderr)
 	if err != nil {
 		return "", nil, err
 	}
@@ -128,7 +128,7 @@
 // startProxy starts net/http/httputil.ReverseProxy in this process, set up as its users do
 // for speed: connections are kept, buffers reused, streams flushed at once.
 func startProxy(backend string) (address string, err error) {
-	service.TuneCollector()
+	serve.TuneCollector()
 	target, err := url.Parse("http://" + backend)
 	if err != nil {
 		return "", err
--- a/internal/driver/example_test.go
+++ b/internal/decisionloop/example_test.go
@@ -1,11 +1,11 @@
-package driver_test
+package decisionloop_test
 
 import (
 	"fmt"
 	"time"
 
 	"martenlock/control"
-	"martenlock/internal/driver"
+	"martenlock/internal/decisionloop"
 	"martenlock/internal/eventloop"
 )
 
@@ -34,7 +34,7 @@
 		MaxAttempts:        1,
 		Classes:            []control.Class{{TTFTObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
 	}
-	mailbox := driver.Mailbox[printedExchange]{
+	mailbox := decisionloop.Mailbox[printedExchange]{
 		Loop:      loop,
 		Router:    control.New(settings, 0),
 		Exchanges: map[control.RequestID]printedExchange{7: {}},
--- a/internal/driver/mailbox.go
+++ b/internal/decisionloop/mailbox.go
@@ -1,7 +1,7 @@
-// Package driver is what both servers need to drive the decision module on an event loop: the
-// mailbox that gathers the module's events and executes its actions, and short calls to engines.
-// What the calls mean, and what else an action needs, is the servers' own.
-package driver
+// Package decisionloop runs the decision module on an event loop. Its Mailbox gathers the module's events of one
+// iteration, hands them over together, and executes the actions that come back. Each server decides what an action
+// needs on its own connections.
+package decisionloop
 
 import (
 	"strconv"
--- /dev/null
+++ b/internal/decisionloop/mailbox_test.go
@@ -0,0 +1,287 @@
+package decisionloop
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"martenlock/control"
+	"martenlock/internal/eventloop/eventlooptest"
+	"martenlock/internal/timerwheel"
+)
+
+// never is a time-out that no test reaches.
+const never = time.Hour
+
+// recordedExchange records the actions that reach it.
+type recordedExchange struct {
+	id      control.RequestID
+	mailbox *testMailbox
+}
+
+func (x *recordedExchange) Forward(action control.Forward) {
+	x.mailbox.record(action)
+	if x.mailbox.onForward != nil {
+		x.mailbox.onForward(action)
+	}
+}
+
+func (x *recordedExchange) Reject(action control.Reject)       { x.mailbox.record(action) }
+func (x *recordedExchange) Fail(action control.Fail)           { x.mailbox.record(action) }
+func (x *recordedExchange) ReleaseKV(action control.ReleaseKV) { x.mailbox.record(action) }
+func (x *recordedExchange) CancelAttempt(number int) {
+	x.mailbox.record(control.CancelAttempt{ID: x.id, Attempt: number})
+}
+
+// testMailbox is a mailbox that records the actions executed. Timers of the module are disabled.
+type testMailbox struct {
+	Mailbox[*recordedExchange]
+	loop      eventlooptest.Loop
+	actions   []control.Action
+	polls     int // how often AfterPoll was called
+	handled   int // how often the module was asked
+	onForward func(control.Forward)
+}
+
+func (m *testMailbox) record(action control.Action) { m.actions = append(m.actions, action) }
+
+// moduleStart is the time on the module's clock in all tests.
+const moduleStart = control.Time(1e6)
+
+// newRouter returns a module with one class, for engines that do both stages.
+func newRouter() *control.Router {
+	return control.New(control.Settings{
+		Routers:            1,
+		RoleByKind:         []control.Role{control.RoleColocated},
+		MemoryTokensByKind: []float64{0},
+		MaxAttempts:        3,
+		Classes:            []control.Class{{TTFTObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}},
+	}, moduleStart)
+}
+
+// newTestMailbox returns a mailbox with exchanges of these ids.
+func newTestMailbox(t *testing.T, ids ...control.RequestID) *testMailbox {
+	t.Helper()
+	loop := eventlooptest.Start(t)
+	m := &testMailbox{loop: loop}
+	m.Mailbox = Mailbox[*recordedExchange]{
+		Loop:        loop.Loop,
+		Router:      newRouter(),
+		Exchanges:   map[control.RequestID]*recordedExchange{},
+		Logger:      zerolog.Nop(),
+		Now:         func() control.Time { m.handled++; return moduleStart },
+		CheckHealth: func(id control.EndpointID) { m.record(control.HealthCheck{Endpoint: id}) },
+		AfterPoll:   func() { m.polls++ },
+	}
+	m.DisableTimers()
+	for _, id := range ids {
+		m.Exchanges[id] = &recordedExchange{id: id, mailbox: m}
+	}
+	return m
+}
+
+// oneEngine lists one engine.
+func oneEngine() control.EndpointUpdate {
+	return control.EndpointUpdate{Full: true, Endpoints: []control.Endpoint{{ID: 1, State: control.Ready, Weight: 1}}}
+}
+
+func newRequest(id control.RequestID) control.Request {
+	return control.Request{ID: id, PromptTokens: 100, MaxTokens: 10, Deadline: moduleStart.Add(time.Minute)}
+}
+
+// forwardedIDs returns the requests of the Forward actions, in order.
+func (m *testMailbox) forwardedIDs() (ids []control.RequestID) {
+	for _, action := range m.actions {
+		if forward, isForward := action.(control.Forward); isForward {
+			ids = append(ids, forward.ID)
+		}
+	}
+	return ids
+}
+
+// expectForwarded checks which requests were forwarded, in order, and forgets them.
+func (m *testMailbox) expectForwarded(t *testing.T, want ...control.RequestID) {
+	t.Helper()
+	if got := m.forwardedIDs(); !slices.Equal(got, want) {
+		t.Errorf("requests %v were forwarded, want %v", got, want)
+	}
+	m.actions = nil
+}
+
+// TestEventsOfOneIterationReachModuleTogetherInOrder pushes events whose order matters: the engine
+// is listed before the requests come, and a client leaves after its request. A second module that
+// gets the same events in one call tells which actions must follow, in which order.
+func TestEventsOfOneIterationReachModuleTogetherInOrder(t *testing.T) {
+	m := newTestMailbox(t, 1, 2, 3, 4)
+	events := []control.Event{
+		oneEngine(), newRequest(1), newRequest(2), newRequest(3), control.ClientGone{ID: 2}, newRequest(4),
+	}
+	m.loop.DoIteration(func() {
+		for _, event := range events {
+			m.Push(event)
+		}
+		if m.Len() != len(events) || m.handled != 0 {
+			t.Errorf("%d events wait, and the module was asked %d times before the iteration's end", m.Len(), m.handled)
+		}
+	})
+	if m.handled != 1 || m.polls != 1 || m.Len() != 0 {
+		t.Errorf("module asked %d times, %d polls, %d events left; want 1, 1, 0", m.handled, m.polls, m.Len())
+	}
+	var want []control.Action
+	for _, action := range newRouter().Handle(moduleStart, events) {
+		if forward, isForward := action.(control.Forward); isForward {
+			want = append(want, forward)
+		}
+	}
+	if len(want) != 3 {
+		t.Fatalf("the second module forwards %d requests, want 3", len(want))
+	}
+	if !slices.Equal(m.actions, want) {
+		t.Errorf("executed %v, want %v", m.actions, want)
+	}
+}
+
+// TestPollWithoutEventsLeavesModuleAlone: only AfterPoll is called, once an iteration.
+func TestPollWithoutEventsLeavesModuleAlone(t *testing.T) {
+	m := newTestMailbox(t)
+	for range 2 {
+		m.loop.DoIteration(func() {
+			m.SchedulePoll()
+			m.SchedulePoll()
+		})
+	}
+	if m.handled != 0 || m.polls != 2 {
+		t.Errorf("module asked %d times in %d polls; want 0 in 2", m.handled, m.polls)
+	}
+}
+
+// TestEventPushedByActionWaitsForNextPoll: an action's own event is neither lost nor handed over
+// in the call that caused it.
+func TestEventPushedByActionWaitsForNextPoll(t *testing.T) {
+	m := newTestMailbox(t, 1, 2)
+	var lenAfterPush int
+	m.onForward = func(action control.Forward) {
+		if action.ID == 1 {
+			m.Push(newRequest(2))
+			lenAfterPush = m.Len()
+		}
+	}
+	m.loop.DoIteration(func() {
+		m.Push(oneEngine())
+		m.Push(newRequest(1))
+	})
+	m.expectForwarded(t, 1, 2)
+	if lenAfterPush != 1 || m.handled != 2 || m.polls != 2 {
+		t.Errorf("%d events waited, module asked %d times in %d polls; want 1, 2, 2", lenAfterPush, m.handled, m.polls)
+	}
+}
+
+// TestBuffersReusedWithoutOldEvents: two buffers take turns, and hold no event that was handled.
+func TestBuffersReusedWithoutOldEvents(t *testing.T) {
+	m := newTestMailbox(t, 1, 2, 3)
+	m.loop.Do(func() {
+		m.events = make([]control.Event, 0, 8)
+		m.spare = make([]control.Event, 0, 8)
+		buffers := [][]control.Event{m.events[:8], m.spare[:8]}
+		batches := [][]control.Event{
+			{oneEngine(), newRequest(1), newRequest(2)},
+			{newRequest(3)},
+			{control.ClientGone{ID: 3}},
+			{},
+		}
+		for i, batch := range batches {
+			if cap(m.events) == 0 || &m.events[:1][0] != &buffers[i%2][0] {
+				t.Errorf("poll %d: events are gathered in another buffer", i)
+			}
+			for _, event := range batch {
+				m.Push(event)
+			}
+			if m.Len() != len(batch) {
+				t.Errorf("poll %d: %d events wait, want %d", i, m.Len(), len(batch))
+			}
+			m.Poll()
+			if kept := slices.ContainsFunc(slices.Concat(buffers...), func(e control.Event) bool { return e != nil }); kept {
+				t.Errorf("poll %d: a buffer keeps events that were handled", i)
+			}
+		}
+	})
+	m.expectForwarded(t, 1, 2, 3)
+}
+
+// TestActionReachesItsExchangeUnlessGone: each action comes to the exchange that it names with its
+// values; one for an exchange that is gone is ignored.
+func TestActionReachesItsExchangeUnlessGone(t *testing.T) {
+	for _, open := range []control.Action{
+		control.Forward{ID: 1, Endpoint: 5, Timeout: time.Second},
+		control.Reject{ID: 1, RetryAfter: 3 * time.Second, Reason: control.FinishedAtDeadline},
+		control.Fail{ID: 1, Reason: control.FinishedNotRepeatable},
+		control.ReleaseKV{ID: 1, Reason: control.ReleasedAtFinish},
+		control.CancelAttempt{ID: 1, Attempt: 2},
+	} {
+		t.Run(strings.TrimPrefix(fmt.Sprintf("%T", open), "control."), func(t *testing.T) {
+			m := newTestMailbox(t, 1)
+			m.loop.Do(func() { m.execute(open) })
+			if want := []control.Action{open}; !slices.Equal(m.actions, want) {
+				t.Errorf("executed %v, want %v", m.actions, want)
+			}
+			m.actions = nil
+			m.loop.Do(func() {
+				delete(m.Exchanges, 1)
+				m.execute(open) // panics where it calls a method of a nil exchange
+			})
+			if len(m.actions) != 0 {
+				t.Errorf("executed %v for an exchange that is gone", m.actions)
+			}
+		})
+	}
+}
+
+// TestHealthCheckAndLogNeedNoExchange: these actions concern an endpoint.
+func TestHealthCheckAndLogNeedNoExchange(t *testing.T) {
+	m := newTestMailbox(t)
+	var lines bytes.Buffer
+	m.Logger = zerolog.New(&lines)
+	m.loop.Do(func() {
+		m.execute(control.HealthCheck{Endpoint: 0xab})
+		m.execute(control.Log{Kind: control.EndpointEjected, Endpoint: 0xab, Reason: control.EjectedAsSlow})
+	})
+	if want := []control.Action{control.HealthCheck{Endpoint: 0xab}}; !slices.Equal(m.actions, want) {
+		t.Errorf("executed %v, want %v", m.actions, want)
+	}
+	wantLine := fmt.Sprintf(`{"level":"info","endpoint":"ab","reason":%q,"message":%q}`+"\n",
+		control.EjectedAsSlow.String(), control.EndpointEjected.String())
+	if lines.String() != wantLine {
+		t.Errorf("logged %q, want %q", lines.String(), wantLine)
+	}
+}
+
+// TestTimerPushesItsTokenUnlessDisabled: the module's timer becomes an event with its token, but
+// not after DisableTimers. A timer of the test's own that fires later sees what has been pushed.
+func TestTimerPushesItsTokenUnlessDisabled(t *testing.T) {
+	for _, disabled := range []bool{false, true} {
+		m := newTestMailbox(t)
+		m.timersDisabled = false
+		pushed := make(chan []control.Event, 1)
+		m.loop.Do(func() {
+			m.pollScheduled = true // no poll takes the event from the test
+			m.execute(control.SetTimer{Token: 7, After: time.Millisecond})
+			if disabled {
+				m.DisableTimers()
+			}
+			later := &timerwheel.Timer{Fire: func() { pushed <- slices.Clone(m.events) }}
+			m.Loop.StartTimer(later, 3*time.Millisecond)
+		})
+		var want []control.Event
+		if !disabled {
+			want = []control.Event{control.Timer{Token: 7}}
+		}
+		if got := <-pushed; !slices.Equal(got, want) {
+			t.Errorf("disabled %v: pushed %v, want %v", disabled, got, want)
+		}
+	}
+}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -22,7 +22,7 @@
 
 	"martenlock/internal/fakeengine"
 	"martenlock/internal/invariant"
-	"martenlock/internal/service"
+	"martenlock/internal/serve"
 )
 
 // stateReady is the state of an engine that may get requests; any other drains it.
@@ -37,7 +37,7 @@
 
 // World is a router, its fleet of fake engines, and the endpoint list between them.
 type World struct {
-	Service *service.Service
+	Service *serve.Service
 	Fleet   *fakeengine.Cluster
 	Rec     *invariant.Recording // what engines and clients see; may be nil
 
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	w.Service, err = service.Start(path, options.Log)
+	w.Service, err = serve.Start(path, options.Log)
 	return err
 }
 
--- a/internal/driver/call.go
+++ b/internal/enginecall/call.go
@@ -1,4 +1,6 @@
-package driver
+// Package enginecall makes short calls to engines, of whose response only the head matters: health checks and
+// releases of KV state.
+package enginecall
 
 import (
 	"time"
@@ -8,23 +10,23 @@
 	"martenlock/internal/upstream"
 )
 
-// CallOutcome is how a short call ended.
-type CallOutcome uint8
+// Outcome is how a short call ended.
+type Outcome uint8
 
 // The outcomes of a call.
 const (
-	CallNoConnection CallOutcome = iota // this process could not make a connection
-	CallResponded                       // the response is whole
-	CallBroken                          // the connection ended before that
-	CallTimedOut
+	NoConnection Outcome = iota // this process could not make a connection
+	Responded                   // the response is whole
+	Broken                      // the connection ended before that
+	TimedOut
 )
 
-// CallResult is what came of a short call.
-type CallResult struct {
-	Outcome              CallOutcome
-	Status               int            // of the response; 0 where its head has not come
-	Break                upstream.Break // where Outcome is CallBroken
-	WrittenBeforeTimeout bool           // where Outcome is CallTimedOut: the engine may have the call; Break tells it of CallBroken
+// Result is what came of a short call.
+type Result struct {
+	Outcome              Outcome
+	Status               int                // of the response; 0 where its head has not come
+	ConnError            upstream.ConnError // where Outcome is Broken
+	WrittenBeforeTimeout bool               // where Outcome is TimedOut: the engine may have the call; Break tells it of Broken
 }
 
 // Call is a short call to an engine, of whose response only the head matters: a health check, or
@@ -33,7 +35,7 @@
 	Head, Body []byte
 	Timeout    time.Duration
 	OnHead     func(*http1.Head) // takes the response's head; nil where the status is enough
-	OnDone     func(CallResult)  // takes the result, once; it may run before Start returns
+	OnDone     func(Result)      // takes the result, once; it may run before Start returns
 }
 
 // Start makes the call.
@@ -41,7 +43,7 @@
 	running := &runningCall{Call: c, pool: pool}
 	conn, err := pool.Start(running, c.Head, c.Body, false)
 	if err != nil {
-		running.finish(CallResult{Outcome: CallNoConnection})
+		running.finish(Result{Outcome: NoConnection})
 		return
 	}
 	running.conn = conn
@@ -61,7 +63,7 @@
 
 // handleTimeout gives the call up.
 func (c *runningCall) handleTimeout() {
-	c.finish(CallResult{Outcome: CallTimedOut, WrittenBeforeTimeout: c.conn == nil || c.conn.Written()})
+	c.finish(Result{Outcome: TimedOut, WrittenBeforeTimeout: c.conn == nil || c.conn.Written()})
 }
 
 // Connected does nothing.
@@ -78,20 +80,20 @@
 // Data ignores the response's body.
 func (c *runningCall) Data([]byte) {}
 
-// End takes in that the response is whole.
-func (c *runningCall) End() {
+// Complete takes in that the response is whole.
+func (c *runningCall) Complete() {
 	c.conn = nil
-	c.finish(CallResult{Outcome: CallResponded})
+	c.finish(Result{Outcome: Responded})
 }
 
-// Broken takes in that the connection ended before that.
-func (c *runningCall) Broken(how upstream.Break) {
+// Failed takes in that the connection ended before that.
+func (c *runningCall) Failed(how upstream.ConnError) {
 	c.conn = nil
-	c.finish(CallResult{Outcome: CallBroken, Break: how})
+	c.finish(Result{Outcome: Broken, ConnError: how})
 }
 
 // finish ends the call, once.
-func (c *runningCall) finish(result CallResult) {
+func (c *runningCall) finish(result Result) {
 	if c.hasEnded {
 		return
 	}
--- /dev/null
+++ b/internal/enginecall/call_test.go
@@ -0,0 +1,300 @@
+package enginecall
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"martenlock/internal/eventloop/eventlooptest"
+	"martenlock/internal/http1"
+	"martenlock/internal/upstream"
+)
+
+// never is a time-out that no test reaches.
+const never = time.Hour
+
+// callFixture is a pool of connections on a loop, to an engine that the test plays.
+type callFixture struct {
+	t       *testing.T
+	loop    eventlooptest.Loop
+	pool    *upstream.Pool
+	results chan Result // buffered beyond what a test may get
+}
+
+// newCallFixture returns a pool whose connections go to addr.
+func newCallFixture(t *testing.T, addr netip.AddrPort) *callFixture {
+	t.Helper()
+	loop := eventlooptest.Start(t)
+	options := &upstream.Options{
+		Limits:         http1.Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1 << 20},
+		ConnectTimeout: never,
+		IdleTimeout:    never,
+		MaxPerEngine:   1,
+	}
+	pool := &upstream.Pool{Loop: loop.Loop, Options: options, Budget: &upstream.Budget{}, Addr: addr}
+	return &callFixture{t: t, loop: loop, pool: pool, results: make(chan Result, 10)}
+}
+
+// startEngine listens on loopback and hands the first connection to serve.
+func startEngine(t *testing.T, serve func(*net.TCPConn)) netip.AddrPort {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	served := make(chan struct{})
+	go func() {
+		defer close(served)
+		if conn, err := listener.Accept(); err == nil {
+			serve(conn.(*net.TCPConn))
+		}
+	}()
+	t.Cleanup(func() {
+		listener.Close()
+		<-served
+	})
+	return netip.MustParseAddrPort(listener.Addr().String())
+}
+
+// refusingAddress returns an address of this machine that refuses connections until the test ends.
+func refusingAddress(t *testing.T) netip.AddrPort {
+	t.Helper()
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { unix.Close(fd) })
+	loopback := [4]byte{127, 0, 0, 1}
+	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: loopback}); err != nil { // bound, so no one else listens there
+		t.Fatal(err)
+	}
+	name, err := unix.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return netip.AddrPortFrom(netip.AddrFrom4(loopback), uint16(name.(*unix.SockaddrInet4).Port))
+}
+
+// call makes a call and returns its result, having checked that no second one came with it.
+func (f *callFixture) call(timeout time.Duration, body []byte) Result {
+	f.t.Helper()
+	head := http1.AppendField(http1.AppendRequest(nil, http.MethodPost, "/"), "Host", "engine")
+	call := Call{
+		Head:    http1.AppendContentLength(head, len(body)),
+		Body:    body,
+		Timeout: timeout,
+		OnDone:  func(result Result) { f.results <- result },
+	}
+	f.loop.Do(func() { call.Start(f.pool) })
+	result := <-f.results
+	f.loop.DoIteration(func() {})
+	if len(f.results) != 0 {
+		f.t.Errorf("the call ended again: %+v", <-f.results)
+	}
+	return result
+}
+
+// expectLeft checks which connections and timers are left.
+func (f *callFixture) expectLeft(open, idle, timers int) {
+	f.t.Helper()
+	f.loop.Do(func() {
+		if f.pool.Open() != open || f.pool.Idle() != idle || f.loop.RunningTimers() != timers {
+			f.t.Errorf("left are %d connections, %d of them idle, and %d timers; want %d, %d, %d",
+				f.pool.Open(), f.pool.Idle(), f.loop.RunningTimers(), open, idle, timers)
+		}
+	})
+}
+
+// readRequest reads a request with its body.
+func readRequest(t *testing.T, reader *bufio.Reader) {
+	request, err := http.ReadRequest(reader)
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	if _, err := io.Copy(io.Discard, request.Body); err != nil {
+		t.Error(err)
+	}
+}
+
+// unsendableBody returns more bytes than the system takes for a peer that does not read.
+func unsendableBody() []byte { return make([]byte, 64<<20) }
+
+// TestCallEndsWithWholeResponse: the status comes with the result, the head with OnHead, and the
+// connection is kept for the next call.
+func TestCallEndsWithWholeResponse(t *testing.T) {
+	f := newCallFixture(t, startEngine(t, func(conn *net.TCPConn) {
+		defer conn.Close()
+		reader := bufio.NewReader(conn)
+		for range 2 {
+			readRequest(t, reader)
+			io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nLoad: 3\r\nContent-Length: 4\r\n\r\nbusy")
+		}
+		io.Copy(io.Discard, conn) // until the test ends the connection
+	}))
+	want := Result{Outcome: Responded, Status: http.StatusServiceUnavailable}
+	if got := f.call(never, []byte("ids")); got != want {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+	f.expectLeft(1, 1, 1) // the timer closes the idle connection
+	var load string
+	f.loop.Do(func() {
+		Call{
+			Head:    []byte("GET / HTTP/1.1\r\nHost: engine\r\n\r\n"),
+			Timeout: never,
+			OnHead:  func(head *http1.Head) { load = string(head.Get("load")) },
+			OnDone:  func(result Result) { f.results <- result },
+		}.Start(f.pool)
+	})
+	if got := <-f.results; got != want || load != "3" {
+		t.Errorf("%+v with load %q, want %+v with 3", got, load, want)
+	}
+	f.loop.Do(func() {
+		if f.pool.ConnsMade() != 1 {
+			t.Errorf("%d connections were made, want 1", f.pool.ConnsMade())
+		}
+	})
+}
+
+// TestCallEndsWithBreak: a break is told with how far the call had come, and leaves nothing.
+func TestCallEndsWithBreak(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		body   []byte
+		engine func(*net.TCPConn) // nil refuses connections
+		want   Result
+	}{
+		{
+			name: "connection refused",
+			want: Result{Outcome: Broken},
+		},
+		{
+			name: "reset before it was written",
+			body: unsendableBody(),
+			engine: func(conn *net.TCPConn) {
+				if _, err := conn.Read(make([]byte, 1)); err != nil {
+					t.Error(err)
+				}
+				conn.SetLinger(0)
+				conn.Close()
+			},
+			want: Result{Outcome: Broken, ConnError: upstream.ConnError{Established: true}},
+		},
+		{
+			name: "closed after it was written",
+			engine: func(conn *net.TCPConn) {
+				readRequest(t, bufio.NewReader(conn))
+				conn.Close()
+			},
+			want: Result{Outcome: Broken, ConnError: upstream.ConnError{Established: true, Written: true}},
+		},
+		{
+			name: "closed within the response",
+			engine: func(conn *net.TCPConn) {
+				readRequest(t, bufio.NewReader(conn))
+				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nok")
+				conn.Close()
+			},
+			want: Result{
+				Outcome:   Broken,
+				Status:    http.StatusOK,
+				ConnError: upstream.ConnError{Established: true, Written: true},
+			},
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			addr := refusingAddress(t)
+			if c.engine != nil {
+				addr = startEngine(t, c.engine)
+			}
+			f := newCallFixture(t, addr)
+			if got := f.call(never, c.body); got != c.want {
+				t.Errorf("%+v, want %+v", got, c.want)
+			}
+			f.expectLeft(0, 0, 0)
+		})
+	}
+}
+
+// TestCallTimesOutBeforeItWasWritten: the engine reads nothing, so the body's end never leaves.
+func TestCallTimesOutBeforeItWasWritten(t *testing.T) {
+	testEnds := make(chan struct{})
+	addr := startEngine(t, func(conn *net.TCPConn) {
+		<-testEnds
+		conn.Close()
+	})
+	defer close(testEnds)
+	f := newCallFixture(t, addr)
+	want := Result{Outcome: TimedOut}
+	if got := f.call(time.Millisecond, unsendableBody()); got != want {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+	f.expectLeft(0, 0, 0)
+}
+
+// TestCallTimesOutAfterItWasWritten: on a connection from an earlier call, the request leaves in
+// the iteration that starts the timer, so that the time-out comes after it on any machine.
+func TestCallTimesOutAfterItWasWritten(t *testing.T) {
+	f := newCallFixture(t, startEngine(t, func(conn *net.TCPConn) {
+		defer conn.Close()
+		readRequest(t, bufio.NewReader(conn))
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		io.Copy(io.Discard, conn) // the next request, without a response
+	}))
+	want := Result{Outcome: Responded, Status: http.StatusOK}
+	if got := f.call(never, nil); got != want {
+		t.Fatalf("%+v, want %+v", got, want)
+	}
+	want = Result{Outcome: TimedOut, WrittenBeforeTimeout: true}
+	if got := f.call(time.Millisecond, []byte("ids")); got != want {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+	f.expectLeft(0, 0, 0)
+}
+
+// TestCallWithoutConnectionEndsWithinStart: the pool may make none.
+func TestCallWithoutConnectionEndsWithinStart(t *testing.T) {
+	f := newCallFixture(t, refusingAddress(t))
+	f.pool.Options.MaxPerEngine = 0
+	f.loop.Do(func() {
+		Call{Timeout: never, OnDone: func(result Result) { f.results <- result }}.Start(f.pool)
+		if len(f.results) != 1 {
+			t.Errorf("%d results when Start has returned, want 1", len(f.results))
+		}
+	})
+	if got := <-f.results; got != (Result{Outcome: NoConnection}) {
+		t.Errorf("%+v, want NoConnection", got)
+	}
+	f.expectLeft(0, 0, 0)
+}
+
+// TestCallEndsOnceWhateverFollows: after its first end, a call tells no other.
+func TestCallEndsOnceWhateverFollows(t *testing.T) {
+	ends := map[string]func(*runningCall){
+		"response": (*runningCall).Complete,
+		"break":    func(c *runningCall) { c.Failed(upstream.ConnError{}) },
+		"time-out": (*runningCall).handleTimeout,
+	}
+	for name, end := range ends {
+		t.Run(name, func(t *testing.T) {
+			f := newCallFixture(t, refusingAddress(t))
+			f.loop.Do(func() {
+				call := &runningCall{pool: f.pool}
+				call.OnDone = func(result Result) { f.results <- result }
+				end(call)
+				for _, again := range ends {
+					again(call)
+				}
+			})
+			if len(f.results) != 1 {
+				t.Errorf("%d results, want 1", len(f.results))
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/eventloop/eventlooptest/eventlooptest.go
@@ -0,0 +1,45 @@
+// Package eventlooptest runs event loops for tests.
+package eventlooptest
+
+import (
+	"testing"
+
+	"martenlock/internal/eventloop"
+)
+
+// Loop is an event loop that runs until its test ends.
+type Loop struct{ *eventloop.Loop }
+
+// Start runs a loop in the background until the test ends. The test fails if the loop returns an error.
+func Start(t *testing.T) Loop {
+	t.Helper()
+	loop, err := eventloop.New(eventloop.Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- loop.Run() }()
+	t.Cleanup(func() {
+		loop.Post(loop.Stop)
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return Loop{loop}
+}
+
+// Do runs a function on the loop and waits until it has returned.
+func (l Loop) Do(fn func()) {
+	done := make(chan struct{})
+	l.Post(func() {
+		defer close(done)
+		fn()
+	})
+	<-done
+}
+
+// DoIteration runs a function on the loop and waits for the end of its iteration.
+func (l Loop) DoIteration(fn func()) {
+	l.Do(fn)
+	l.Do(func() {}) // runs in a later iteration, as the first one was waited for
+}
--- a/internal/router/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -1,4 +1,4 @@
-package router
+package openaiserver
 
 import (
 	"fmt"
@@ -199,8 +199,8 @@
 	s.loop.StartTimer(&a.streamIdleTimeout, s.config.Limits.StreamIdleTimeout)
 }
 
-// End takes in that the response is whole.
-func (a *attempt) End() {
+// Complete takes in that the response is whole.
+func (a *attempt) Complete() {
 	a.conn = nil
 	switch {
 	case a.status != http.StatusOK:
@@ -265,8 +265,8 @@
 	}
 }
 
-// Broken takes in that the connection ended before the response was whole.
-func (a *attempt) Broken(how upstream.Break) {
+// Failed takes in that the connection ended before the response was whole.
+func (a *attempt) Failed(how upstream.ConnError) {
 	a.conn = nil
 	if how.Reason != "" {
 		a.exchange.pool.server.log.Warn().Str("endpoint", a.engine.node.Name).Str("reason", how.Reason).Msg("malformed response")
--- a/internal/router/embed_test.go
+++ b/internal/openaiserver/embed_test.go
@@ -1,4 +1,4 @@
-package router_test
+package openaiserver_test
 
 import (
 	"context"
--- a/internal/router/embeddingcache_test.go
+++ b/internal/openaiserver/embeddingcache_test.go
@@ -1,4 +1,4 @@
-package router
+package openaiserver
 
 import (
 	"encoding/binary"
--- a/internal/router/engine.go
+++ b/internal/openaiserver/engine.go
@@ -1,10 +1,10 @@
-package router
+package openaiserver
 
 import (
 	"net/http"
 
 	"martenlock/control"
-	"martenlock/internal/driver"
+	"martenlock/internal/enginecall"
 	"martenlock/internal/http1"
 	"martenlock/internal/nodes"
 	"martenlock/internal/openai"
@@ -109,13 +109,13 @@
 	loop := e.server.loop
 	startedAt := loop.Now()
 	var loadReport []float64
-	driver.Call{
+	enginecall.Call{
 		Head:    append(e.newRequestHead(http.MethodGet, healthPath), crlf...),
 		Timeout: e.server.config.Limits.HealthCheckTimeout,
 		OnHead: func(head *http1.Head) {
 			loadReport = openai.ParseLoadReport(head.Get("endpoint-load-metrics"), p.settings.ReportMetrics)
 		},
-		OnDone: func(call driver.CallResult) {
+		OnDone: func(call enginecall.Result) {
 			p.push(control.HealthCheckResult{
 				Endpoint: e.node.ID,
 				Result:   classifyHealthCheck(call),
@@ -127,15 +127,15 @@
 }
 
 // classifyHealthCheck returns what the end of a health check means.
-func classifyHealthCheck(call driver.CallResult) control.Result {
+func classifyHealthCheck(call enginecall.Result) control.Result {
 	switch {
-	case call.Outcome == driver.CallNoConnection:
+	case call.Outcome == enginecall.NoConnection:
 		return control.NotSent
-	case call.Outcome == driver.CallTimedOut:
+	case call.Outcome == enginecall.TimedOut:
 		return control.TimedOut
-	case call.Outcome == driver.CallBroken && call.Break.Established:
+	case call.Outcome == enginecall.Broken && call.ConnError.Established:
 		return control.Reset
-	case call.Outcome == driver.CallBroken:
+	case call.Outcome == enginecall.Broken:
 		return control.ConnectFailed
 	case call.Status != http.StatusOK:
 		return control.Failed
--- a/internal/router/kvrelease.go
+++ b/internal/openaiserver/kvrelease.go
@@ -1,4 +1,4 @@
-package router
+package openaiserver
 
 import (
 	"net/http"
@@ -6,7 +6,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"martenlock/internal/driver"
+	"martenlock/internal/enginecall"
 	"martenlock/internal/http1"
 	"martenlock/internal/timerwheel"
 )
@@ -65,12 +65,12 @@
 	}
 	body := kvReleaseBody(requestIDs)
 	head := http1.AppendField(e.newRequestHead(http.MethodPost, "/abort_requests"), "Content-Type", contentTypeJSON)
-	driver.Call{
+	enginecall.Call{
 		Head:    http1.AppendContentLength(head, len(body)),
 		Body:    body,
 		Timeout: kvReleaseCallTimeout,
-		OnDone: func(call driver.CallResult) {
-			isReleased := call.Outcome == driver.CallResponded && call.Status == http.StatusOK
+		OnDone: func(call enginecall.Result) {
+			isReleased := call.Outcome == enginecall.Responded && call.Status == http.StatusOK
 			e.completeKVReleaseCall(requestIDs, isReleased)
 		},
 	}.Start(&e.Pool)
--- a/internal/router/pool.go
+++ b/internal/openaiserver/pool.go
@@ -1,4 +1,4 @@
-package router
+package openaiserver
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 	"martenlock/control"
 	"martenlock/control/admission"
 	"martenlock/internal/config"
-	"martenlock/internal/driver"
+	"martenlock/internal/decisionloop"
 	"martenlock/internal/nodes"
 	"martenlock/internal/openai"
 )
@@ -16,7 +16,7 @@
 	server    *Server
 	settings  *config.Pool
 	config    *config.Config // in force when it was created
-	mailbox   driver.Mailbox[*exchange]
+	mailbox   decisionloop.Mailbox[*exchange]
 	exchanges exchangeTable
 
 	embeddings *embeddingCache
@@ -89,7 +89,7 @@
 	controlSettings.ReportFields = settings.ReportFields
 	controlSettings.Zone = s.topology.zone(s.config.Zone)
 	controlSettings.Seed = s.seed + index*seedStep
-	p.mailbox = driver.Mailbox[*exchange]{
+	p.mailbox = decisionloop.Mailbox[*exchange]{
 		Loop:        s.loop,
 		Router:      control.New(controlSettings, s.now()),
 		Exchanges:   p.exchanges.byID,
--- a/internal/router/router_test.go
+++ b/internal/openaiserver/router_test.go
@@ -1,4 +1,4 @@
-package router_test
+package openaiserver_test
 
 import (
 	"bufio"
@@ -27,7 +27,7 @@
 	"martenlock/internal/demo"
 	"martenlock/internal/fakeengine"
 	"martenlock/internal/invariant"
-	"martenlock/internal/service"
+	"martenlock/internal/serve"
 )
 
 const ms = time.Millisecond
@@ -643,7 +643,7 @@
 		return path
 	}
 	write("nodes.ini", fmt.Sprintf("[node a]\npool = chat\nkind = mixed\naddress = %s\n", ln.Addr()))
-	s, err := service.Start(write("m.ini", fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "error")), io.Discard)
+	s, err := serve.Start(write("m.ini", fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "error")), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/sequentialretry.go
+++ b/internal/openaiserver/sequentialretry.go
@@ -1,4 +1,4 @@
-package router
+package openaiserver
 
 import "martenlock/control/batching"
 
--- a/internal/router/server.go
+++ b/internal/openaiserver/server.go
@@ -5,7 +5,7 @@
 //
 // All of its state belongs to one event loop; only Run, SetNodes, Reload, Shutdown and Stats may
 // be called from other goroutines.
-package router
+package openaiserver
 
 import (
 	"crypto/rand"
--- a/internal/router/topology.go
+++ b/internal/openaiserver/topology.go
@@ -1,4 +1,4 @@
-package router
+package openaiserver
 
 // maxTopologyNames bounds the zones, and the cells, that a server numbers.
 const maxTopologyNames = 1<<16 - 1
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -238,8 +238,8 @@
 	a.exchange.server.loop.StartTimer(&a.streamIdleTimeout, connlimit.StreamIdleTimeout)
 }
 
-// End takes in that the response is whole.
-func (a *attempt) End() {
+// Complete takes in that the response is whole.
+func (a *attempt) Complete() {
 	s := a.exchange.server
 	a.conn = nil
 	s.kvReleases.scheduler.RecordResponse(s.now(), a.endpointID)
@@ -265,8 +265,8 @@
 	a.finish(outcome.result, outcome.final)
 }
 
-// Broken takes in that the connection ended before the response was whole.
-func (a *attempt) Broken(how upstream.Break) {
+// Failed takes in that the connection ended before the response was whole.
+func (a *attempt) Failed(how upstream.ConnError) {
 	a.conn = nil
 	a.lostReusedConn = how.ReusedConnection
 	a.brokenWritten = how.Written
--- a/internal/platform/endpointcall.go
+++ b/internal/platform/endpointcall.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"martenlock/control"
-	"martenlock/internal/driver"
+	"martenlock/internal/enginecall"
 	"martenlock/internal/http1"
 )
 
@@ -21,7 +21,7 @@
 	head = http1.AppendField(head, "Host", engineHost)
 	head = append(head, crlf...)
 	startedAt := e.server.now()
-	finish := func(call driver.CallResult) {
+	finish := func(call enginecall.Result) {
 		result := classifyCall(call)
 		scheduler := e.server.kvReleases.scheduler
 		if result == control.OK {
@@ -31,24 +31,24 @@
 		}
 		done(result, call.Status)
 	}
-	driver.Call{Head: head, Timeout: timeout, OnDone: finish}.Start(&e.Pool)
+	enginecall.Call{Head: head, Timeout: timeout, OnDone: finish}.Start(&e.Pool)
 }
 
 // classifyCall returns what the end of a call means.
-func classifyCall(call driver.CallResult) control.Result {
+func classifyCall(call enginecall.Result) control.Result {
 	switch {
-	case call.Outcome == driver.CallResponded:
+	case call.Outcome == enginecall.Responded:
 		return control.OK
-	case call.Outcome == driver.CallNoConnection:
+	case call.Outcome == enginecall.NoConnection:
 		return control.NotSent
-	case call.Outcome == driver.CallTimedOut && !call.WrittenBeforeTimeout:
+	case call.Outcome == enginecall.TimedOut && !call.WrittenBeforeTimeout:
 		return control.ConnectFailed
-	case call.Outcome == driver.CallTimedOut:
+	case call.Outcome == enginecall.TimedOut:
 		return control.TimedOut
-	case call.Break.ReusedConnection: // an idle connection's end says nothing of the engine
+	case call.ConnError.ReusedConnection: // an idle connection's end says nothing of the engine
 		return control.NotSent
 	}
-	return classifyBreak(call.Break)
+	return classifyBreak(call.ConnError)
 }
 
 // checkHealth asks an engine how it is, and tells the module.
--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -2,12 +2,12 @@
 
 import (
 	"martenlock/control"
-	"martenlock/internal/driver"
+	"martenlock/internal/decisionloop"
 )
 
 // newMailbox returns the mailbox of a new decision module.
-func newMailbox(s *Server) driver.Mailbox[*exchange] {
-	return driver.Mailbox[*exchange]{
+func newMailbox(s *Server) decisionloop.Mailbox[*exchange] {
+	return decisionloop.Mailbox[*exchange]{
 		Loop:        s.loop,
 		Router:      control.New(s.config.Settings.Control, s.now()),
 		Exchanges:   s.exchanges.byID,
--- a/internal/platform/outcome.go
+++ b/internal/platform/outcome.go
@@ -42,7 +42,7 @@
 }
 
 // classifyBreak returns what the end of a connection before the first event means.
-func classifyBreak(how upstream.Break) control.Result {
+func classifyBreak(how upstream.ConnError) control.Result {
 	switch {
 	case how.Reason != "":
 		return control.Failed
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -15,7 +15,7 @@
 	"martenlock/control"
 	"martenlock/control/connlimit"
 	"martenlock/control/membership"
-	"martenlock/internal/driver"
+	"martenlock/internal/decisionloop"
 	"martenlock/internal/eventloop"
 	"martenlock/internal/timerwheel"
 )
@@ -29,7 +29,7 @@
 	log    zerolog.Logger
 	events eventLog
 
-	mailbox driver.Mailbox[*exchange] // of the decision module
+	mailbox decisionloop.Mailbox[*exchange] // of the decision module
 
 	clients       clientTable
 	exchanges     exchangeTable
--- a/internal/service/log.go
+++ b/internal/serve/log.go
@@ -1,4 +1,4 @@
-package service
+package serve
 
 import (
 	"errors"
--- a/internal/service/service.go
+++ b/internal/serve/service.go
@@ -1,5 +1,5 @@
-// Package service runs a router from its files: configuration, endpoint list and log.
-package service
+// Package serve runs a router from its files: configuration, endpoint list and log.
+package serve
 
 import (
 	"errors"
@@ -12,12 +12,12 @@
 	"martenlock/internal/config"
 	"martenlock/internal/inifile"
 	"martenlock/internal/nodes"
-	"martenlock/internal/router"
+	"martenlock/internal/openaiserver"
 )
 
 // Service is a running router and what feeds it.
 type Service struct {
-	Router  *router.Server
+	Router  *openaiserver.Server
 	path    string // of the configuration
 	config  atomic.Pointer[config.Config]
 	log     *logFile
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Router, err = router.New(c, list, s.log.logger)
+	s.Router, err = openaiserver.New(c, list, s.log.logger)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/service/service_test.go
+++ b/internal/serve/service_test.go
@@ -1,4 +1,4 @@
-package service_test
+package serve_test
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"martenlock/internal/demo"
 	"martenlock/internal/inifile"
-	"martenlock/internal/service"
+	"martenlock/internal/serve"
 )
 
 // settings is a valid configuration.
@@ -48,7 +48,7 @@
 	writeFile(t, filepath.Join(dir, "nodes.ini"), list)
 	writeFile(t, filepath.Join(dir, "others.ini"), list)
 	var log bytes.Buffer // is read after Stop only
-	s, err := service.Start(path, &log)
+	s, err := serve.Start(path, &log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	path := filepath.Join(dir, "router.ini")
 	writeFile(t, path, strings.Replace(settings, "[router]", "[router]\nlog = absent/router.log", 1))
 	writeFile(t, filepath.Join(dir, "nodes.ini"), list)
-	_, err := service.Start(path, &bytes.Buffer{})
+	_, err := serve.Start(path, &bytes.Buffer{})
 	checkPlace(t, err, path, "log")
 	if !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("%v does not wrap the system's error", err)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -23,7 +23,7 @@
 	established bool
 	timer       timerwheel.Timer // until it must be established, and while idle
 
-	sink         Sink // of the request at hand; nil while idle
+	sink         ResponseHandler // of the request at hand; nil while idle
 	request      request
 	sendDeadline sendDeadline
 	keepAlive    bool // the response at hand allows another request
@@ -52,7 +52,7 @@
 
 // send sends the request over a connection that is established.
 func (k *Conn) send() {
-	if late, ok := k.sink.(DeferredHeadSink); ok {
+	if late, ok := k.sink.(HeadBuilder); ok {
 		k.request.head = late.RequestHead()
 	}
 	k.conn.Write(k.request.head)
@@ -143,13 +143,13 @@
 	}
 	k.abort(reason)
 	if sink != nil {
-		sink.Broken(how)
+		sink.Failed(how)
 	}
 }
 
 // currentBreak returns how the request at hand breaks if the connection ends now.
-func (k *Conn) currentBreak(reason string) Break {
-	return Break{Established: k.established, Written: k.Written(), ReusedConnection: k.reuse.pending, Reason: reason}
+func (k *Conn) currentBreak(reason string) ConnError {
+	return ConnError{Established: k.established, Written: k.Written(), ReusedConnection: k.reuse.pending, Reason: reason}
 }
 
 // reportReuse tells the options' policy, once a request, how it went on a connection that was idle before.
@@ -216,7 +216,7 @@
 	} else {
 		k.abort(CloseNotReusable)
 	}
-	sink.End()
+	sink.Complete()
 }
 
 // reusable reports whether the connection may be kept after a complete response.
@@ -233,7 +233,7 @@
 	if k.sink != nil && k.parser.EndOfInput() {
 		sink := k.sink
 		k.abort(ClosedByEngine)
-		sink.End()
+		sink.Complete()
 		return
 	}
 	k.fail(ClosedByEngine, "")
@@ -258,6 +258,6 @@
 	}
 	k.ended(reason)
 	if sink != nil {
-		sink.Broken(how)
+		sink.Failed(how)
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -39,7 +39,7 @@
 // new connection, Sink.Connected has returned; body belongs to the connection and must not change.
 // once says that the request must not be repeated if it may have been executed. The error wraps
 // ErrNoConn; the sink is told nothing then.
-func (p *Pool) Start(s Sink, head, body []byte, once bool) (*Conn, error) {
+func (p *Pool) Start(s ResponseHandler, head, body []byte, once bool) (*Conn, error) {
 	k := p.takeIdle(once)
 	if k == nil {
 		var err error
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -40,27 +40,27 @@
 	Observe(rested, after time.Duration, lost bool)
 }
 
-// Sink takes one response. The last call is either End or Broken, unless Conn.Abort ends the
+// ResponseHandler takes one response. The last call is either End or Broken, unless Conn.Abort ends the
 // response before. The connection is the sink's until then.
-type Sink interface {
+type ResponseHandler interface {
 	// Connected tells that the request has begun to be sent, so it may be executed.
 	Connected()
 	// Head brings the head of the response. It is valid during the call.
 	Head(h *http1.Head)
 	// Data brings a piece of the content. The slice is valid during the call.
 	Data(b []byte)
-	// End tells that the response is complete; the connection is no longer the sink's.
-	End()
-	// Broken tells that the connection ended before that, or was never made.
-	Broken(how Break)
+	// Complete tells that the response is complete; the connection is no longer the sink's.
+	Complete()
+	// Failed tells that the connection ended before that, or was never made.
+	Failed(how ConnError)
 }
 
-// DeferredHeadSink is a Sink whose request gets its head only when the connection is established, as the
+// HeadBuilder is a Sink whose request gets its head only when the connection is established, as the
 // head tells how much time is left. The head given to Start is not sent then.
-type DeferredHeadSink interface{ RequestHead() []byte }
+type HeadBuilder interface{ RequestHead() []byte }
 
-// Break is how a connection ended that had a response to bring.
-type Break struct {
+// ConnError is how a connection ended that had a response to bring.
+type ConnError struct {
 	Established      bool   // it was established
 	Written          bool   // the request's last byte had left this process: the peer may have it
 	ReusedConnection bool   // the connection had been idle before, and brought nothing of the response
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,16 +17,16 @@
 
 // outcomeSink reports how a request ended.
 type outcomeSink struct {
-	ended chan Break // the zero Break for a complete response
+	ended chan ConnError // the zero Break for a complete response
 }
 
-func newOutcomeSink() *outcomeSink { return &outcomeSink{make(chan Break, 1)} }
+func newOutcomeSink() *outcomeSink { return &outcomeSink{make(chan ConnError, 1)} }
 
 func (s *outcomeSink) Connected()       {}
 func (s *outcomeSink) Head(*http1.Head) {}
 func (s *outcomeSink) Data([]byte)      {}
-func (s *outcomeSink) End()             { s.ended <- Break{} }
-func (s *outcomeSink) Broken(how Break) {
+func (s *outcomeSink) Complete()        { s.ended <- ConnError{} }
+func (s *outcomeSink) Failed(how ConnError) {
 	select {
 	case s.ended <- how:
 	default:
@@ -115,13 +115,13 @@
 }
 
 // request sends a request to the engine and returns how it ended.
-func (f *fixture) request(once bool) Break {
+func (f *fixture) request(once bool) ConnError {
 	f.Helper()
 	s := newOutcomeSink()
 	f.onLoop(func() {
 		if _, err := f.pool.Start(s, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), nil, once); err != nil {
 			f.Error(err)
-			s.ended <- Break{Reason: err.Error()}
+			s.ended <- ConnError{Reason: err.Error()}
 		}
 	})
 	return <-s.ended
@@ -148,7 +148,7 @@
 func TestConnectionReusedUnlessEndedOrStrayBytesCame(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4})
 	for range 3 {
-		if how := f.request(false); how != (Break{}) {
+		if how := f.request(false); how != (ConnError{}) {
 			t.Fatal(how)
 		}
 	}
@@ -159,11 +159,11 @@
 	} {
 		done := make(chan struct{})
 		f.afterAnswer <- func(c net.Conn) { after(c); close(done) }
-		if how := f.request(false); how != (Break{}) {
+		if how := f.request(false); how != (ConnError{}) {
 			t.Fatal(how)
 		}
 		<-done
-		if how := f.request(false); how != (Break{}) {
+		if how := f.request(false); how != (ConnError{}) {
 			t.Fatal(how)
 		}
 		// The next request comes on a new connection. The engine may see the old one's end at any point.
@@ -224,7 +224,7 @@
 			t.Errorf("%d and %d open", f.pool.Open(), f.pool.Budget.Open())
 		}
 	})
-	if how := <-s.ended; how != (Break{}) {
+	if how := <-s.ended; how != (ConnError{}) {
 		t.Error(how)
 	}
 }
@@ -241,8 +241,8 @@
 	unreadPool := &Pool{Loop: f.loop, Options: f.pool.Options, Budget: f.pool.Budget, Addr: netip.MustParseAddrPort(ln.Addr().String())}
 	for _, c := range []struct {
 		body int
-		want Break
-	}{{0, Break{Reason: "not ended"}}, {32 << 20, Break{Established: true}}} { // more than the system's buffers hold
+		want ConnError
+	}{{0, ConnError{Reason: "not ended"}}, {32 << 20, ConnError{Established: true}}} { // more than the system's buffers hold
 		s := newOutcomeSink()
 		f.onLoop(func() {
 			k, err := unreadPool.Start(s, []byte("POST / HTTP/1.1\r\n\r\n"), make([]byte, c.body), false)
@@ -251,7 +251,7 @@
 			}
 			k.SendWithin(150 * time.Millisecond)
 			var later timerwheel.Timer
-			later.Fire = func() { s.Broken(Break{Reason: "not ended"}) }
+			later.Fire = func() { s.Failed(ConnError{Reason: "not ended"}) }
 			f.loop.StartTimer(&later, 300*time.Millisecond)
 		})
 		if how := <-s.ended; how != c.want {
@@ -285,7 +285,7 @@
 				t.Errorf("made %d times before the connection was established", s.headsMade)
 			}
 		})
-		if how := <-s.ended; how != (Break{}) || s.headsMade != 1 {
+		if how := <-s.ended; how != (ConnError{}) || s.headsMade != 1 {
 			t.Error(how, s.headsMade)
 		}
 	}
