--- a/internal/enginecall/call.go
+++ b/internal/enginecall/call.go
@@ -63,7 +63,7 @@
 
 // handleTimeout gives the call up.
 func (c *runningCall) handleTimeout() {
-	c.finish(Result{Outcome: TimedOut, WrittenBeforeTimeout: c.conn == nil || c.conn.Written()})
+	c.finish(Result{Outcome: TimedOut, WrittenBeforeTimeout: c.conn == nil || c.conn.RequestWritten()})
 }
 
 // Connected does nothing.
--- a/internal/enginecall/call_test.go
+++ b/internal/enginecall/call_test.go
@@ -192,7 +192,7 @@
 				readRequest(t, bufio.NewReader(conn))
 				conn.Close()
 			},
-			want: Result{Outcome: Broken, ConnError: upstream.ConnError{Established: true, Written: true}},
+			want: Result{Outcome: Broken, ConnError: upstream.ConnError{Established: true, RequestWritten: true}},
 		},
 		{
 			name: "closed within the response",
@@ -204,7 +204,7 @@
 			want: Result{
 				Outcome:   Broken,
 				Status:    http.StatusOK,
-				ConnError: upstream.ConnError{Established: true, Written: true},
+				ConnError: upstream.ConnError{Established: true, RequestWritten: true},
 			},
 		},
 	} {
--- a/internal/openaiserver/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("attemptState(%d)", uint8(s))
 }
 
-// attempt is one sending of a request to one engine. It is the upstream.Sink of the engine's
-// response: Connected, Head, Data, End and Broken are called by the connection.
+// attempt is one sending of a request to one engine. It is the upstream.ResponseHandler of the engine's
+// response: the connection calls Connected, Head, Data, Complete and Failed.
 type attempt struct {
 	exchange   *exchange
 	number     int     // among the exchange's attempts, from 0
@@ -268,8 +268,8 @@
 // Failed takes in that the connection ended before the response was whole.
 func (a *attempt) Failed(how upstream.ConnError) {
 	a.conn = nil
-	if how.Reason != "" {
-		a.exchange.pool.server.log.Warn().Str("endpoint", a.engine.node.Name).Str("reason", how.Reason).Msg("malformed response")
+	if how.Malformed != "" {
+		a.exchange.pool.server.log.Warn().Str("endpoint", a.engine.node.Name).Str("reason", how.Malformed).Msg("malformed response")
 	}
 	if !how.Established {
 		a.finish(control.ConnectFailed, false)
--- a/internal/openaiserver/engine.go
+++ b/internal/openaiserver/engine.go
@@ -38,7 +38,7 @@
 		releases: newKVReleases(),
 		Pool:     upstream.Pool{Loop: s.loop, Options: &s.engines.connOptions, Budget: &s.engines.connBudget},
 	}
-	e.OnConnEnded = e.connEnded
+	e.OnConnClosed = e.connEnded
 	return e
 }
 
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -34,8 +34,8 @@
 	return fmt.Sprintf("attemptState(%d)", uint8(s))
 }
 
-// attempt is one sending of a request to one engine. It is the upstream.Sink of the engine's
-// response: RequestHead, Connected, Head, Data, End and Broken are called by the connection.
+// attempt is one sending of a request to one engine. It is the upstream.ResponseHandler of the engine's
+// response and builds its head: the connection calls RequestHead, Connected, Head, Data, Complete and Failed.
 type attempt struct {
 	exchange   *exchange
 	number     int       // among the exchange's attempts, from 0
@@ -133,7 +133,7 @@
 // handleFirstEventTimeout gives up an attempt whose answer has not begun. A request that has not
 // left this process can't have been executed.
 func (a *attempt) handleFirstEventTimeout() {
-	if a.conn != nil && !a.conn.Written() {
+	if a.conn != nil && !a.conn.RequestWritten() {
 		a.finish(control.ConnectFailed, false)
 		return
 	}
@@ -269,8 +269,8 @@
 func (a *attempt) Failed(how upstream.ConnError) {
 	a.conn = nil
 	a.lostReusedConn = how.ReusedConnection
-	a.brokenWritten = how.Written
-	a.malformed = how.Reason != ""
+	a.brokenWritten = how.RequestWritten
+	a.malformed = how.Malformed != ""
 	if a.malformed {
 		a.exchange.server.counters.malformed++
 	}
@@ -334,13 +334,13 @@
 
 // written tells whether the request's last byte has left this process.
 func (a *attempt) written() bool {
-	return a.brokenWritten || a.conn != nil && a.conn.Written()
+	return a.brokenWritten || a.conn != nil && a.conn.RequestWritten()
 }
 
 // closeConn closes the attempt's connection where it is still in use. It tells whether the
 // engine may be executing a request that was given up here.
 func (a *attempt) closeConn() (gaveUp bool) {
-	gaveUp = a.malformed || a.conn != nil && a.conn.Written()
+	gaveUp = a.malformed || a.conn != nil && a.conn.RequestWritten()
 	if a.conn != nil {
 		a.conn.Abort()
 		a.conn = nil
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -165,7 +165,7 @@
 		attempts: map[*attempt]struct{}{},
 		Pool:     upstream.Pool{Loop: s.loop, Options: &s.endpoints.connOptions, Budget: &s.endpoints.connBudget},
 	}
-	e.OnConnEnded = e.connEnded
+	e.OnConnClosed = e.connEnded
 	s.endpoints.byID[id] = e
 	return e
 }
--- a/internal/platform/outcome.go
+++ b/internal/platform/outcome.go
@@ -44,9 +44,9 @@
 // classifyBreak returns what the end of a connection before the first event means.
 func classifyBreak(how upstream.ConnError) control.Result {
 	switch {
-	case how.Reason != "":
+	case how.Malformed != "":
 		return control.Failed
-	case !how.Established || !how.Written:
+	case !how.Established || !how.RequestWritten:
 		return control.ConnectFailed
 	}
 	return control.Reset
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -2,48 +2,50 @@
 
 import "slices"
 
-// Budget counts the connections of all pools that share it, and knows which idle one to close
-// for a new one. The zero Budget is ready for use.
+// Budget counts the connections of all pools that share it and closes the longest idle one where a
+// new one needs its place. The zero Budget is ready for use.
 type Budget struct {
 	open int
-	idle []*Conn // in order of becoming idle; entries of connections used or closed since are stale
+	// idle holds the connections in order of becoming idle. An entry is stale if its connection was
+	// used or closed since.
+	idle []*Conn
 }
 
-// Open returns the number of connections.
+// Open returns the number of connections, idle ones included.
 func (b *Budget) Open() int { return b.open }
 
-// makeRoom reports whether one more connection is within total. If need be, it closes the one
-// that has been idle for longest.
-func (b *Budget) makeRoom(total int) bool {
-	for total > 0 && b.open >= total && len(b.idle) > 0 {
+// ensureCapacity reports whether one more connection is within maxTotal; 0 sets no bound. It
+// closes idle connections, longest idle first, as far as that is needed.
+func (b *Budget) ensureCapacity(maxTotal int) bool {
+	for maxTotal > 0 && b.open >= maxTotal && len(b.idle) > 0 {
 		longestIdle := b.idle[0]
 		b.idle = b.idle[1:]
 		if longestIdle.isIdle() {
 			longestIdle.closeIdle(CloseEvicted)
 		}
 	}
-	return total == 0 || b.open < total
+	return maxTotal == 0 || b.open < maxTotal
 }
 
-// maxEntriesPerConn bounds the entries of idle connections, stale ones included, against the
-// connections that there are.
+// maxEntriesPerConn bounds the entries of Budget.idle, stale ones included, for each open
+// connection. It is above 1 so that stale entries are removed in bulk.
 const maxEntriesPerConn = 4
 
-// addIdle notes that a connection has become idle.
-func (b *Budget) addIdle(k *Conn) {
+// addIdle records that a connection has become idle.
+func (b *Budget) addIdle(c *Conn) {
 	if len(b.idle) > maxEntriesPerConn*(b.open+maxEntriesPerConn) {
-		b.dropStale(k)
+		b.removeStale(c)
 	}
-	b.idle = append(b.idle, k)
+	b.idle = append(b.idle, c)
 }
 
-// dropStale removes the entries of connections that are not idle, repeated ones and those of
-// added, which gets a new one.
-func (b *Budget) dropStale(added *Conn) {
+// removeStale removes stale and repeated entries. It also removes those of added, whose place is
+// at the end now.
+func (b *Budget) removeStale(added *Conn) {
 	seen := map[*Conn]bool{added: true}
-	b.idle = slices.DeleteFunc(b.idle, func(k *Conn) bool {
-		stale := seen[k] || !k.isIdle()
-		seen[k] = true
-		return stale
+	b.idle = slices.DeleteFunc(b.idle, func(c *Conn) bool {
+		isStale := seen[c] || !c.isIdle()
+		seen[c] = true
+		return isStale
 	})
 }
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -1,45 +1,47 @@
 package upstream
 
-import "fmt"
+//go:generate go tool stringer -linecomment -type=CloseReason -output=enum_string.go
 
-// CloseReason says why a connection to an engine ended.
+// CloseReason is why a connection to an engine was closed. Its String is the word in logs.
 type CloseReason uint8
 
-// The reasons of an end.
+// The reasons of a close.
 const (
-	CloseAborted           CloseReason = iota // its request was given up here
-	CloseNotReusable                          // its response does not allow another request
-	CloseIdleTimeout                          // idle for too long
-	CloseEvicted                              // idle for longest, when a new connection needed the place
-	CloseDelisted                             // idle, when its engine left the list or started anew
-	CloseNotTrusted                           // idle, and not fit for the next request
-	CloseConnectTimeout                       // not established in time
-	CloseConnectFailed                        // refused, or the network said that it can't be made
-	CloseSendTimeout                          // its request did not leave in time
-	CloseMalformedResponse                    // the response can't be parsed
-	CloseStrayBytes                           // bytes that no request asked for
-	ClosedByEngine                            // the engine ended it
-	CloseReset                                // lost: a reset, or another error of the network
+	// CloseAborted is a close by Conn.Abort: this side cancelled the request.
+	CloseAborted CloseReason = iota // aborted
+	// CloseNotReusable follows a response that allows no further request.
+	CloseNotReusable // not_reusable
+	// CloseIdleTimeout is the end of Options.IdleTimeout.
+	CloseIdleTimeout // idle_timeout
+	// CloseEvicted closes the longest idle connection where a new one needed its place.
+	CloseEvicted // evicted
+	// CloseDelisted closes an idle connection whose engine left the endpoint list or restarted.
+	CloseDelisted // delisted
+	// CloseNotTrusted closes an idle connection that must not carry the next request: it was not quiet,
+	// or Options.ReusePolicy decided so.
+	CloseNotTrusted // not_trusted
+	// CloseConnectTimeout is the end of Options.ConnectTimeout.
+	CloseConnectTimeout // connect_timeout
+	// CloseConnectFailed is a connection that was refused or failed otherwise before it was established.
+	CloseConnectFailed // connect_failed
+	// CloseSendTimeout is the end of the bound set by Conn.SendWithin.
+	CloseSendTimeout // send_timeout
+	// CloseMalformedResponse follows a response that the parser rejects.
+	CloseMalformedResponse // malformed_response
+	// CloseStrayBytes follows bytes that belong to no request.
+	CloseStrayBytes // stray_bytes
+	// ClosedByEngine is an orderly close by the engine.
+	ClosedByEngine // closed_by_engine
+	// CloseReset is a reset or another network error on an established connection.
+	CloseReset // reset
 )
 
-var closeReasonNames = [...]string{
-	"aborted", "not_reusable", "idle_timeout", "evicted", "delisted", "not_trusted", "connect_timeout",
-	"connect_failed", "send_timeout", "malformed_response", "stray_bytes", "closed_by_engine", "reset",
-}
-
-// String names a reason.
-func (r CloseReason) String() string {
-	if int(r) < len(closeReasonNames) {
-		return closeReasonNames[r]
-	}
-	return fmt.Sprintf("close_reason(%d)", uint8(r))
-}
-
-// IsRoutine tells whether connections end so while nothing is wrong.
+// IsRoutine reports whether a close for this reason is part of normal operation.
 func (r CloseReason) IsRoutine() bool {
 	switch r {
 	case CloseAborted, CloseNotReusable, CloseIdleTimeout, CloseDelisted:
 		return true
+	default:
+		return false
 	}
-	return false
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -10,254 +10,223 @@
 )
 
 // maxCopiedBody is the size in bytes up to which a body is copied behind its head, so that one
-// buffer and one system call take both. Larger ones are sent from where they lie.
+// buffer and one system call send both. Larger bodies are sent without a copy.
 const maxCopiedBody = 16 << 10
 
-// Conn is one connection to an engine; it has one request at a time. It belongs to its Pool, and
-// to the caller of Start until the sink is told End or Broken or the caller calls Abort.
+// Conn is a connection to an engine and carries one request at a time. The caller of Pool.Start may
+// use it until its ResponseHandler gets Complete or Failed, or until Abort.
 type Conn struct {
 	pool        *Pool
 	conn        *eventloop.Conn
 	parser      *http1.Parser
-	addr        netip.AddrPort // of the engine when the request at hand was started
+	addr        netip.AddrPort // of the engine when the current request was started
 	established bool
-	timer       timerwheel.Timer // until it must be established, and while idle
+	closed      bool
+	timer       timerwheel.Timer // ConnectTimeout until established, IdleTimeout while idle
 
-	sink         ResponseHandler // of the request at hand; nil while idle
+	handler      ResponseHandler // of the current request; nil while idle
 	request      request
 	sendDeadline sendDeadline
-	keepAlive    bool // the response at hand allows another request
+	keepAlive    bool // the current response allows another request
 	reuse        reuse
 }
 
-// request is what waits to be sent until the connection is established.
+// request is what must be sent once the connection is established.
 type request struct{ head, body []byte }
 
 // sendDeadline bounds when the request's last byte must have left this process.
 type sendDeadline struct {
 	timer timerwheel.Timer
-	at    time.Duration // of the loop's clock; means nothing unless timer is set
-}
-
-// reuse is what the options' policy is told of a request on a connection that was idle before.
-type reuse struct {
-	idleSince time.Duration // of the loop's clock
-	idleFor   time.Duration // before the request at hand
-	sentAt    time.Duration // of the loop's clock
-	pending   bool          // it was idle before the request at hand, and nothing has come since
+	at    time.Duration // of the loop's clock; valid while the timer runs
 }
 
 // isIdle reports whether the connection waits for a request.
-func (k *Conn) isIdle() bool { return k.sink == nil && !k.conn.IsClosed() && k.timer.Running() }
+func (c *Conn) isIdle() bool { return c.handler == nil && !c.closed && c.timer.Running() }
 
-// send sends the request over a connection that is established.
-func (k *Conn) send() {
-	if late, ok := k.sink.(HeadBuilder); ok {
-		k.request.head = late.RequestHead()
+// send sends the request over an established connection.
+func (c *Conn) send() {
+	if builder, ok := c.handler.(HeadBuilder); ok {
+		c.request.head = builder.RequestHead()
 	}
-	k.conn.Write(k.request.head)
-	if len(k.request.body) > maxCopiedBody {
-		k.conn.WriteRef(k.request.body)
+	c.conn.Write(c.request.head)
+	if len(c.request.body) > maxCopiedBody {
+		c.conn.WriteRef(c.request.body)
 	} else {
-		k.conn.Write(k.request.body)
+		c.conn.Write(c.request.body)
 	}
-	k.request = request{}
-	k.sink.Connected()
+	c.request = request{}
+	c.handler.Connected()
 }
 
 // Pause stops reading the response, for back pressure.
-func (k *Conn) Pause() { k.conn.Pause() }
+func (c *Conn) Pause() { c.conn.Pause() }
 
-// Resume reads on after Pause.
-func (k *Conn) Resume() { k.conn.Resume() }
+// Resume continues reading after Pause.
+func (c *Conn) Resume() { c.conn.Resume() }
 
-// Written reports whether the request's last byte has left this process. It may be called on a
-// connection that has ended.
-func (k *Conn) Written() bool {
-	return k.established && k.conn.UnsentBytes() == 0 && k.conn.UnsentAtClose() == 0
+// RequestWritten reports whether the request's last byte has left this process. It may be called
+// after the connection has closed.
+func (c *Conn) RequestWritten() bool {
+	return c.established && c.conn.UnsentBytes() == 0 && c.conn.UnsentAtClose() == 0
 }
 
-// SendWithin breaks the request as not sent where its last byte has not left this process
-// within d. 0 sets no bound, and an earlier bound stays.
-func (k *Conn) SendWithin(d time.Duration) {
+// SendWithin closes the connection if the request's last byte has not left this process within d;
+// the handler then gets Failed. A d of 0 or less sets no bound, and an earlier bound stays.
+func (c *Conn) SendWithin(d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	at := k.pool.Loop.Now() + d
-	if k.sendDeadline.timer.Running() && k.sendDeadline.at <= at {
+	at := c.pool.Loop.Now() + d
+	if c.sendDeadline.timer.Running() && c.sendDeadline.at <= at {
 		return
 	}
-	k.sendDeadline.at = at
-	k.sendDeadline.timer.Fire = k.sendTimedOut
-	k.pool.Loop.StartTimer(&k.sendDeadline.timer, d)
+	c.sendDeadline.at = at
+	c.sendDeadline.timer.Fire = c.sendTimedOut
+	c.pool.Loop.StartTimer(&c.sendDeadline.timer, d)
 }
 
-func (k *Conn) sendTimedOut() {
-	if k.sink != nil && !k.Written() {
-		k.fail(CloseSendTimeout, "")
+func (c *Conn) sendTimedOut() {
+	if c.handler != nil && !c.RequestWritten() {
+		c.fail(CloseSendTimeout, "")
 	}
 }
 
-// Abort ends the connection at once; its sink is told no more. On one that has ended it does
-// nothing.
-func (k *Conn) Abort() { k.abort(CloseAborted) }
+// Abort closes the connection at once. Its handler gets no further call. On a closed connection it
+// does nothing.
+func (c *Conn) Abort() { c.close(CloseAborted) }
 
-// abort is Abort for a reason.
-func (k *Conn) abort(reason CloseReason) {
-	if !k.conn.IsClosed() {
-		k.pool.Loop.StopTimer(&k.timer)
-		k.conn.ShutdownAndAbort()
-		k.ended(reason)
+// close closes the connection without a call of its handler. Later calls have no effect.
+func (c *Conn) close(reason CloseReason) {
+	c.handler = nil
+	if c.closed {
+		return
 	}
-	k.sink = nil
+	c.closed = true
+	c.pool.Loop.StopTimer(&c.timer)
+	c.pool.Loop.StopTimer(&c.sendDeadline.timer)
+	c.conn.ShutdownAndAbort()
+	c.pool.connClosed(c, reason)
 }
 
-// expire ends a connection that was not established in time, or was idle for too long.
-func (k *Conn) expire() {
-	if !k.established {
-		k.fail(CloseConnectTimeout, "")
+// expire handles the end of ConnectTimeout or IdleTimeout.
+func (c *Conn) expire() {
+	if !c.established {
+		c.fail(CloseConnectTimeout, "")
 		return
 	}
-	k.closeIdle(CloseIdleTimeout)
+	c.closeIdle(CloseIdleTimeout)
 }
 
-// closeIdle ends the connection while it is idle.
-func (k *Conn) closeIdle(reason CloseReason) {
-	k.pool.removeIdle(k)
-	k.abort(reason)
+// closeIdle closes the connection while it is idle.
+func (c *Conn) closeIdle(reason CloseReason) {
+	c.pool.removeIdle(c)
+	c.close(reason)
 }
 
-// ended is called once when the connection has ended.
-func (k *Conn) ended(reason CloseReason) {
-	k.pool.Loop.StopTimer(&k.sendDeadline.timer)
-	k.pool.connEnded(k, reason)
-}
-
-// fail ends the connection and tells its sink, if there is one, what was wrong with the response.
-func (k *Conn) fail(reason CloseReason, malformed string) {
-	how := k.currentBreak(malformed)
-	k.reportReuse(true)
-	sink := k.sink
-	if sink == nil {
-		k.pool.removeIdle(k)
-	}
-	k.abort(reason)
-	if sink != nil {
-		sink.Failed(how)
+// fail closes the connection and calls Failed on its handler, if there is one. malformed is what
+// was wrong with the response, if anything.
+func (c *Conn) fail(reason CloseReason, malformed string) {
+	err := ConnError{
+		Established:      c.established,
+		RequestWritten:   c.RequestWritten(),
+		ReusedConnection: c.reuse.pending,
+		Malformed:        malformed,
 	}
-}
-
-// currentBreak returns how the request at hand breaks if the connection ends now.
-func (k *Conn) currentBreak(reason string) ConnError {
-	return ConnError{Established: k.established, Written: k.Written(), ReusedConnection: k.reuse.pending, Reason: reason}
-}
-
-// reportReuse tells the options' policy, once a request, how it went on a connection that was idle before.
-func (k *Conn) reportReuse(lost bool) {
-	if !k.reuse.pending {
+	c.observeReuse(true)
+	handler := c.handler
+	if handler == nil {
+		c.closeIdle(reason)
 		return
 	}
-	k.reuse.pending = false
-	if trust := k.pool.Options.ReusePolicy; trust != nil {
-		trust.Observe(k.reuse.idleFor, k.pool.Loop.Now()-k.reuse.sentAt, lost)
-	}
+	c.close(reason)
+	handler.Failed(err)
 }
 
-// Opened implements eventloop.Handler: the connection is established, and its request is sent.
-func (k *Conn) Opened(*eventloop.Conn) {
-	k.established = true
-	k.pool.Loop.StopTimer(&k.timer)
-	if k.sink != nil {
-		k.send()
+// Opened implements eventloop.Handler. It sends the request that waits for the connection.
+func (c *Conn) Opened(*eventloop.Conn) {
+	c.established = true
+	c.pool.Loop.StopTimer(&c.timer)
+	if c.handler != nil {
+		c.send()
 	}
 }
 
-// Data implements eventloop.Handler: it parses the response and hands it to the sink. Bytes that
-// no request asked for end the connection.
-func (k *Conn) Data(c *eventloop.Conn, b []byte) int {
-	k.reportReuse(false)
+// Data implements eventloop.Handler. It parses the response and passes it to the handler. Bytes that
+// belong to no request close the connection.
+func (c *Conn) Data(conn *eventloop.Conn, b []byte) int {
+	c.observeReuse(false)
 	consumed := 0
 	for {
-		if k.sink == nil || c.IsClosed() {
+		if c.handler == nil || conn.IsClosed() {
 			if consumed < len(b) {
-				k.fail(CloseStrayBytes, "")
+				c.fail(CloseStrayBytes, "")
 			}
 			return len(b)
 		}
-		n, kind, data, err := k.parser.Next(b[consumed:])
+		n, kind, data, err := c.parser.Next(b[consumed:])
 		consumed += n
 		if err != nil {
-			k.fail(CloseMalformedResponse, err.Reason)
+			c.fail(CloseMalformedResponse, err.Reason)
 			return len(b)
 		}
 		switch kind {
 		case http1.NeedMore:
 			return consumed
 		case http1.HeadDone:
-			k.keepAlive = k.parser.Head.KeepAlive
-			k.sink.Head(&k.parser.Head)
+			c.keepAlive = c.parser.Head.KeepAlive
+			c.handler.Head(&c.parser.Head)
 		case http1.Data:
-			k.sink.Data(data)
+			c.handler.Data(data)
 		case http1.End:
-			k.endResponse()
+			c.endResponse()
 		}
 	}
 }
 
-// endResponse is called when the response is complete: the connection becomes idle or ends.
-func (k *Conn) endResponse() {
-	sink := k.sink
-	k.sink = nil
-	k.pool.Loop.StopTimer(&k.sendDeadline.timer)
-	if k.reusable() {
-		k.conn.Resume()
-		k.reuse.idleSince = k.pool.Loop.Now()
-		k.pool.addIdle(k)
+// endResponse handles a complete response. The connection becomes idle or is closed.
+func (c *Conn) endResponse() {
+	handler := c.handler
+	c.handler = nil
+	c.pool.Loop.StopTimer(&c.sendDeadline.timer)
+	if c.reusable() {
+		c.conn.Resume()
+		c.reuse.idleSince = c.pool.Loop.Now()
+		c.pool.addIdle(c)
 	} else {
-		k.abort(CloseNotReusable)
+		c.close(CloseNotReusable)
 	}
-	sink.Complete()
+	handler.Complete()
 }
 
-// reusable reports whether the connection may be kept after a complete response.
-func (k *Conn) reusable() bool {
-	sameEngine := !k.pool.Removed && k.addr == k.pool.Addr
-	return k.keepAlive && sameEngine && k.conn.UnsentBytes() == 0
+// reusable reports whether the connection may be kept after a complete response. The response may
+// have come before the whole request was sent, and the engine may have moved or left the list.
+func (c *Conn) reusable() bool {
+	sameEngine := !c.pool.Removed && c.addr == c.pool.Addr
+	return c.keepAlive && sameEngine && c.conn.UnsentBytes() == 0
 }
 
-// EOF implements eventloop.Handler: the engine has closed, which may complete the response.
-func (k *Conn) EOF(c *eventloop.Conn) {
-	if c.Paused() { // the client is slow: EOF is told again after what lies unread
+// EOF implements eventloop.Handler. The engine's close may be what completes the response.
+func (c *Conn) EOF(conn *eventloop.Conn) {
+	if conn.Paused() { // EOF is called again after Resume, when the unread bytes were delivered
 		return
 	}
-	if k.sink != nil && k.parser.EndOfInput() {
-		sink := k.sink
-		k.abort(ClosedByEngine)
-		sink.Complete()
+	if c.handler != nil && c.parser.EndOfInput() {
+		handler := c.handler
+		c.close(ClosedByEngine)
+		handler.Complete()
 		return
 	}
-	k.fail(ClosedByEngine, "")
+	c.fail(ClosedByEngine, "")
 }
 
-// Writable implements eventloop.Handler: a request is buffered whole, so nothing waits for it.
-func (k *Conn) Writable(*eventloop.Conn) {}
+// Writable implements eventloop.Handler. The whole request is buffered at once, so nothing waits for it.
+func (c *Conn) Writable(*eventloop.Conn) {}
 
-// Closed implements eventloop.Handler: the connection ended, and the request at hand breaks.
-func (k *Conn) Closed(*eventloop.Conn, error) {
-	reason := CloseConnectFailed
-	if k.established {
-		reason = CloseReset
-	}
-	k.pool.Loop.StopTimer(&k.timer)
-	how := k.currentBreak("")
-	k.reportReuse(true)
-	sink := k.sink
-	k.sink = nil
-	if sink == nil {
-		k.pool.removeIdle(k)
-	}
-	k.ended(reason)
-	if sink != nil {
-		sink.Failed(how)
+// Closed implements eventloop.Handler. The current request fails with the connection.
+func (c *Conn) Closed(*eventloop.Conn, error) {
+	if c.established {
+		c.fail(CloseReset, "")
+	} else {
+		c.fail(CloseConnectFailed, "")
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,21 +9,22 @@
 	"martenlock/internal/http1"
 )
 
-// Pool is the connections to one engine. Its owner sets the exported fields before the first
-// call of Start, and may change the address and whether the engine is listed later.
+// Pool holds the connections to one engine. Its owner sets the exported fields before the first
+// call of Start, and may change Addr and Removed later.
 type Pool struct {
 	Loop    *eventloop.Loop
 	Options *Options
 	Budget  *Budget
-	Addr    netip.AddrPort // connections to an earlier address are not kept
-	// Removed tells that the engine is not listed any more: connections that become idle are closed.
+	Addr    netip.AddrPort // connections to an earlier address are not kept for reuse
+	// Removed is set once the engine has left the endpoint list. Connections that become idle are
+	// closed then.
 	Removed bool
-	// OnConnEnded is called when a connection has ended, if it is set, with the reason.
-	OnConnEnded func(reason CloseReason)
+	// OnConnClosed, if set, is called when a connection has closed.
+	OnConnClosed func(reason CloseReason)
 
-	idle  []*Conn // the latest used last
-	conns map[*Conn]struct{}
-	made  int
+	idle      []*Conn // the most recently used last
+	conns     map[*Conn]struct{}
+	connsMade int
 }
 
 // Open returns the number of connections, idle ones included.
@@ -32,105 +33,107 @@
 // Idle returns the number of connections that wait for a request.
 func (p *Pool) Idle() int { return len(p.idle) }
 
-// ConnsMade returns the number of connections begun so far.
-func (p *Pool) ConnsMade() int { return p.made }
+// ConnsMade returns the number of connections started so far, failed ones included.
+func (p *Pool) ConnsMade() int { return p.connsMade }
 
-// Start sends a request over an idle or a new connection. head may be reused when Start or, on a
-// new connection, Sink.Connected has returned; body belongs to the connection and must not change.
-// once says that the request must not be repeated if it may have been executed. The error wraps
-// ErrNoConn; the sink is told nothing then.
-func (p *Pool) Start(s ResponseHandler, head, body []byte, once bool) (*Conn, error) {
-	k := p.takeIdle(once)
-	if k == nil {
+// Start sends a request over an idle or a new connection. The caller may reuse head once Start
+// and, on a new connection, ResponseHandler.Connected have returned. body belongs to the connection
+// and must not change. notIdempotent is set if the request must not be retried once it may have
+// been executed. The error wraps ErrNoConn; handler gets no call then.
+func (p *Pool) Start(handler ResponseHandler, head, body []byte, notIdempotent bool) (*Conn, error) {
+	c := p.takeIdle(notIdempotent)
+	if c == nil {
 		var err error
-		k, err = p.dial()
+		c, err = p.dial()
 		if err != nil {
 			return nil, err
 		}
 	}
-	k.sink = s
-	k.addr = p.Addr
-	k.request = request{head: head, body: body}
-	if k.established {
-		k.send()
+	c.handler = handler
+	c.addr = p.Addr
+	c.request = request{head: head, body: body}
+	if c.established {
+		c.send()
 	}
-	return k, nil
+	return c, nil
 }
 
-// takeIdle returns the idle connection used last, if there is one on which nothing has come
-// since: an end, or more than belonged to the last response.
-func (p *Pool) takeIdle(once bool) *Conn {
-	trust := p.Options.ReusePolicy
+// takeIdle returns the most recently used idle connection that may carry the request, or nil. It
+// closes connections on which bytes or an end have arrived since their last response, and those
+// that the policy trusts with no request.
+func (p *Pool) takeIdle(notIdempotent bool) *Conn {
+	policy := p.Options.ReusePolicy
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
-		k := p.idle[last]
-		k.reuse.idleFor = p.Loop.Now() - k.reuse.idleSince
-		quiet := k.conn.NoInputPending()
-		trusted := trust == nil || trust.MayReuse(k.reuse.idleFor, once)
-		if quiet && !trusted && once {
-			return nil // it may do for another request
+		c := p.idle[last]
+		c.reuse.idleFor = p.Loop.Now() - c.reuse.idleSince
+		isQuiet := c.conn.NoInputPending()
+		isTrusted := policy == nil || policy.MayReuse(c.reuse.idleFor, notIdempotent)
+		if isQuiet && !isTrusted && notIdempotent {
+			return nil // an idempotent request may still use it
 		}
 		p.idle = p.idle[:last]
-		p.Loop.StopTimer(&k.timer)
-		if quiet && trusted {
-			k.reuse.pending = true
-			k.reuse.sentAt = p.Loop.Now()
-			return k
+		p.Loop.StopTimer(&c.timer)
+		if isQuiet && isTrusted {
+			c.reuse.pending = true
+			c.reuse.sentAt = p.Loop.Now()
+			return c
 		}
-		k.abort(CloseNotTrusted)
+		c.close(CloseNotTrusted)
 	}
 	return nil
 }
 
-// dial begins a new connection within the limits.
+// dial starts a new connection within the limits of the pool and the budget.
 func (p *Pool) dial() (*Conn, error) {
-	if len(p.conns) >= p.Options.MaxPerEngine || !p.Budget.makeRoom(p.Options.MaxTotal) {
+	if len(p.conns) >= p.Options.MaxPerEngine || !p.Budget.ensureCapacity(p.Options.MaxTotal) {
 		return nil, ErrNoConn
 	}
-	k := &Conn{pool: p, parser: http1.NewResponses(&p.Options.Limits)}
-	k.timer.Fire = k.expire
-	conn, err := p.Loop.Dial(p.Addr, k)
+	c := &Conn{pool: p, parser: http1.NewResponses(&p.Options.Limits)}
+	c.timer.Fire = c.expire
+	conn, err := p.Loop.Dial(p.Addr, c)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNoConn, err)
 	}
-	k.conn = conn
-	conn.DeliverBeforeReset() // a complete response is passed on though its client is slow
+	c.conn = conn
+	conn.DeliverBeforeReset() // a complete response reaches a slow client even if the engine resets after it
 	if p.conns == nil {
 		p.conns = map[*Conn]struct{}{}
 	}
-	p.conns[k] = struct{}{}
-	p.made++
+	p.conns[c] = struct{}{}
+	p.connsMade++
 	p.Budget.open++
-	p.Loop.StartTimer(&k.timer, p.Options.ConnectTimeout)
-	return k, nil
+	p.Loop.StartTimer(&c.timer, p.Options.ConnectTimeout)
+	return c, nil
 }
 
 // addIdle keeps a connection for the next request.
-func (p *Pool) addIdle(k *Conn) {
-	p.idle = append(p.idle, k)
-	p.Loop.StartTimer(&k.timer, p.Options.IdleTimeout)
-	p.Budget.addIdle(k)
+func (p *Pool) addIdle(c *Conn) {
+	p.idle = append(p.idle, c)
+	p.Loop.StartTimer(&c.timer, p.Options.IdleTimeout)
+	p.Budget.addIdle(c)
 }
 
-// removeIdle takes a connection from the idle ones, if it is one of them.
-func (p *Pool) removeIdle(k *Conn) {
-	p.idle = slices.DeleteFunc(p.idle, func(other *Conn) bool { return other == k })
+// removeIdle removes a connection from the idle ones, if it is one of them.
+func (p *Pool) removeIdle(c *Conn) {
+	p.idle = slices.DeleteFunc(p.idle, func(other *Conn) bool { return other == c })
 }
 
-// connEnded is called once for each connection that has ended.
-func (p *Pool) connEnded(k *Conn, reason CloseReason) {
-	delete(p.conns, k)
+// connClosed is called once for each connection, when it has closed.
+func (p *Pool) connClosed(c *Conn, reason CloseReason) {
+	delete(p.conns, c)
 	p.Budget.open--
-	if p.OnConnEnded != nil {
-		p.OnConnEnded(reason)
+	if p.OnConnClosed != nil {
+		p.OnConnClosed(reason)
 	}
 }
 
-// CloseIdle closes the idle connections, since their engine is not listed any more or has started anew.
+// CloseIdle closes the idle connections. It is called when the engine has left the endpoint list or
+// restarted.
 func (p *Pool) CloseIdle() {
 	idle := p.idle
 	p.idle = nil
-	for _, k := range idle {
-		k.abort(CloseDelisted)
+	for _, c := range idle {
+		c.close(CloseDelisted)
 	}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -121,7 +121,7 @@
 	f.onLoop(func() {
 		if _, err := f.pool.Start(s, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), nil, once); err != nil {
 			f.Error(err)
-			s.ended <- ConnError{Reason: err.Error()}
+			s.ended <- ConnError{Malformed: err.Error()}
 		}
 	})
 	return <-s.ended
@@ -242,7 +242,7 @@
 	for _, c := range []struct {
 		body int
 		want ConnError
-	}{{0, ConnError{Reason: "not ended"}}, {32 << 20, ConnError{Established: true}}} { // more than the system's buffers hold
+	}{{0, ConnError{Malformed: "not ended"}}, {32 << 20, ConnError{Established: true}}} { // more than the system's buffers hold
 		s := newOutcomeSink()
 		f.onLoop(func() {
 			k, err := unreadPool.Start(s, []byte("POST / HTTP/1.1\r\n\r\n"), make([]byte, c.body), false)
@@ -251,7 +251,7 @@
 			}
 			k.SendWithin(150 * time.Millisecond)
 			var later timerwheel.Timer
-			later.Fire = func() { s.Failed(ConnError{Reason: "not ended"}) }
+			later.Fire = func() { s.Failed(ConnError{Malformed: "not ended"}) }
 			f.loop.StartTimer(&later, 300*time.Millisecond)
 		})
 		if how := <-s.ended; how != c.want {
