--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -45,7 +45,7 @@
 	conn       *upstream.Conn // nil before it is had, and after the response
 	startedAt  time.Duration
 	deadline   time.Duration    // for the first event
-	held       *control.Forward // it waits for a KV release; nil where it does not
+	deferred   *control.Forward // it waits for a KV release; nil where it does not
 
 	state             attemptState
 	firstEventTimeout timerwheel.Timer
@@ -87,25 +87,25 @@
 	conn.SendWithin(action.SendWithin)
 }
 
-// hold has the attempt wait until the request's KV release is confirmed. Where that takes all of
+// deferUntilReleased has the attempt wait until the request's KV release is confirmed. Where that takes all of
 // its time, it ends as not sent.
-func (a *attempt) hold(action control.Forward) {
-	a.held = &action
-	a.firstEventTimeout.Fire = a.handleHeldTimeout
+func (a *attempt) deferUntilReleased(action control.Forward) {
+	a.deferred = &action
+	a.firstEventTimeout.Fire = a.handleReleaseTimeout
 	a.exchange.server.loop.StartTimer(&a.firstEventTimeout, action.Timeout)
 }
 
-func (a *attempt) handleHeldTimeout() { a.finish(control.NotSent, false) }
+func (a *attempt) handleReleaseTimeout() { a.finish(control.NotSent, false) }
 
-// continueHeld starts an attempt that was held, unless its engine has left the list or drains by
+// startDeferred starts an attempt that was held, unless its engine has left the list or drains by
 // now.
-func (a *attempt) continueHeld() {
-	if a.held == nil || a.state == attemptEnded {
+func (a *attempt) startDeferred() {
+	if a.deferred == nil || a.state == attemptEnded {
 		return
 	}
 	s := a.exchange.server
-	action := *a.held
-	a.held = nil
+	action := *a.deferred
+	a.deferred = nil
 	s.loop.StopTimer(&a.firstEventTimeout)
 	member, isListed := s.membership.Get(a.endpointID)
 	action.Timeout = a.deadline - s.loop.Now()
@@ -278,7 +278,7 @@
 		a.finish(control.Reset, true)
 		return
 	}
-	a.finish(classifyBreak(how), false)
+	a.finish(classifyConnError(how), false)
 }
 
 // finish ends the attempt, once, and tells the module. isFinal tells that the request has ended
@@ -296,8 +296,8 @@
 	s.loop.StopTimer(&a.streamIdleTimeout)
 	gaveUp := a.closeConn()
 	a.discardBuffered()
-	if !hadStarted && showsSilence(result) && !a.lostReusedConn { // an idle connection's end says nothing of the engine
-		a.recordSilence()
+	if !hadStarted && isUnresponsive(result) && !a.lostReusedConn { // an idle connection's end says nothing of the engine
+		a.recordUnresponsive()
 	}
 	x.attemptEnded(a, result, hadStarted)
 	if a.endpoint != nil {
@@ -327,8 +327,8 @@
 	}
 }
 
-// showsSilence tells whether an attempt that ended so had no sign of its engine.
-func showsSilence(result control.Result) bool {
+// isUnresponsive tells whether an attempt that ended so had no sign of its engine.
+func isUnresponsive(result control.Result) bool {
 	return result == control.TimedOut || result == control.ConnectFailed || result == control.Reset
 }
 
@@ -348,9 +348,9 @@
 	return gaveUp
 }
 
-// recordSilence takes note that the engine has shown no sign of the attempt, for the choice of
+// recordUnresponsive takes note that the engine has shown no sign of the attempt, for the choice of
 // engines that are called to release KV state.
-func (a *attempt) recordSilence() {
+func (a *attempt) recordUnresponsive() {
 	s := a.exchange.server
 	sentAt := clockStart.Add(a.startedAt)
 	s.kvReleases.scheduler.RecordSilence(s.now(), sentAt, a.endpointID)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -10,8 +10,8 @@
 	"martenlock/internal/timerwheel"
 )
 
-// endpointListHolder is what a discoveryClient feeds.
-type endpointListHolder interface {
+// endpointListStore is what a discoveryClient feeds.
+type endpointListStore interface {
 	// listRevision returns the revision of the endpoint list held.
 	listRevision() uint64
 	// applyEndpointList takes in one message of discovery; the error tells that it cannot be
@@ -25,7 +25,7 @@
 // established, and while there is none makes one call after another that may become it.
 type discoveryClient struct {
 	loop            *eventloop.Loop
-	holder          endpointListHolder
+	store           endpointListStore
 	address         netip.AddrPort
 	maxMessageBytes int
 	watch           *watchCall   // the established one, or nil
@@ -65,7 +65,7 @@
 	call := newWatchCall(d)
 	err := call.connect()
 	if err != nil {
-		d.holder.warn(warning{message: "discovery connection failed"}, err)
+		d.store.warn(warning{message: "discovery connection failed"}, err)
 	} else {
 		d.pending = append(d.pending, call)
 		call.sendRequest()
--- a/internal/platform/endpointcall.go
+++ b/internal/platform/endpointcall.go
@@ -26,7 +26,7 @@
 		scheduler := e.server.kvReleases.scheduler
 		if result == control.OK {
 			scheduler.RecordResponse(e.server.now(), e.id)
-		} else if showsSilence(result) {
+		} else if isUnresponsive(result) {
 			scheduler.RecordSilence(e.server.now(), startedAt, e.id)
 		}
 		done(result, call.Status)
@@ -48,7 +48,7 @@
 	case call.ConnError.ReusedConnection: // an idle connection's end says nothing of the engine
 		return control.NotSent
 	}
-	return classifyBreak(call.ConnError)
+	return classifyConnError(call.ConnError)
 }
 
 // checkHealth asks an engine how it is, and tells the module.
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -54,12 +54,12 @@
 // errEntryWithoutID reports an entry of the endpoint list that names no engine.
 var errEntryWithoutID = errors.New("an entry without id")
 
-// unixClock converts a Unix time in milliseconds into one of the decision module's clock.
-type unixClock func(milliseconds int64) control.Time
+// unixMillisToControl converts a Unix time in milliseconds into one of the decision module's clock.
+type unixMillisToControl func(milliseconds int64) control.Time
 
 // update converts the message into the decision module's terms. Entries that cannot be used are
 // left out and reported in the error; the others hold.
-func (m *endpointListMessage) update(settings *platformsettings.Settings, clock unixClock) (membership.Update, error) {
+func (m *endpointListMessage) update(settings *platformsettings.Settings, clock unixMillisToControl) (membership.Update, error) {
 	update := membership.Update{Revision: m.Revision, Complete: m.Complete}
 	var skipped error
 	for i := range m.Entries {
@@ -80,7 +80,7 @@
 
 // endpoint converts the entry. That an engine drains or is gone holds whatever else of its entry
 // cannot be used.
-func (e *endpointEntry) endpoint(settings *platformsettings.Settings, clock unixClock) (membership.Endpoint, error) {
+func (e *endpointEntry) endpoint(settings *platformsettings.Settings, clock unixMillisToControl) (membership.Endpoint, error) {
 	state, err := e.state()
 	if err != nil {
 		return membership.Endpoint{}, err
--- a/internal/platform/endpointupdates.go
+++ b/internal/platform/endpointupdates.go
@@ -15,7 +15,7 @@
 	}
 	s.discovery = &discoveryClient{
 		loop:            s.loop,
-		holder:          s,
+		store:           s,
 		address:         address,
 		maxMessageBytes: s.limits.maxBufferedBytes / (2 * membership.MaxConcurrentCalls), // half of the budget for all calls together
 	}
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -140,7 +140,7 @@
 		releases.Withdraw(x.meta.callID) // or it would take the KV state from this attempt
 	}
 	if releases.IsPending(x.meta.callID) { // or it would take the KV state that this attempt leaves
-		a.hold(action)
+		a.deferUntilReleased(action)
 		return
 	}
 	a.start(action)
@@ -292,7 +292,7 @@
 		return
 	}
 	if x.attempt != nil && x.attempt.state == attemptWaiting {
-		x.attempt.recordSilence()
+		x.attempt.recordUnresponsive()
 	}
 	x.server.enqueueKVRelease(x.meta.callID, action.Reason)
 }
--- a/internal/platform/kvrelease.go
+++ b/internal/platform/kvrelease.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// roomsPath is where an engine releases KV state; the client's id of the request follows.
-const roomsPath = "/bootstrap/rooms/"
+// kvReleasePath is where an engine releases KV state; the client's id of the request follows.
+const kvReleasePath = "/bootstrap/rooms/"
 
 // startKVRelease makes one call, at whichever engine the scheduler chose: each releases what any
 // of them retains.
@@ -49,7 +49,7 @@
 		s.completeKVRelease(call, false)
 		return
 	}
-	e.startCall("DELETE", roomsPath+call.Key, call.Timeout, func(result control.Result, status int) {
+	e.startCall("DELETE", kvReleasePath+call.Key, call.Timeout, func(result control.Result, status int) {
 		s.completeKVRelease(call, result == control.OK && status < 300)
 	})
 }
@@ -59,7 +59,7 @@
 	completion := s.kvReleases.scheduler.Complete(s.now(), call, isReleased)
 	s.logKVRelease(call, completion)
 	if x := s.exchanges.byClientID[call.Key]; completion.Released && x != nil && x.attempt != nil {
-		x.attempt.continueHeld()
+		x.attempt.startDeferred()
 	}
 	s.schedulePoll()
 }
--- a/internal/platform/outcome.go
+++ b/internal/platform/outcome.go
@@ -41,8 +41,8 @@
 	return status >= 400 && status < 500
 }
 
-// classifyBreak returns what the end of a connection before the first event means.
-func classifyBreak(how upstream.ConnError) control.Result {
+// classifyConnError returns what the end of a connection before the first event means.
+func classifyConnError(how upstream.ConnError) control.Result {
 	switch {
 	case how.Malformed != "":
 		return control.Failed
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -86,7 +86,7 @@
 		reason          string
 		want            control.Result
 	}{{false, false, "", control.ConnectFailed}, {true, false, "", control.ConnectFailed}, {true, true, "", control.Reset}, {true, true, "noise", control.Failed}} {
-		if got := classifyBreak(upstream.ConnError{Established: c.dialed, RequestWritten: c.written, Malformed: c.reason}); got != c.want {
+		if got := classifyConnError(upstream.ConnError{Established: c.dialed, RequestWritten: c.written, Malformed: c.reason}); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
--- a/internal/platform/retention_test.go
+++ b/internal/platform/retention_test.go
@@ -270,7 +270,7 @@
 	go func() { answered <- w.roundTrip(w.chat("ask")) }()
 	w.waitOnLoop("the second prefill is held", func() bool {
 		for _, x := range w.server.exchanges.byID {
-			if x.attempt != nil && x.attempt.held != nil {
+			if x.attempt != nil && x.attempt.deferred != nil {
 				return true
 			}
 		}
@@ -312,7 +312,7 @@
 			go func() { answered <- w.roundTrip(w.chat("ask", "4000m", "700m")) }()
 			w.waitOnLoop("the second prefill is held", func() bool {
 				for _, x := range w.server.exchanges.byID {
-					if x.attempt != nil && x.attempt.held != nil {
+					if x.attempt != nil && x.attempt.deferred != nil {
 						return true
 					}
 				}
--- a/internal/platform/watchcall.go
+++ b/internal/platform/watchcall.go
@@ -50,7 +50,7 @@
 
 // sendRequest asks for what is newer than the revision held.
 func (w *watchCall) sendRequest() {
-	revision := strconv.FormatUint(w.client.holder.listRevision(), 10)
+	revision := strconv.FormatUint(w.client.store.listRevision(), 10)
 	request := http1.AppendRequest(nil, http.MethodGet, "/v1/servers?follow=1&since="+revision)
 	request = http1.AppendField(request, "Host", w.client.address.String())
 	request = append(request, "\r\n"...)
@@ -83,7 +83,7 @@
 		return
 	}
 	w.cancel()
-	w.client.holder.warn(kind, nil)
+	w.client.store.warn(kind, nil)
 	w.client.scheduleCall()
 }
 
@@ -175,7 +175,7 @@
 
 // handleMessage takes in one whole message.
 func (w *watchCall) handleMessage(text []byte) {
-	err := w.client.holder.applyEndpointList(text)
+	err := w.client.store.applyEndpointList(text)
 	if err != nil {
 		w.failMessage("not an endpoint list")
 		return
