--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -65,7 +65,7 @@
 	stop.Store(true)
 	readings := <-done
 
-	events, _ := recording.Events()
+	events := recording.Events()
 	if len(events) != 2*rounds {
 		t.Fatalf("%d events of %d drains and returns", len(events), rounds)
 	}
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -83,7 +83,7 @@
 	run.tasks.Wait()
 	time.Sleep(quiesceDelay)
 	run.client.CloseIdleConnections()
-	report := invariant.Judge(recording, options.Rules, world.Clock())
+	report := invariant.Check(recording, options.Rules, world.Clock())
 	run.printLatencies(scheduleLag)
 	run.printTimeline()
 	if run.err != nil {
@@ -234,7 +234,7 @@
 	rows := make([]answerCounts, int(run.scenario.Length/timelineRowLength)+1)
 	rowOfRequest := map[string]int{}
 	offset := run.startedAt.Sub(run.world.startedAt)
-	events, _ := run.recording.Events()
+	events := run.recording.Events()
 	for i := range events {
 		event := &events[i]
 		switch event.Kind {
--- a/internal/fakeengine/conn.go
+++ b/internal/fakeengine/conn.go
@@ -116,7 +116,7 @@
 	id := string(head.Get("x-client-request-id"))
 	part := string(head.Get("x-request-part"))
 	if id != "" && part != "" {
-		return id + invariant.PartSeparator + part
+		return id + invariant.ShardSeparator + part
 	}
 	return id
 }
--- a/internal/fakeengine/fakeengine_test.go
+++ b/internal/fakeengine/fakeengine_test.go
@@ -128,7 +128,7 @@
 	post(engine, chatPath, chatBody(`,"kv_transfer_params":{"do_remote_decode":true}`))
 	post(engine, "/abort_requests", `{"request_ids":["request-1"]}`)
 	engine.Kill()
-	events, _ := c.recording.Events()
+	events := c.recording.Events()
 	var seen []string
 	for _, event := range events {
 		seen = append(seen, event.Kind.String())
--- a/internal/invariant/drain.go
+++ b/internal/invariant/drain.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// drainRule: an engine that drains gets no attempts once the grace period is over.
+// drainRule checks that a draining engine gets no attempts after the grace period.
 type drainRule struct {
 	verdict  *Verdict
-	grace    time.Duration            // skew included
-	drainsAt map[string]time.Duration // draining engines: when the list said so
+	grace    time.Duration            // including the skew
+	drainsAt map[string]time.Duration // time of the drain notice, by draining engine
 }
 
-// drainAnnounced takes in that the endpoint list shows an engine as draining or gone.
+// drainAnnounced records that the endpoint list shows an engine as draining or gone. Only the first notice counts.
 func (r *drainRule) drainAnnounced(event Event) {
 	_, isDraining := r.drainsAt[event.Engine]
 	if isDraining {
@@ -19,10 +19,10 @@
 	r.verdict.Checked++
 }
 
-// readyAnnounced takes in that the endpoint list shows an engine as ready.
+// readyAnnounced records that the endpoint list shows an engine as ready.
 func (r *drainRule) readyAnnounced(event Event) { delete(r.drainsAt, event.Engine) }
 
-// attemptBegan checks an attempt.
+// attemptBegan checks the engine of an attempt.
 func (r *drainRule) attemptBegan(event Event) {
 	drainedAt, isDraining := r.drainsAt[event.Engine]
 	if isDraining && event.At > drainedAt+r.grace {
--- a/internal/invariant/event.go
+++ b/internal/invariant/event.go
@@ -1,87 +1,82 @@
 package invariant
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
+
+//go:generate go tool stringer -linecomment -type=Kind,Effect,Result -output=enum_string.go
 
-// Kind tells what was observed.
+// Kind is what was observed.
 type Kind uint8
 
-// The kinds of events. Clients see the first four, the keeper of the endpoint list sees
-// what the list says, engines see the others.
+// The kinds of events. Clients observe the first four. The owner of the endpoint list observes DrainAnnounced and
+// ReadyAnnounced. Engines observe the others. A comment names the fields of Event that are set besides At and Kind.
 const (
-	RequestSent    Kind = iota // a request was sent: Request, Effect, Window, Deadline
-	FirstToken                 // the first token of a stream arrived: its deadline is met then
-	FinalAnswer                // a final answer arrived: Result
-	ClientLeft                 // the client closed its connection without one
-	AttemptBegan               // an attempt arrived: Engine, Request, Work
-	Executed                   // an attempt began to have its effect
-	AttemptEnded               // an attempt ended, however
-	KVRetained                 // Engine retains KV state for a decode engine
-	KVReleased                 // that state was fetched or released
-	DrainAnnounced             // the list says that Engine drains or is gone
-	ReadyAnnounced             // the list says that Engine is ready
-	EngineStarted              // a process of Engine started, in slow start
-	EngineDied                 // and ended: its attempts and KV states with it
-	EngineHung                 // Engine hangs: it reads nothing from its sockets any more
-	EngineResumed              // Engine reads from its sockets again
+	// RequestSent: a client sent a request (Request, Effect, DedupWindow, Deadline).
+	RequestSent Kind = iota // request sent
+	// FirstToken: the first token of a stream arrived, which meets the deadline (Request).
+	FirstToken // first token
+	// FinalAnswer: a final answer arrived (Request, Result).
+	FinalAnswer // final answer
+	// ClientLeft: the client closed its connection before a final answer (Request).
+	ClientLeft // client left
+	// AttemptBegan: an attempt arrived at an engine (Request, Engine, Work).
+	AttemptBegan // attempt began
+	// Executed: an attempt began to have its effect (Request, Engine).
+	Executed // executed
+	// AttemptEnded: an attempt ended, with any result (Request, Engine).
+	AttemptEnded // attempt ended
+	// KVRetained: an engine retains KV state for a decode engine (Request, Engine).
+	KVRetained // KV state retained
+	// KVReleased: that state was fetched or released (Request, Engine).
+	KVReleased // KV state released
+	// DrainAnnounced: the endpoint list shows an engine as draining or gone (Engine).
+	DrainAnnounced // drain announced
+	// ReadyAnnounced: the endpoint list shows an engine as ready (Engine).
+	ReadyAnnounced // ready announced
+	// EngineStarted: an engine's process started, in slow start (Engine).
+	EngineStarted // engine started
+	// EngineDied: an engine's process ended, and its attempts and KV states with it (Engine).
+	EngineDied // engine died
+	// EngineHung: an engine stopped reading from its sockets (Engine).
+	EngineHung // engine hung
+	// EngineResumed: an engine reads from its sockets again (Engine).
+	EngineResumed // engine resumed
 )
 
-var kindNames = []string{
-	"request sent", "first token", "final answer", "client left",
-	"attempt began", "executed", "attempt ended", "KV state retained", "KV state released",
-	"drain announced", "ready announced", "engine started", "engine died", "engine hung", "engine resumed",
-}
-
-// String returns the kind's name.
-func (k Kind) String() string { return enumName(kindNames, uint8(k)) }
-
-// Effect tells what a second execution of a request may do, as its client declared it.
+// Effect is what a second execution of a request may do, as its client declared it.
 type Effect uint8
 
 // The effects.
 const (
-	Idempotent        Effect = iota // executions may repeat: idempotent
-	IdempotentWithKey               // executions within the event's window of the first are deduplicated by key
-	NotIdempotent                   // one execution at most: not idempotent
+	// Idempotent requests may be executed any number of times.
+	Idempotent Effect = iota // idempotent
+	// IdempotentWithKey requests are deduplicated within DedupWindow of their first execution.
+	IdempotentWithKey // idempotent with key
+	// NotIdempotent requests may be executed once at most.
+	NotIdempotent // not idempotent
 )
 
-var effectNames = []string{"idempotent", "idempotent with key", "not idempotent"}
-
-// String returns the effect's name.
-func (e Effect) String() string { return enumName(effectNames, uint8(e)) }
-
 // Result is the kind of a final answer.
 type Result uint8
 
 // The results.
 const (
-	Served    Result = iota
-	Rejected         // not executed: a retry is harmless, and the answer says when
-	Failed           // promises nothing about execution
-	Malformed        // anything else: no Retry-After, a body cut short without an error, data after the end
-	resultCount
+	// Served is a complete answer.
+	Served Result = iota // served
+	// Rejected promises that nothing was executed, and says when to retry.
+	Rejected // rejected
+	// Failed promises nothing about execution.
+	Failed // failed
+	// Malformed is anything else: no Retry-After, a body cut short without an error, data after the end.
+	Malformed // malformed
+
+	resultCount = iota
 )
 
-var resultNames = []string{"served", "rejected", "failed", "malformed"}
-
-// String returns the result's name.
-func (r Result) String() string { return enumName(resultNames, uint8(r)) }
-
-// enumName returns the name of an enum's value, or its number if it has none.
-func enumName(names []string, value uint8) string {
-	if int(value) >= len(names) {
-		return fmt.Sprintf("unknown(%d)", value)
-	}
-	return names[value]
-}
-
-// PartSeparator separates a request's id from the id of a part of it. The parts of a request run
-// beside each other, so each is judged alone, by the effect of the whole request.
-const PartSeparator = "#"
+// ShardSeparator separates a request's id from the number of one of its shards. The shards of a request run
+// concurrently. Each is checked alone, by the effect that the client declared for the request.
+const ShardSeparator = "#"
 
-// Event is one observation. Kind tells which of the other fields are set.
+// Event is one observation. Kind determines which of the other fields are set.
 type Event struct {
 	At          time.Duration // on one clock for all observers
 	Kind        Kind
@@ -90,6 +85,6 @@
 	Effect      Effect
 	Result      Result
 	Deadline    time.Duration // on the clock of At
-	DedupWindow time.Duration // within which a request with a key is deduplicated
-	Work        float64       // seconds of the engine's capacity at full speed
+	DedupWindow time.Duration // within which repeats of a request with a key are dropped
+	Work        float64       // seconds of the engine's time at full speed
 }
--- a/internal/invariant/execution.go
+++ b/internal/invariant/execution.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// executionRule: no two attempts of a request are in flight together, a request that is not
-// idempotent is executed once at most, and one that was executed is not answered as if it had
-// not been. Each part of a request is judged alone.
+// executionRule checks three things. No two attempts of a request are in flight at once. A request that is not idempotent
+// is executed once at most. A request that was executed is not answered as if it had not been. Each shard of a request is
+// checked alone.
 type executionRule struct {
 	verdict *Verdict
 	skew    time.Duration
 }
 
-// attemptBegan checks an attempt before the request's history takes it in.
+// attemptBegan checks an attempt before it is added to the request's history.
 func (r *executionRule) attemptBegan(request *requestHistory, event Event) {
 	r.verdict.Checked++
 	index := request.inFlightAt(event.Engine)
@@ -20,7 +20,7 @@
 	}
 }
 
-// executed checks an execution before the request's history takes it in.
+// executed checks an execution before it is added to the request's history.
 func (r *executionRule) executed(request *requestHistory, event Event) {
 	if len(request.executions) == 0 {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// attemptEnded checks that an attempt that ends now did not overlap with the next one.
+// attemptEnded checks that an attempt did not overlap with the next one.
 func (r *executionRule) attemptEnded(request *requestHistory, ended attempt, at time.Duration) {
 	if ended.nextBegan > 0 && at-ended.nextBegan > r.skew {
 		r.verdict.addViolation(at, "%s: in flight at %s from %.3fs, another attempt began at %.3fs",
@@ -40,36 +40,35 @@
 	}
 }
 
-// finish judges a request at the end of the recording.
+// finish checks a request at the end of the recording.
 func (r *executionRule) finish(request *requestHistory, end time.Duration) {
 	for _, pending := range request.inFlight {
 		r.attemptEnded(request, pending, end)
 	}
-	if request.whole != nil {
-		for _, answer := range request.whole.answers {
-			r.judgeAnswer(request, answer, "a part was executed")
+	if request.parent != nil {
+		for _, answer := range request.parent.answers {
+			r.checkAnswer(request, answer, "a shard was executed")
 		}
 	}
 	if !request.wasSent() {
-		r.judgeUnsent(request)
+		r.checkUnsent(request)
 		return
 	}
-	if request.whole == nil && len(request.answers) > 0 {
-		r.judgeAnswer(request, request.answers[0], "was executed")
+	if request.parent == nil && len(request.answers) > 0 {
+		r.checkAnswer(request, request.answers[0], "was executed")
 	}
 }
 
-// judgeUnsent judges a request that no client sent.
-func (r *executionRule) judgeUnsent(request *requestHistory) {
+// checkUnsent checks a request that no client sent. No engine may have observed it.
+func (r *executionRule) checkUnsent(request *requestHistory) {
 	if len(request.executions) > 0 || len(request.inFlight) > 0 {
 		r.verdict.addViolation(request.lastEndedAt, "%s: engines saw a request that no client sent", request.id)
 	}
 }
 
-// judgeAnswer checks that an answer that promises a harmless retry is true. what names the
-// execution in the violation's text.
-func (r *executionRule) judgeAnswer(request *requestHistory, answer Event, what string) {
+// checkAnswer checks that a rejected request was not executed. description names the execution in the violation's text.
+func (r *executionRule) checkAnswer(request *requestHistory, answer Event, description string) {
 	if answer.Result == Rejected && request.effect == NotIdempotent && len(request.executions) > 0 {
-		r.verdict.addViolation(answer.At, "%s: rejected as if a retry were harmless, but %s at %s", request.id, what, request.executions[0].Engine)
+		r.verdict.addViolation(answer.At, "%s: rejected as if a retry were harmless, but %s at %s", request.id, description, request.executions[0].Engine)
 	}
 }
--- a/internal/invariant/finalanswer.go
+++ b/internal/invariant/finalanswer.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// finalAnswerRule: each request gets exactly one final answer, before its deadline. It also
-// counts the answers. The parts of a request have no answers of their own.
+// finalAnswerRule checks that each request gets exactly one final answer before its deadline. It also counts the answers.
+// Shards have no answers of their own.
 type finalAnswerRule struct {
 	verdict *Verdict
 	report  *Report
 	skew    time.Duration
 }
 
-// requestSent checks that request ids are unique: the other rules depend on it.
+// requestSent checks that request ids are unique, since the other rules depend on that.
 func (r *finalAnswerRule) requestSent(request *requestHistory, event Event) {
 	if request.isSent {
 		r.verdict.addViolation(event.At, "request %s was sent twice", event.Request)
 	}
 }
 
-// finish judges a request at the end of the recording.
+// finish checks a request at the end of the recording.
 func (r *finalAnswerRule) finish(request *requestHistory, end time.Duration) {
-	if request.whole != nil || !request.isSent {
+	if request.parent != nil || !request.isSent {
 		return
 	}
 	r.verdict.Checked++
@@ -27,7 +27,7 @@
 		r.report.ClientsLeft++
 	}
 	if len(request.answers) > 0 {
-		r.judgeAnswers(request)
+		r.checkAnswers(request)
 		return
 	}
 	isDue := end > request.deadline+r.skew || request.firstTokenAt > 0
@@ -36,8 +36,8 @@
 	}
 }
 
-// judgeAnswers judges a request that got at least one final answer.
-func (r *finalAnswerRule) judgeAnswers(request *requestHistory) {
+// checkAnswers checks a request that got at least one final answer.
+func (r *finalAnswerRule) checkAnswers(request *requestHistory) {
 	if len(request.answers) > 1 {
 		r.verdict.addViolation(request.answers[1].At, "%s: %d final answers", request.id, len(request.answers))
 	}
--- a/internal/invariant/histories_test.go
+++ b/internal/invariant/histories_test.go
@@ -102,7 +102,7 @@
 	t.Helper()
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			report := Judge(record(c.events), testLimits, 9*time.Second)
+			report := Check(record(c.events), testLimits, 9*time.Second)
 			if report.Kept() != (c.says == "") {
 				t.Errorf("kept: %v", report.Kept())
 			}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,10 +1,8 @@
-// Package invariant checks five rules that a router must keep, from what clients and engines
-// observed on their own sockets: no router's log or counter is taken as evidence. A file for
-// each rule holds its judgement.
+// Package invariant checks five rules that a router must keep. The evidence is what clients and engines observed on
+// their own sockets, never a router's log or counters. Each rule has a file of its own.
 //
-// It is no model of a router: it does not know what a router should have chosen, only what
-// must not be seen whatever it chose, and a rule without an occasion to break it counts as
-// kept.
+// The package is not a model of a router. It knows what must not be observed whatever the router chose, and nothing of
+// what the router should have chosen. A rule that was never put to the test counts as kept.
 package invariant
 
 import (
@@ -12,36 +10,36 @@
 	"time"
 )
 
-// Limits are the limits that the rules compare with, as the operators of the engines state them.
+// Limits are the limits that the operators of the engines state. The rules compare observations with them.
 type Limits struct {
-	Skew                  time.Duration // by which two observers may disagree about the time
-	DrainGrace            time.Duration // in which a draining engine may still get attempts
-	KVRetentionLimit      time.Duration // for which KV state that no attempt needs may be retained
-	SlowStartInitialSpeed float64       // share of its speed with which an engine starts
-	SlowStartDuration     time.Duration // length of a slow start
-	OverloadFactor        float64       // an engine is overloaded by so many times its capacity
-	OverloadWindow        time.Duration // for so long
+	Skew                  time.Duration // greatest difference between two observers' clocks
+	DrainGrace            time.Duration // time after a drain notice in which an engine may still get attempts
+	KVRetentionLimit      time.Duration // longest time that unused KV state may be retained
+	SlowStartInitialSpeed float64       // speed of an engine at its start, as a share of full speed
+	SlowStartDuration     time.Duration // time from a start to full speed
+	OverloadFactor        float64       // load that overloads an engine, as a multiple of its capacity
+	OverloadWindow        time.Duration // time over which load is compared with capacity
 }
 
-// Judge checks a recording that ended at a time.
-func Judge(recording *Recording, limits Limits, end time.Duration) *Report {
-	events, lost := recording.Events()
+// Check applies the rules to a recording that ended at the given time.
+func Check(recording *Recording, limits Limits, end time.Duration) *Report {
+	events := recording.Events()
 	report := newReport()
-	report.LostEvents = lost
-	j := newJudge(report, limits)
+	report.LostEvents = recording.Lost()
+	c := newChecker(report, limits)
 	for _, event := range events {
-		j.take(event)
+		c.observe(event)
 	}
-	for _, request := range j.inOrder {
-		j.finish(request, end)
+	for _, request := range c.inOrder {
+		c.finish(request, end)
 	}
 	return report
 }
 
-// judge holds the requests' histories and hands each event to the rules that it concerns.
-type judge struct {
+// checker holds the histories of requests and passes each event to the rules that it concerns.
+type checker struct {
 	requests map[string]*requestHistory
-	inOrder  []*requestHistory // of their first event
+	inOrder  []*requestHistory // sorted by first event
 
 	finalAnswer finalAnswerRule
 	execution   executionRule
@@ -50,10 +48,10 @@
 	kvRetention kvRetentionRule
 }
 
-// newJudge returns a judge that writes to a report.
-func newJudge(report *Report, limits Limits) *judge {
+// newChecker returns a checker that writes its findings to a report.
+func newChecker(report *Report, limits Limits) *checker {
 	verdicts := &report.Verdicts
-	return &judge{
+	return &checker{
 		requests:    map[string]*requestHistory{},
 		finalAnswer: finalAnswerRule{verdict: &verdicts[finalAnswerIndex], report: report, skew: limits.Skew},
 		execution:   executionRule{verdict: &verdicts[executionIndex], skew: limits.Skew},
@@ -75,32 +73,32 @@
 	}
 }
 
-// take takes in an event.
-func (j *judge) take(event Event) {
+// observe processes the next event of the recording.
+func (c *checker) observe(event Event) {
 	switch event.Kind {
 	case DrainAnnounced:
-		j.drain.drainAnnounced(event)
+		c.drain.drainAnnounced(event)
 	case ReadyAnnounced:
-		j.drain.readyAnnounced(event)
+		c.drain.readyAnnounced(event)
 	case EngineStarted:
-		j.slowStart.engineStarted(event)
+		c.slowStart.engineStarted(event)
 	case EngineHung:
-		j.kvRetention.engineHung(event)
+		c.kvRetention.engineHung(event)
 	case EngineResumed:
-		j.kvRetention.engineResumed(event)
+		c.kvRetention.engineResumed(event)
 	case EngineDied:
-		j.engineDied(event)
+		c.engineDied(event)
 	default:
-		j.takeOfRequest(j.request(event.Request), event)
+		c.observeRequest(c.request(event.Request), event)
 	}
 }
 
-// takeOfRequest takes in an event of a request.
-func (j *judge) takeOfRequest(request *requestHistory, event Event) {
+// observeRequest processes an event of a request.
+func (c *checker) observeRequest(request *requestHistory, event Event) {
 	switch event.Kind {
 	case RequestSent:
-		j.finalAnswer.requestSent(request, event)
-		request.send(event)
+		c.finalAnswer.requestSent(request, event)
+		request.recordSent(event)
 	case FirstToken:
 		request.firstTokenAt = event.At
 	case FinalAnswer:
@@ -108,68 +106,70 @@
 	case ClientLeft:
 		request.clientLeft = true
 	case AttemptBegan:
-		j.attemptBegan(request, event)
+		c.attemptBegan(request, event)
 	case Executed:
-		j.execution.executed(request, event)
+		c.execution.executed(request, event)
 		request.executions = append(request.executions, event)
 	case AttemptEnded:
-		j.attemptEnded(request, event)
+		c.attemptEnded(request, event)
 	case KVRetained:
-		j.kvRetention.retained(request, event)
+		c.kvRetention.retained(request, event)
 	case KVReleased:
-		j.kvRetention.released(request, event)
+		c.kvRetention.released(request, event)
+	default:
+		// Events of engines and of the endpoint list have no request.
 	}
 }
 
-// attemptBegan takes in an attempt.
-func (j *judge) attemptBegan(request *requestHistory, event Event) {
-	j.execution.attemptBegan(request, event)
-	j.kvRetention.attemptBegan(request, event)
+// attemptBegan processes the start of an attempt. The rules see the history as it was before the attempt.
+func (c *checker) attemptBegan(request *requestHistory, event Event) {
+	c.execution.attemptBegan(request, event)
+	c.kvRetention.attemptBegan(request, event)
 	request.beginAttempt(event)
-	j.drain.attemptBegan(event)
-	j.slowStart.attemptBegan(event)
+	c.drain.attemptBegan(event)
+	c.slowStart.attemptBegan(event)
 }
 
-// attemptEnded takes in the end of a request's attempt at an engine, if there is one.
-func (j *judge) attemptEnded(request *requestHistory, event Event) {
+// attemptEnded processes the end of a request's attempt at an engine. Without such an attempt it does nothing.
+func (c *checker) attemptEnded(request *requestHistory, event Event) {
 	index := request.inFlightAt(event.Engine)
 	if index < 0 {
 		return
 	}
-	j.execution.attemptEnded(request, request.inFlight[index], event.At)
+	c.execution.attemptEnded(request, request.inFlight[index], event.At)
 	request.endAttempt(index, event.At)
 }
 
-// engineDied takes in that an engine's process ended: it executes and retains nothing more.
-func (j *judge) engineDied(event Event) {
-	for _, request := range j.inOrder {
-		j.attemptEnded(request, event)
-		j.kvRetention.engineDied(request, event)
+// engineDied processes the end of an engine's process, which ends its attempts and drops its KV states.
+func (c *checker) engineDied(event Event) {
+	for _, request := range c.inOrder {
+		c.attemptEnded(request, event)
+		c.kvRetention.engineDied(request, event)
 	}
 }
 
-// finish judges a request at the end of the recording.
-func (j *judge) finish(request *requestHistory, end time.Duration) {
-	j.kvRetention.finish(request, end)
-	j.execution.finish(request, end)
-	j.finalAnswer.finish(request, end)
+// finish applies the rules that need the whole history of a request.
+func (c *checker) finish(request *requestHistory, end time.Duration) {
+	c.kvRetention.finish(request, end)
+	c.execution.finish(request, end)
+	c.finalAnswer.finish(request, end)
 }
 
-// request returns a request's history, or a part's. A new part inherits what its whole
-// request declared.
-func (j *judge) request(id string) *requestHistory {
-	request := j.requests[id]
+// request returns the history of a request or shard, and creates it if needed. A new shard inherits the effect that its
+// parent declared.
+func (c *checker) request(id string) *requestHistory {
+	request := c.requests[id]
 	if request != nil {
 		return request
 	}
 	request = &requestHistory{id: id, retained: map[string]time.Duration{}}
-	wholeID, _, isPart := strings.Cut(id, PartSeparator)
-	if isPart {
-		request.whole = j.request(wholeID)
-		request.effect = request.whole.effect
-		request.dedupWindow = request.whole.dedupWindow
+	parentID, _, isShard := strings.Cut(id, ShardSeparator)
+	if isShard {
+		request.parent = c.request(parentID)
+		request.effect = request.parent.effect
+		request.dedupWindow = request.parent.dedupWindow
 	}
-	j.requests[id] = request
-	j.inOrder = append(j.inOrder, request)
+	c.requests[id] = request
+	c.inOrder = append(c.inOrder, request)
 	return request
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -10,7 +10,7 @@
 }
 
 func TestEmptyRecordingProvesNothing(t *testing.T) {
-	report := Judge(record(nil), testLimits, 9*time.Second)
+	report := Check(record(nil), testLimits, 9*time.Second)
 	if report.Kept() {
 		t.Error("an empty recording counts as kept")
 	}
@@ -26,22 +26,22 @@
 	for _, event := range served("q", Idempotent) {
 		recording.Add(event)
 	}
-	if Judge(recording, testLimits, time.Second).Kept() {
+	if Check(recording, testLimits, time.Second).Kept() {
 		t.Error("a recording that lost events counts as kept")
 	}
 }
 
-// A part is judged by the effect of its whole request, alone, and has no answer of its own.
-func TestPartIsJudgedByEffectOfItsWholeRequest(t *testing.T) {
-	twoParts := join(
+// A shard is checked alone and has no answer of its own.
+func TestShardIsCheckedByEffectOfItsRequest(t *testing.T) {
+	twoShards := join(
 		list(sent(0, "q", NotIdempotent)),
-		executed(5, "q"+PartSeparator+"1", "v"),
-		executed(6, "q"+PartSeparator+"2", "w"),
+		executed(5, "q"+ShardSeparator+"1", "v"),
+		executed(6, "q"+ShardSeparator+"2", "w"),
 	)
 	checkRule(t, executionIndex, []testCase{
-		{"each part executed once", join(twoParts, list(answer(40, "q", Served))), ""},
-		{"a part executed twice", join(twoParts, executed(100, "q"+PartSeparator+"1", "w"), list(answer(140, "q", Served))), "executed at w"},
-		{"rejected after a part was executed", join(twoParts, list(answer(40, "q", Rejected))), "a part was executed at v"},
+		{"each shard executed once", join(twoShards, list(answer(40, "q", Served))), ""},
+		{"a shard executed twice", join(twoShards, executed(100, "q"+ShardSeparator+"1", "w"), list(answer(140, "q", Served))), "executed at w"},
+		{"rejected after a shard was executed", join(twoShards, list(answer(40, "q", Rejected))), "a shard was executed at v"},
 	})
 }
 
@@ -50,9 +50,9 @@
 		"engine resumed": EngineResumed.String(),
 		"not idempotent": NotIdempotent.String(),
 		"malformed":      Malformed.String(),
-		"unknown(15)":    (EngineResumed + 1).String(),
-		"unknown(3)":     (NotIdempotent + 1).String(),
-		"unknown(4)":     resultCount.String(),
+		"Kind(15)":       (EngineResumed + 1).String(),
+		"Effect(3)":      (NotIdempotent + 1).String(),
+		"Result(4)":      (Malformed + 1).String(),
 	} {
 		if got != name {
 			t.Errorf("%q, want %q", got, name)
--- a/internal/invariant/kvretention.go
+++ b/internal/invariant/kvretention.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// kvRetentionRule: KV state that no attempt needs is released within the retention limit.
-// The time during which its engine hangs does not count: nobody can release state there.
+// kvRetentionRule checks that KV state that no attempt needs is released within the retention limit. Time during which
+// its engine hangs does not count, since nothing can be released there.
 type kvRetentionRule struct {
 	verdict *Verdict
-	limit   time.Duration // skew included
+	limit   time.Duration // including the skew
 	hangs   map[string][]span
 }
 
-// span is a stretch of time.
+// span is a period of time.
 type span struct {
-	from, to time.Duration // to: 0 while it lasts
+	from time.Duration
+	to   time.Duration // 0 while it lasts
 }
 
-// engineHung takes in that an engine reads nothing from its sockets from now on.
+// engineHung records that an engine stopped reading from its sockets.
 func (r *kvRetentionRule) engineHung(event Event) {
 	r.hangs[event.Engine] = append(r.hangs[event.Engine], span{from: event.At})
 }
 
-// engineResumed takes in that an engine reads from its sockets again.
+// engineResumed records that an engine reads from its sockets again.
 func (r *kvRetentionRule) engineResumed(event Event) {
 	hangs := r.hangs[event.Engine]
 	if len(hangs) > 0 {
@@ -28,62 +29,62 @@
 	}
 }
 
-// attemptBegan judges the states that were unattended until this attempt, before the
-// request's history takes it in.
+// attemptBegan checks the KV states that were unused until this attempt, before the attempt is added to the request's
+// history.
 func (r *kvRetentionRule) attemptBegan(request *requestHistory, event Event) {
 	if len(request.inFlight) > 0 {
 		return
 	}
 	for engine, since := range request.retained {
-		r.judge(request, engine, since, event.At)
+		r.checkRetention(request, engine, since, event.At)
 		request.retained[engine] = event.At
 	}
 }
 
-// retained takes in that an engine retains a request's KV state.
+// retained records that an engine retains a request's KV state.
 func (r *kvRetentionRule) retained(request *requestHistory, event Event) {
 	r.verdict.Checked++
 	request.retained[event.Engine] = event.At
 }
 
-// released judges a state that was fetched or released.
+// released checks a KV state that was fetched or released.
 func (r *kvRetentionRule) released(request *requestHistory, event Event) {
 	since, isRetained := request.retained[event.Engine]
 	if !isRetained {
 		return
 	}
-	r.judge(request, event.Engine, since, event.At)
+	r.checkRetention(request, event.Engine, since, event.At)
 	delete(request.retained, event.Engine)
 }
 
-// engineDied forgets a state that was lost with its engine.
+// engineDied drops the KV state of a request at an engine whose process ended.
 func (r *kvRetentionRule) engineDied(request *requestHistory, event Event) {
 	delete(request.retained, event.Engine)
 }
 
-// finish judges the states that a request has at the end of the recording.
+// finish checks the KV states that are retained at the end of the recording.
 func (r *kvRetentionRule) finish(request *requestHistory, end time.Duration) {
 	for engine, since := range request.retained {
-		r.judge(request, engine, since, end)
+		r.checkRetention(request, engine, since, end)
 	}
 }
 
-// judge judges a state that no attempt needed between two times. While an attempt is in
-// flight the state is in use: it was judged up to that attempt's begin.
-func (r *kvRetentionRule) judge(request *requestHistory, engine string, since, until time.Duration) {
+// checkRetention checks a KV state that no attempt needed between two times. While an attempt is in flight the state is in
+// use; it was checked when that attempt began.
+func (r *kvRetentionRule) checkRetention(request *requestHistory, engine string, since, until time.Duration) {
 	if len(request.inFlight) > 0 {
 		return
 	}
-	unattended := until - since
+	unused := until - since
 	for _, hang := range r.hangs[engine] {
-		unattended -= hang.overlap(since, until)
+		unused -= hang.overlap(since, until)
 	}
-	if unattended > r.limit {
-		r.verdict.addViolation(until, "%s: KV state at %s retained for %v", request.id, engine, unattended.Round(time.Millisecond))
+	if unused > r.limit {
+		r.verdict.addViolation(until, "%s: KV state at %s retained for %v", request.id, engine, unused.Round(time.Millisecond))
 	}
 }
 
-// overlap returns how much of a stretch of time the span covers.
+// overlap returns how much of the time between two points the span covers.
 func (s span) overlap(since, until time.Duration) time.Duration {
 	to := s.to
 	if to == 0 {
--- a/internal/invariant/recording.go
+++ b/internal/invariant/recording.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Recording collects events from many goroutines, up to a bound.
+// Recording collects events, up to a bound. It is safe for concurrent use.
 type Recording struct {
 	mu        sync.Mutex
 	events    []Event
@@ -14,11 +14,10 @@
 	lost      int
 }
 
-// NewRecording returns a recording of at most maxEvents events.
+// NewRecording returns an empty recording that keeps at most maxEvents events.
 func NewRecording(maxEvents int) *Recording { return &Recording{maxEvents: maxEvents} }
 
-// Add adds an event, or counts it as lost if the recording is full. A nil recording takes
-// events and keeps none.
+// Add adds an event, or counts it as lost if the recording is full. A nil recording ignores all events.
 func (r *Recording) Add(event Event) {
 	if r == nil {
 		return
@@ -32,11 +31,18 @@
 	r.events = append(r.events, event)
 }
 
-// Events returns a copy of the events in order of time, and how many were lost.
-func (r *Recording) Events() ([]Event, int) {
+// Events returns a copy of the events, sorted by time.
+func (r *Recording) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	events := slices.Clone(r.events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	return events, r.lost
+	return events
+}
+
+// Lost returns how many events did not fit.
+func (r *Recording) Lost() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lost
 }
--- a/internal/invariant/report.go
+++ b/internal/invariant/report.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The rules' places in RuleNames and Report.Verdicts.
+// The indices of the rules in RuleNames and Report.Verdicts.
 const (
 	finalAnswerIndex = iota
 	executionIndex
@@ -17,18 +17,24 @@
 	ruleCount
 )
 
-// RuleNames are the five rules, in the order of a report's verdicts.
-var RuleNames = [ruleCount]string{"one final answer in time", "no double execution", "drains respected", "slow starts respected", "KV state released"}
+// RuleNames are the names of the rules, in the order of a report's verdicts.
+var RuleNames = [ruleCount]string{
+	finalAnswerIndex: "one final answer in time",
+	executionIndex:   "no double execution",
+	drainIndex:       "drains respected",
+	slowStartIndex:   "slow starts respected",
+	kvRetentionIndex: "KV state released",
+}
 
-// Verdict is what was found about one rule.
+// Verdict is the result of checking one rule.
 type Verdict struct {
 	Rule       string
-	Checked    int      // how many occasions there were to break it
-	Violations int      // how often it was broken
-	Examples   []string // the first few violations
+	Checked    int      // number of observations that could have broken the rule
+	Violations int      // number of those that did
+	Examples   []string // descriptions of the first violations
 }
 
-// maxExamples bounds a verdict's examples: a report stays readable when a rule is broken all the time.
+// maxExamples bounds the examples of a verdict, so that a report stays readable if a rule is always broken.
 const maxExamples = 5
 
 // addViolation records a violation.
@@ -40,12 +46,12 @@
 	v.Examples = append(v.Examples, fmt.Sprintf("%.3fs ", at.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Report is the judgement of a recording.
+// Report is the result of checking a recording.
 type Report struct {
 	Verdicts    [ruleCount]Verdict
-	Results     [resultCount]int // how many requests got which answer
-	ClientsLeft int              // how many clients left before an answer
-	LostEvents  int              // events past the recording's bound: then nothing is proven
+	Results     [resultCount]int // number of requests by Result
+	ClientsLeft int              // number of clients that left before an answer
+	LostEvents  int              // events beyond the recording's bound; above 0 nothing is proven
 }
 
 // newReport returns a report without findings.
@@ -57,7 +63,7 @@
 	return report
 }
 
-// Kept tells whether all rules hold and something was there to be judged.
+// Kept reports whether all rules hold. It returns false if no request was checked or events were lost.
 func (r *Report) Kept() bool {
 	isBroken := func(v Verdict) bool { return v.Violations > 0 }
 	return r.LostEvents == 0 && r.Verdicts[finalAnswerIndex].Checked > 0 && !slices.ContainsFunc(r.Verdicts[:], isBroken)
@@ -77,7 +83,7 @@
 	return text.String()
 }
 
-// appendTo writes the verdict's lines of a report.
+// appendTo appends the lines of a verdict.
 func (v *Verdict) appendTo(text *strings.Builder) {
 	result := "kept"
 	if v.Violations > 0 {
--- a/internal/invariant/requesthistory.go
+++ b/internal/invariant/requesthistory.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// requestHistory is what was observed of one request, or of one part of it.
+// requestHistory is what was observed of one request or shard.
 type requestHistory struct {
-	id    string
-	whole *requestHistory // the request of which this is a part, or nil
+	id     string
+	parent *requestHistory // of a shard; nil for a request
 
-	// What its client saw.
+	// Observed by the client.
 	isSent       bool
 	sentAt       time.Duration
 	deadline     time.Duration
@@ -21,35 +21,35 @@
 	answers      []Event
 	clientLeft   bool
 
-	// What engines saw.
+	// Observed by engines.
 	inFlight    []attempt
-	lastEndedAt time.Duration // of an attempt
+	lastEndedAt time.Duration // end of the latest attempt
 	executions  []Event
-	retained    map[string]time.Duration // KV states: the engine, and since when no attempt was in flight
+	retained    map[string]time.Duration // by engine that retains KV state: since when the state is unused
 }
 
 // attempt is one attempt in flight.
 type attempt struct {
 	engine    string
 	beganAt   time.Duration
-	nextBegan time.Duration // when the first attempt after it began; 0 for none
+	nextBegan time.Duration // start of the next attempt; 0 for none
 }
 
-// wasSent tells whether a client sent the request, or the request of which this is a part.
+// wasSent reports whether a client sent the request, or the parent of the shard.
 func (r *requestHistory) wasSent() bool {
-	if r.whole != nil {
-		return r.whole.isSent
+	if r.parent != nil {
+		return r.parent.isSent
 	}
 	return r.isSent
 }
 
-// inFlightAt returns the index of the attempt in flight at an engine, or -1.
+// inFlightAt returns the index of the attempt in flight at an engine, -1 if there is none.
 func (r *requestHistory) inFlightAt(engine string) int {
 	return slices.IndexFunc(r.inFlight, func(a attempt) bool { return a.engine == engine })
 }
 
-// send takes in what the client declared.
-func (r *requestHistory) send(event Event) {
+// recordSent records what the client declared.
+func (r *requestHistory) recordSent(event Event) {
 	r.isSent = true
 	r.sentAt = event.At
 	r.deadline = event.Deadline
@@ -57,7 +57,7 @@
 	r.dedupWindow = event.DedupWindow
 }
 
-// beginAttempt takes in an attempt's begin.
+// beginAttempt adds an attempt.
 func (r *requestHistory) beginAttempt(event Event) {
 	for i := range r.inFlight {
 		r.inFlight[i].nextBegan = cmp.Or(r.inFlight[i].nextBegan, event.At)
@@ -65,8 +65,7 @@
 	r.inFlight = append(r.inFlight, attempt{engine: event.Engine, beganAt: event.At})
 }
 
-// endAttempt takes in the end of the attempt at an index. Retained KV state counts as
-// unattended from then on at the earliest.
+// endAttempt removes the attempt at an index. Retained KV state counts as unused from then on at the earliest.
 func (r *requestHistory) endAttempt(index int, at time.Duration) {
 	r.inFlight = slices.Delete(r.inFlight, index, index+1)
 	r.lastEndedAt = at
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// slackRequests are allowed above a budget: requests can't be split to fit it.
+	// slackRequests is allowed above a budget, since requests can't be split to fit it.
 	slackRequests = 2
 	// meanWorkAlpha is the weight of the latest request in an engine's mean work.
 	meanWorkAlpha = 0.05
-	// minColdSeconds keeps a slow start of no length from dividing by zero.
-	minColdSeconds = 1e-9
+	// minSlowStartSeconds avoids a division by zero if SlowStartDuration is 0.
+	minSlowStartSeconds = 1e-9
 )
 
-// slowStartRule: an engine in slow start is not overloaded. In each window of the limits' length
-// it gets no more work than so many times what it can do in it, and slackRequests.
+// slowStartRule checks that an engine in slow start is not overloaded. Within OverloadWindow it may get OverloadFactor times
+// the work that it can do in that time, plus slackRequests.
 type slowStartRule struct {
 	verdict *Verdict
 	limits  Limits
 	engines map[string]*engineLoad
 }
 
-// engineLoad is the work that an engine got.
+// engineLoad is the recent work of an engine.
 type engineLoad struct {
-	isCold    bool
-	startedAt time.Duration
-	recent    []Event // attempts of the last window, while in slow start
-	meanWork  float64 // of a request, in seconds
+	inSlowStart bool
+	startedAt   time.Duration
+	recent      []Event // attempts of the latest window, while in slow start
+	meanWork    float64 // seconds a request
 }
 
-// load returns an engine's load.
+// load returns the load of an engine, and creates it if needed.
 func (r *slowStartRule) load(engine string) *engineLoad {
 	load := r.engines[engine]
 	if load == nil {
@@ -37,23 +37,23 @@
 	return load
 }
 
-// engineStarted takes in the begin of a slow start.
+// engineStarted begins a slow start.
 func (r *slowStartRule) engineStarted(event Event) {
 	load := r.load(event.Engine)
-	load.isCold = true
+	load.inSlowStart = true
 	load.startedAt = event.At
 	load.recent = nil
 	r.verdict.Checked++
 }
 
-// attemptBegan takes in an attempt's work and checks it against the budget.
+// attemptBegan adds the work of an attempt and compares the sum with the budget.
 func (r *slowStartRule) attemptBegan(event Event) {
 	load := r.load(event.Engine)
 	if load.meanWork == 0 {
 		load.meanWork = event.Work
 	}
 	load.meanWork += meanWorkAlpha * (event.Work - load.meanWork)
-	if !load.isCold || event.At >= load.startedAt+r.limits.SlowStartDuration {
+	if !load.inSlowStart || event.At >= load.startedAt+r.limits.SlowStartDuration {
 		load.recent = nil
 		return
 	}
@@ -66,15 +66,14 @@
 	}
 }
 
-// capacity returns the work in seconds that an engine of an age in seconds may get within a
-// window.
+// capacity returns the seconds of work that an engine may get within a window. age is the time since its start in seconds.
 func (r *slowStartRule) capacity(age float64) float64 {
-	progress := min(age/max(r.limits.SlowStartDuration.Seconds(), minColdSeconds), 1)
+	progress := min(age/max(r.limits.SlowStartDuration.Seconds(), minSlowStartSeconds), 1)
 	share := r.limits.SlowStartInitialSpeed + (1-r.limits.SlowStartInitialSpeed)*progress
 	return r.limits.OverloadFactor * share * r.limits.OverloadWindow.Seconds()
 }
 
-// addRecent takes in an attempt and returns the work, in seconds, of the window that it ends.
+// addRecent adds an attempt and returns the seconds of work of the window that ends with it.
 func (l *engineLoad) addRecent(event Event, window time.Duration) float64 {
 	l.recent = append(l.recent, event)
 	for l.recent[0].At <= event.At-window {
--- a/internal/openaiserver/router_test.go
+++ b/internal/openaiserver/router_test.go
@@ -88,7 +88,7 @@
 		w.settle()
 		rules := demo.Rules
 		rules.Skew = 200 * ms // a loaded machine
-		if rep := invariant.Judge(w.rec, rules, w.Clock()); !rep.Kept() && rep.Verdicts[0].Checked > 0 {
+		if rep := invariant.Check(w.rec, rules, w.Clock()); !rep.Kept() && rep.Verdicts[0].Checked > 0 {
 			t.Errorf("a rule was broken:\n%s", rep)
 		}
 		if err := w.Close(); err != nil {
