--- a/internal/openai/check.go
+++ b/internal/openai/check.go
@@ -11,37 +11,60 @@
 	"github.com/tidwall/gjson"
 )
 
-// What can be wrong with an embedding of an engine's response.
+// Reasons of a ResponseError.
 var (
-	errNotBase64   = errors.New("an embedding is not base64 of 32-bit floats")
-	errNotFinite   = errors.New("an embedding has a number that is not finite")
-	errNotAVector  = errors.New("an embedding is neither a list nor base64")
-	errInvalidJSON = errors.New("the answer is not valid JSON")
+	ErrInvalidJSON    = errors.New("response is not valid JSON")
+	ErrNoResultList   = errors.New("list of results is missing")
+	ErrResultCount    = errors.New("wrong number of results")
+	ErrResultIndex    = errors.New("index is missing, repeated or out of range")
+	ErrNoScore        = errors.New("score is missing or not a finite number")
+	ErrNoEmbedding    = errors.New("embedding is neither a list nor a string")
+	ErrInvalidBase64  = errors.New("embedding is not base64 of 32-bit floats")
+	ErrNotFinite      = errors.New("embedding has an element that is not a finite number")
+	ErrEmptyEmbedding = errors.New("embedding has no elements")
+	ErrDimensionCount = errors.New("wrong number of dimensions")
 )
 
-// bytesPerFloat is the size of a number of an embedding in base64.
+// ResponseError reports an engine's response that must not be passed on to a client.
+type ResponseError struct {
+	Field string // JSON path, such as "data[3].embedding"; "" for the response as a whole
+	Err   error  // wraps one of the reasons above
+}
+
+// Error implements error.
+func (e *ResponseError) Error() string {
+	if e.Field == "" {
+		return e.Err.Error()
+	}
+	return e.Field + ": " + e.Err.Error()
+}
+
+// Unwrap returns the reason.
+func (e *ResponseError) Unwrap() error { return e.Err }
+
+// bytesPerFloat is the size of one element of an embedding in base64, in bytes.
 const bytesPerFloat = 4
 
-// HasCheckedResponse tells whether CheckResponse looks at a call's responses.
-func (c *Request) HasCheckedResponse() bool { return c.API == Embeddings || c.API == Rerank }
+// HasCheckedResponse reports whether CheckResponse examines responses to the request.
+func (r *Request) HasCheckedResponse() bool { return r.API == Embeddings || r.API == Rerank }
 
-// CheckResponse returns what is wrong with an engine's response, as a *ResponseError: an
-// embedding too few, of another length than the others or than was asked for, not a finite
-// number, or a result that names no document. A client must not get such a one as if it were
-// good.
-func (c *Request) CheckResponse(body []byte) error {
-	if !c.HasCheckedResponse() {
+// CheckResponse checks an engine's response to an embeddings or rerank request. It returns a
+// *ResponseError if a result is missing, is not a finite number, belongs to no item, or if an
+// embedding differs in length from the others or from the requested one. Responses of other
+// operations are not examined.
+func (r *Request) CheckResponse(body []byte) error {
+	if !r.HasCheckedResponse() {
 		return nil
 	}
 	if !IsValidJSON(body) {
-		return &ResponseError{Err: errInvalidJSON}
+		return &ResponseError{Err: ErrInvalidJSON}
 	}
-	name := c.API.resultMember()
+	name := r.API.resultMember()
 	list := gjson.GetBytes(body, name)
 	if !list.IsArray() {
-		return responseErrorf(name, "the answer has no list %q", name)
+		return &ResponseError{Field: name, Err: ErrNoResultList}
 	}
-	checker := resultChecker{api: c.API, seen: make([]bool, c.ItemCount), dimensions: c.Dimensions}
+	checker := resultChecker{api: r.API, seen: make([]bool, r.ItemCount), dimensions: r.Dimensions}
 	var err error
 	list.ForEach(func(_, result gjson.Result) bool {
 		err = checker.check(result)
@@ -50,84 +73,85 @@
 	if err != nil {
 		return err
 	}
-	wanted := c.wantedResults()
-	if checker.checked != wanted {
-		return responseErrorf(name, "the answer has %d %s, %d wanted", checker.checked, name, wanted)
+	want := r.wantedResults()
+	if checker.checked != want {
+		return &ResponseError{Field: name, Err: fmt.Errorf("%w: %d, want %d", ErrResultCount, checker.checked, want)}
 	}
 	return nil
 }
 
 // wantedResults returns how many results a response must have.
-func (c *Request) wantedResults() int {
-	if c.API == Rerank && c.TopN > 0 {
-		return min(c.TopN, c.ItemCount)
+func (r *Request) wantedResults() int {
+	if r.API == Rerank && r.TopN > 0 {
+		return min(r.TopN, r.ItemCount)
 	}
-	return c.ItemCount
+	return r.ItemCount
 }
 
-// resultChecker checks the results of one response, one after another.
+// resultChecker checks the results of one response in order.
 type resultChecker struct {
 	api        API
 	seen       []bool // by index of the request's item
-	dimensions int    // of the embeddings before; 0 where any number is good
+	dimensions int    // requested, or else of the embeddings checked so far; 0 while unknown
 	checked    int    // results
 }
 
-// check returns what is wrong with the next result; nil where it is good.
-func (k *resultChecker) check(result gjson.Result) error {
-	err := k.checkIndex(result.Get("index"))
+// check checks the next result. It returns a *ResponseError, or nil.
+func (c *resultChecker) check(result gjson.Result) error {
+	err := c.checkIndex(result.Get("index"))
 	if err != nil {
 		return err
 	}
-	if k.api == Rerank {
-		err = k.checkScore(result.Get("relevance_score"))
+	if c.api == Rerank {
+		err = c.checkScore(result.Get("relevance_score"))
 	} else {
-		err = k.checkEmbedding(result.Get("embedding"))
+		err = c.checkEmbedding(result.Get("embedding"))
 	}
-	k.checked++
+	c.checked++
 	return err
 }
 
-// field returns the path of a member of the result at hand.
-func (k *resultChecker) field(member string) string {
-	return fmt.Sprintf("%s[%d].%s", k.api.resultMember(), k.checked, member)
+// memberError returns the error of a member of the current result.
+func (c *resultChecker) memberError(member string, reason error) error {
+	field := fmt.Sprintf("%s[%d].%s", c.api.resultMember(), c.checked, member)
+	return &ResponseError{Field: field, Err: reason}
 }
 
-// checkIndex checks that a result names an item that none before it named.
-func (k *resultChecker) checkIndex(value gjson.Result) error {
+// checkIndex checks that the result belongs to an item that no earlier result belongs to.
+func (c *resultChecker) checkIndex(value gjson.Result) error {
 	index, err := strconv.Atoi(value.Raw)
-	if err != nil || index < 0 || index >= len(k.seen) || k.seen[index] {
-		const format = "%s[%d] has no index of its own from 0 to %d"
-		return responseErrorf(k.field("index"), format, k.api.resultMember(), k.checked, len(k.seen)-1)
+	if err != nil || index < 0 || index >= len(c.seen) || c.seen[index] {
+		return c.memberError("index", fmt.Errorf("%w, want one of 0 to %d", ErrResultIndex, len(c.seen)-1))
 	}
-	k.seen[index] = true
+	c.seen[index] = true
 	return nil
 }
 
-// checkScore checks the score of a rerank's result.
-func (k *resultChecker) checkScore(score gjson.Result) error {
+// checkScore checks the score of a rerank result.
+func (c *resultChecker) checkScore(score gjson.Result) error {
 	if !isFiniteNumber(score) {
-		return responseErrorf(k.field("relevance_score"), "results[%d] has no relevance_score", k.checked)
+		return c.memberError("relevance_score", ErrNoScore)
 	}
 	return nil
 }
 
-// checkEmbedding checks that an embedding has as many dimensions as are wanted of it.
-func (k *resultChecker) checkEmbedding(embedding gjson.Result) error {
+// checkEmbedding checks the elements of an embedding and their number.
+func (c *resultChecker) checkEmbedding(embedding gjson.Result) error {
 	dimensions, err := countDimensions(embedding)
 	if err != nil {
-		return &ResponseError{Field: k.field("embedding"), Err: err}
+		return c.memberError("embedding", err)
+	}
+	if dimensions == 0 {
+		return c.memberError("embedding", ErrEmptyEmbedding)
 	}
-	isOther := k.dimensions > 0 && dimensions != k.dimensions
-	if dimensions == 0 || isOther {
-		const format = "data[%d] has %d dimensions, %d wanted"
-		return responseErrorf(k.field("embedding"), format, k.checked, dimensions, k.dimensions)
+	if c.dimensions > 0 && dimensions != c.dimensions {
+		return c.memberError("embedding", fmt.Errorf("%w: %d, want %d", ErrDimensionCount, dimensions, c.dimensions))
 	}
-	k.dimensions = dimensions
+	c.dimensions = dimensions
 	return nil
 }
 
-// countDimensions returns the length of an embedding in either encoding.
+// countDimensions returns the number of elements of an embedding in either encoding.
 func countDimensions(embedding gjson.Result) (int, error) {
 	switch {
 	case embedding.Type == gjson.String:
@@ -135,32 +159,32 @@
 	case embedding.IsArray():
 		return countNumbers(embedding)
 	}
-	return 0, errNotAVector
+	return 0, ErrNoEmbedding
 }
 
-// countBase64Floats returns the length of a base64 list of 32-bit floats, all of them finite.
+// countBase64Floats returns the number of 32-bit floats in base64. All must be finite.
 func countBase64Floats(text string) (int, error) {
 	raw, err := base64.StdEncoding.DecodeString(text)
 	if err != nil || len(raw)%bytesPerFloat != 0 {
-		return 0, errNotBase64
+		return 0, ErrInvalidBase64
 	}
 	for offset := 0; offset < len(raw); offset += bytesPerFloat {
 		number := math.Float32frombits(binary.LittleEndian.Uint32(raw[offset:]))
 		isFinite := number-number == 0 // false for NaN and infinities
 		if !isFinite {
-			return 0, errNotFinite
+			return 0, ErrNotFinite
 		}
 	}
 	return len(raw) / bytesPerFloat, nil
 }
 
-// countNumbers returns the length of a list of numbers, all of them finite.
+// countNumbers returns the number of elements of a list. All must be finite numbers.
 func countNumbers(list gjson.Result) (int, error) {
 	count := 0
 	var err error
 	list.ForEach(func(_, element gjson.Result) bool {
 		if !isFiniteNumber(element) {
-			err = errNotFinite
+			err = ErrNotFinite
 			return false
 		}
 		count++
@@ -169,7 +193,7 @@
 	return count, err
 }
 
-// isFiniteNumber tells whether a value is a number that is not too large for a float64.
+// isFiniteNumber reports whether value is a number within the range of a float64.
 func isFiniteNumber(value gjson.Result) bool {
 	return value.Type == gjson.Number && !math.IsInf(value.Num, 0)
 }
--- a/internal/openai/embeddings.go
+++ b/internal/openai/embeddings.go
@@ -6,107 +6,94 @@
 	"github.com/tidwall/gjson"
 )
 
-// The forms in which an embeddings response may hold its vectors.
+// Values of encoding_format: the encodings of the embeddings in a response.
 const (
 	encodingFloat  = "float"
 	encodingBase64 = "base64"
 )
 
-// decodeEmbeddings decodes the members of an embeddings request.
-func (c *Request) decodeEmbeddings(f *requestFields, rules *DecodeOptions) *Error {
-	encoding, err := decodeString("encoding_format", f.encoding)
-	isKnown := !isSet(f.encoding) || encoding == encodingFloat || encoding == encodingBase64
+// decodeEmbeddings decodes the members that only embeddings requests have.
+func (r *Request) decodeEmbeddings(fields *requestFields, options *DecodeOptions) *Error {
+	encoding, err := decodeString("encoding_format", fields.encoding)
+	isKnown := !isSet(fields.encoding) || encoding == encodingFloat || encoding == encodingBase64
 	if err != nil || !isKnown {
 		return InvalidRequest("encoding_format", "encoding_format must be float or base64")
 	}
-	c.Dimensions, err = decodeCount("dimensions", f.dimensions)
+	r.Dimensions, err = decodeCount("dimensions", fields.dimensions)
 	if err != nil {
 		return err
 	}
-	return c.decodeInputs("input", f.input, rules)
+	return r.decodeInputs("input", fields.input, options)
 }
 
-// inputKind is the form of one element of a list of inputs.
+// inputKind is the type of one element of a list of inputs.
 type inputKind uint8
 
-// The forms of an element of a list of inputs.
 const (
-	inputInvalid inputKind = iota
-	inputText
-	inputToken     // the list as a whole is one input
-	inputTokenList // tokens of one input
+	inputInvalid inputKind = iota // invalid
+	inputText                     // text
+	// inputToken means that the list as a whole is one input.
+	inputToken // token
+	// inputTokenList is a list of the tokens of one input.
+	inputTokenList // token list
 )
 
-// String names the form for tests and logs.
-func (k inputKind) String() string {
-	switch k {
-	case inputInvalid:
-		return "invalid"
-	case inputText:
-		return "text"
-	case inputToken:
-		return "token"
-	case inputTokenList:
-		return "token list"
-	}
-	return "inputKind(" + strconv.Itoa(int(k)) + ")"
-}
-
-// invalidInputs is the error of a member that is none of the forms of inputs.
+// invalidInputs returns the error of a member that is not a valid list of inputs.
 func invalidInputs(name string) *Error {
 	return InvalidRequest(name, "%s must be a string, a list of strings, a list of tokens or a list of lists of tokens; none empty", name)
 }
 
-// decodeInputs decodes a string, a list of strings, a list of tokens or a list of such lists.
-func (c *Request) decodeInputs(name string, value gjson.Result, rules *DecodeOptions) *Error {
+// decodeInputs decodes inputs in any of the published forms: a string, a list of strings, a list
+// of tokens, or a list of lists of tokens.
+func (r *Request) decodeInputs(name string, value gjson.Result, options *DecodeOptions) *Error {
 	switch {
 	case value.Type == gjson.String && value.Str != "":
-		c.ItemCount = 1
-		c.PromptTokens = rules.tokens(len(value.Str))
-		c.LongestItemTokens = c.PromptTokens
+		r.ItemCount = 1
+		r.PromptTokens = options.tokens(len(value.Str))
+		r.LongestItemTokens = r.PromptTokens
 		return nil
 	case value.IsArray():
-		return c.decodeInputList(name, value, rules)
+		return r.decodeInputList(name, value, options)
 	}
 	return invalidInputs(name)
 }
 
-// decodeInputList decodes a list of inputs of one form.
-func (c *Request) decodeInputList(name string, list gjson.Result, rules *DecodeOptions) (err *Error) {
+// decodeInputList decodes a list of inputs, all of one kind.
+func (r *Request) decodeInputList(name string, list gjson.Result, options *DecodeOptions) (err *Error) {
 	count := 0
 	listKind := inputInvalid
 	list.ForEach(func(_, input gjson.Result) bool {
-		kind, tokens := measureInput(input, rules)
-		before := c.PromptTokens
-		c.PromptTokens += tokens
-		c.LongestItemTokens = max(c.LongestItemTokens, c.PromptTokens-before)
+		kind, tokens := measureInput(input, options)
+		before := r.PromptTokens
+		r.PromptTokens += tokens
+		r.LongestItemTokens = max(r.LongestItemTokens, r.PromptTokens-before)
 		count++
 		if count == 1 {
 			listKind = kind
 		}
 		if kind == inputInvalid || kind != listKind {
 			err = invalidInputs(name)
-		} else if count > rules.MaxInputs && listKind != inputToken {
-			err = InvalidRequest(name, "%s has more than %d items", name, rules.MaxInputs)
+		} else if count > options.MaxInputs && listKind != inputToken {
+			err = InvalidRequest(name, "%s has more than %d items", name, options.MaxInputs)
 		}
 		return err == nil
 	})
 	if count == 0 {
 		return invalidInputs(name)
 	}
-	c.ItemCount = count
+	r.ItemCount = count
 	if listKind == inputToken {
-		c.ItemCount = 1
-		c.LongestItemTokens = c.PromptTokens
+		r.ItemCount = 1
+		r.LongestItemTokens = r.PromptTokens
 	}
 	return err
 }
 
-// measureInput returns the form of one element of a list of inputs and its tokens.
-func measureInput(input gjson.Result, rules *DecodeOptions) (kind inputKind, tokens float64) {
+// measureInput returns the kind of one element of a list of inputs and its tokens.
+func measureInput(input gjson.Result, options *DecodeOptions) (kind inputKind, tokens float64) {
 	switch {
 	case input.Type == gjson.String && input.Str != "":
-		return inputText, rules.tokens(len(input.Str))
+		return inputText, options.tokens(len(input.Str))
 	case isToken(input):
 		return inputToken, 1
 	case input.IsArray():
@@ -118,7 +105,7 @@
 	return inputInvalid, 0
 }
 
-// countTokens returns the length of a list of tokens; 0 where an element is none.
+// countTokens returns the length of a list of tokens. It returns 0 if an element is not a token.
 func countTokens(list gjson.Result) int {
 	count := 0
 	list.ForEach(func(_, element gjson.Result) bool {
@@ -132,7 +119,7 @@
 	return count
 }
 
-// isToken tells whether a value is the number of a token.
+// isToken reports whether value is a token, written as a number.
 func isToken(value gjson.Result) bool {
 	if value.Type != gjson.Number {
 		return false
--- /dev/null
+++ b/internal/openai/embeddingsresponse.go
@@ -0,0 +1,109 @@
+package openai
+
+import (
+	"bytes"
+	"strconv"
+
+	"github.com/tidwall/gjson"
+)
+
+// Embedding is the embedding of one input, as raw JSON.
+type Embedding []byte
+
+// EmbeddingResult is what a response says of one input.
+type EmbeddingResult struct {
+	Embedding    Embedding // refers to the response's body
+	PromptTokens int64     // the input's share of the response's usage
+}
+
+// SplitResponse returns the results of an embeddings response, which CheckResponse has accepted, in
+// the order of the request's inputs. The usage is shared out in proportion to tokens, the estimates
+// of the inputs; the shares are whole numbers whose sum is the response's usage.
+func (r *Request) SplitResponse(body []byte, tokens []float64) []EmbeddingResult {
+	results := make([]EmbeddingResult, r.ItemCount)
+	gjson.GetBytes(body, r.API.resultMember()).ForEach(func(_, result gjson.Result) bool {
+		i := int(result.Get("index").Int())
+		if i >= 0 && i < len(results) {
+			results[i].Embedding = Embedding(result.Get("embedding").Raw)
+		}
+		return true
+	})
+	promptTokens := gjson.GetBytes(body, "usage.prompt_tokens").Int()
+	for i, share := range splitByWeight(promptTokens, tokens) {
+		results[i].PromptTokens = share
+	}
+	return results
+}
+
+// splitByWeight splits total in proportion to weights. It rounds the running sums, so the shares
+// add up to total and each is off by less than one.
+func splitByWeight(total int64, weights []float64) []int64 {
+	sum := 0.0
+	for _, weight := range weights {
+		sum += weight
+	}
+	shares := make([]int64, len(weights))
+	assigned := int64(0)
+	runningSum := 0.0
+	for i, weight := range weights {
+		runningSum += weight
+		upTo := total
+		isLast := i == len(weights)-1
+		if !isLast && sum > 0 {
+			rounded := int64(float64(total)*runningSum/sum + 0.5)
+			upTo = min(rounded, total)
+		}
+		shares[i] = upTo - assigned
+		assigned = upTo
+	}
+	return shares
+}
+
+// Estimated sizes of what AssembleResponse writes, in bytes. They are generous, so that it mostly
+// allocates once.
+const (
+	responseBytes  = 200 // without the results
+	embeddingBytes = 60  // around each embedding
+)
+
+// AssembleResponse returns an embeddings response with the given embeddings and usage. Its other
+// members are copied from template, a response to a request with the same batch key.
+func AssembleResponse(template []byte, embeddings []Embedding, promptTokens int64) []byte {
+	size := responseBytes
+	for _, embedding := range embeddings {
+		size += len(embedding) + embeddingBytes
+	}
+	out := make([]byte, 0, size)
+	return appendObject(out, gjson.ParseBytes(template), func(out []byte, key string, value gjson.Result) []byte {
+		switch key {
+		case "data":
+			return appendArray(out, len(embeddings), func(out []byte, i int) []byte { return embeddings[i].appendTo(out, i) })
+		case "usage":
+			return appendEmbeddingsUsage(out, promptTokens)
+		}
+		return append(out, value.Raw...)
+	})
+}
+
+// appendTo appends the result of the input at index.
+func (e Embedding) appendTo(out []byte, index int) []byte {
+	out = append(out, `{"object":"embedding","index":`...)
+	out = strconv.AppendInt(out, int64(index), 10)
+	out = append(out, `,"embedding":`...)
+	out = append(out, e...)
+	return append(out, '}')
+}
+
+// appendEmbeddingsUsage appends the usage of an embeddings response. All its tokens are prompt
+// tokens.
+func appendEmbeddingsUsage(out []byte, promptTokens int64) []byte {
+	out = append(out, `{"prompt_tokens":`...)
+	out = strconv.AppendInt(out, promptTokens, 10)
+	out = append(out, `,"total_tokens":`...)
+	out = strconv.AppendInt(out, promptTokens, 10)
+	return append(out, '}')
+}
+
+// ResponseTemplate returns a copy of an embeddings response without its embeddings, to be used as
+// the template of AssembleResponse.
+func ResponseTemplate(body []byte) []byte { return bytes.Clone(AssembleResponse(body, nil, 0)) }
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -7,26 +7,26 @@
 	"github.com/tidwall/gjson"
 )
 
-// Values of an error's type and code that OpenAI publishes.
+// Error types and codes of OpenAI's API.
 const (
 	typeInvalidRequest        = "invalid_request_error"
 	codeContextLengthExceeded = "context_length_exceeded"
 )
 
-// Error is an error response in OpenAI's form.
+// Error is an error answer in the form of OpenAI's API.
 type Error struct {
-	Status  int    // of HTTP
+	Status  int    // HTTP status
 	Message string // for the client's developers
 	Type    string
-	Param   string // the member of the request that is at fault; "" where none is
+	Param   string // name of the invalid request member; "" for none
 	Code    string // "" for none
 }
 
 // Error implements error.
 func (e *Error) Error() string { return e.Message }
 
-// InvalidRequest returns the error of a request that can't be served as it is. The param is the
-// member at fault, or "".
+// InvalidRequest returns an Error with status 400. param is the name of the invalid member, or
+// "" if the request as a whole is invalid.
 func InvalidRequest(param, format string, args ...any) *Error {
 	return &Error{
 		Status:  http.StatusBadRequest,
@@ -36,20 +36,20 @@
 	}
 }
 
-// ContextLengthError returns the error of a request that no engine of a model can take: limit and prompt
-// are the most tokens of the model and the estimated ones of the request.
-func (c *Request) ContextLengthError(limit, prompt float64) *Error {
-	param := c.API.contentMember()
+// ContextLengthError returns the error of a request that is too long for the model. limit is the
+// model's context length and prompt the estimated length of the request, both in tokens.
+func (r *Request) ContextLengthError(limit, prompt float64) *Error {
+	param := r.API.contentMember()
 	message := fmt.Sprintf("This model's maximum context length is %.0f tokens. However, your %s have about %.0f tokens", limit, param, prompt)
-	if c.RequestedMaxTokens > 0 {
-		message += fmt.Sprintf(" and %d are asked for the answer", c.RequestedMaxTokens)
+	if r.RequestedMaxTokens > 0 {
+		message += fmt.Sprintf(" and %d are asked for the answer", r.RequestedMaxTokens)
 	}
 	err := InvalidRequest(param, "%s. Please reduce their length.", message)
 	err.Code = codeContextLengthExceeded
 	return err
 }
 
-// AppendJSON appends the error's JSON.
+// AppendJSON appends the error as the JSON body of an answer.
 func (e *Error) AppendJSON(out []byte) []byte {
 	out = append(out, `{"error":{"message":`...)
 	out = gjson.AppendJSONString(out, e.Message)
@@ -62,27 +62,10 @@
 	return append(out, "}}"...)
 }
 
-// appendStringOrNull appends a JSON string, or null for the empty one.
+// appendStringOrNull appends text as a JSON string, or null if it is empty.
 func appendStringOrNull(out []byte, text string) []byte {
 	if text == "" {
 		return append(out, "null"...)
 	}
 	return gjson.AppendJSONString(out, text)
 }
-
-// ResponseError reports an engine's response that must not reach a client as if it were good.
-type ResponseError struct {
-	Field string // JSON path, such as "data[3].embedding"; "" for the response as a whole
-	Err   error
-}
-
-// Error implements error. The reason names the field itself.
-func (e *ResponseError) Error() string { return e.Err.Error() }
-
-// Unwrap returns the reason.
-func (e *ResponseError) Unwrap() error { return e.Err }
-
-// responseErrorf returns a ResponseError whose reason is formatted.
-func responseErrorf(field, format string, args ...any) *ResponseError {
-	return &ResponseError{Field: field, Err: fmt.Errorf(format, args...)}
-}
--- a/internal/openai/generation.go
+++ b/internal/openai/generation.go
@@ -7,61 +7,61 @@
 	"github.com/tidwall/gjson"
 )
 
-// decodeChat decodes the members of a chat completion.
-func (c *Request) decodeChat(f *requestFields, rules *DecodeOptions) *Error {
-	err := c.decodeAnswerOptions(f, rules)
+// decodeChat decodes the members that only chat completions have.
+func (r *Request) decodeChat(fields *requestFields, options *DecodeOptions) *Error {
+	err := r.decodeAnswerOptions(fields, options)
 	if err != nil {
 		return err
 	}
-	return c.decodeMessages(f.messages, rules)
+	return r.decodeMessages(fields.messages, options)
 }
 
-// decodeCompletion decodes the members of a completion.
-func (c *Request) decodeCompletion(f *requestFields, rules *DecodeOptions) *Error {
-	err := c.decodeAnswerOptions(f, rules)
+// decodeCompletion decodes the members that only completions have.
+func (r *Request) decodeCompletion(fields *requestFields, options *DecodeOptions) *Error {
+	err := r.decodeAnswerOptions(fields, options)
 	if err != nil {
 		return err
 	}
-	isLong := f.prompt.Type == gjson.String && len(f.prompt.Str) > rules.PrefixBytes
-	if isLong && rules.PrefixBytes > 0 {
-		c.PrefixHash = xxhash.Sum64String(f.prompt.Str[:rules.PrefixBytes])
-		c.PrefixTokens = rules.tokens(rules.PrefixBytes)
+	isLong := fields.prompt.Type == gjson.String && len(fields.prompt.Str) > options.PrefixBytes
+	if isLong && options.PrefixBytes > 0 {
+		r.PrefixHash = xxhash.Sum64String(fields.prompt.Str[:options.PrefixBytes])
+		r.PrefixTokens = options.tokens(options.PrefixBytes)
 	}
-	return c.decodeInputs("prompt", f.prompt, rules)
+	return r.decodeInputs("prompt", fields.prompt, options)
 }
 
-// decodeAnswerOptions decodes how a generated answer is sent and how long it may be.
-func (c *Request) decodeAnswerOptions(f *requestFields, rules *DecodeOptions) (err *Error) {
-	c.Stream, err = decodeBool("stream", f.stream)
+// decodeAnswerOptions decodes whether the answer is streamed and how long it may be.
+func (r *Request) decodeAnswerOptions(fields *requestFields, options *DecodeOptions) (err *Error) {
+	r.Stream, err = decodeBool("stream", fields.stream)
 	if err != nil {
 		return err
 	}
-	if isSet(f.streamOptions) && !c.Stream {
+	if isSet(fields.streamOptions) && !r.Stream {
 		return InvalidRequest("stream_options", "stream_options is only allowed where stream is true")
 	}
-	maxTokens, err := decodeCount("max_tokens", f.maxTokens)
+	maxTokens, err := decodeCount("max_tokens", fields.maxTokens)
 	if err != nil {
 		return err
 	}
-	maxCompletion, err := decodeCount("max_completion_tokens", f.maxCompletion)
+	maxCompletion, err := decodeCount("max_completion_tokens", fields.maxCompletion)
 	if err != nil {
 		return err
 	}
-	choices, err := decodeCount("n", f.choices)
+	choices, err := decodeCount("n", fields.choices)
 	if err != nil {
 		return err
 	}
-	c.RequestedMaxTokens = max(maxTokens, maxCompletion)
-	c.MaxTokens = c.RequestedMaxTokens
-	if c.MaxTokens == 0 {
-		c.MaxTokens = rules.DefaultMaxTokens
+	r.RequestedMaxTokens = max(maxTokens, maxCompletion)
+	r.MaxTokens = r.RequestedMaxTokens
+	if r.MaxTokens == 0 {
+		r.MaxTokens = options.DefaultMaxTokens
 	}
-	c.MaxTokens *= max(choices, 1)
+	r.MaxTokens *= max(choices, 1)
 	return nil
 }
 
-// decodeMessages decodes a chat's messages.
-func (c *Request) decodeMessages(messages gjson.Result, rules *DecodeOptions) (err *Error) {
+// decodeMessages decodes the messages of a chat completion and estimates its shared prefix.
+func (r *Request) decodeMessages(messages gjson.Result, options *DecodeOptions) (err *Error) {
 	if !messages.IsArray() {
 		return InvalidRequest("messages", "messages must be a list")
 	}
@@ -72,11 +72,11 @@
 			err = InvalidRequest(fmt.Sprintf("messages.[%d].role", count), "messages[%d] must be an object with a role", count)
 			return false
 		}
-		c.PromptTokens += rules.tokens(len(message.Raw))
+		r.PromptTokens += options.tokens(len(message.Raw))
 		count++
-		if count <= rules.PrefixMessages {
-			_, _ = prefix.WriteString(message.Raw) // it never fails
-			c.PrefixTokens = c.PromptTokens
+		if count <= options.PrefixMessages {
+			_, _ = prefix.WriteString(message.Raw) // never fails
+			r.PrefixTokens = r.PromptTokens
 		}
 		return true
 	})
@@ -86,13 +86,13 @@
 	if count == 0 {
 		return InvalidRequest("messages", "messages must not be empty")
 	}
-	c.LongestItemTokens = c.PromptTokens
-	// Where all messages are within the prefix, no other conversation is expected to share it.
-	isShared := rules.PrefixMessages > 0 && count > rules.PrefixMessages
+	r.LongestItemTokens = r.PromptTokens
+	// If the prefix is the whole conversation, no other session is expected to share it.
+	isShared := options.PrefixMessages > 0 && count > options.PrefixMessages
 	if !isShared {
-		c.PrefixTokens = 0
+		r.PrefixTokens = 0
 		return nil
 	}
-	c.PrefixHash = prefix.Sum64()
+	r.PrefixHash = prefix.Sum64()
 	return nil
 }
--- /dev/null
+++ b/internal/openai/items.go
@@ -0,0 +1,116 @@
+package openai
+
+import (
+	"io"
+	"slices"
+	"strconv"
+
+	"github.com/tidwall/gjson"
+)
+
+// userMember is the member that names the end user. It does not influence the response.
+const userMember = "user"
+
+// itemsIndex returns the position of the member that holds the request's items.
+func (r *Request) itemsIndex() int { return r.indexOf(r.API.contentMember()) }
+
+// Items returns the inputs of an embeddings request or the documents of a rerank request as raw
+// JSON, and the estimated tokens of each. A document's tokens include those of the query. Other
+// requests have no items.
+func (r *Request) Items(options DecodeOptions) (raw [][]byte, tokens []float64) {
+	if !r.HasCheckedResponse() {
+		return nil, nil
+	}
+	list := r.members[r.itemsIndex()].value
+	if r.API == Embeddings && r.ItemCount == 1 {
+		return [][]byte{singleInput(list)}, []float64{r.PromptTokens}
+	}
+	queryTokens := r.queryTokens(&options)
+	gjson.ParseBytes(list).ForEach(func(_, item gjson.Result) bool {
+		raw = append(raw, list[item.Index:item.Index+len(item.Raw)])
+		tokens = append(tokens, itemTokens(item, &options)+queryTokens)
+		return true
+	})
+	return raw, tokens
+}
+
+// singleInput returns the only input of a member as raw JSON. That is the only element of a list,
+// unless it is a token: a list of tokens is one input.
+func singleInput(value []byte) []byte {
+	list := gjson.ParseBytes(value)
+	if !list.IsArray() {
+		return value
+	}
+	first := list.Get("0")
+	if first.Type == gjson.Number {
+		return value
+	}
+	return value[first.Index : first.Index+len(first.Raw)]
+}
+
+// queryTokens returns the estimated tokens of a rerank query. It returns 0 for other requests.
+func (r *Request) queryTokens(options *DecodeOptions) float64 {
+	i := r.indexOf("query")
+	if i < 0 {
+		return 0
+	}
+	return options.tokens(len(r.members[i].value))
+}
+
+// itemTokens returns the estimated tokens of one item, or the length of a list of tokens.
+func itemTokens(item gjson.Result, options *DecodeOptions) float64 {
+	if !item.IsArray() {
+		return options.tokens(len(item.Raw))
+	}
+	count := 0.0
+	item.ForEach(func(_, _ gjson.Result) bool {
+		count++
+		return true
+	})
+	return count
+}
+
+// Shard returns a copy of the request with the given items in place of its own. tokens is their
+// sum. The members of r are not modified.
+func (r *Request) Shard(items [][]byte, tokens float64) *Request {
+	shard := *r
+	shard.members = slices.Clone(r.members)
+	shard.ItemCount = len(items)
+	shard.PromptTokens = tokens
+	m := &shard.members[r.itemsIndex()]
+	m.value = appendArray(nil, len(items), func(out []byte, i int) []byte { return append(out, items[i]...) })
+	m.raw = append([]byte(strconv.Quote(m.name)+":"), m.value...)
+	return &shard
+}
+
+// Batch returns a request for the items of several requests with the same batch key. r is one of
+// them. The result names no user.
+func (r *Request) Batch(items [][]byte, tokens float64) *Request {
+	batch := r.Shard(items, tokens)
+	batch.members = slices.DeleteFunc(batch.members, func(m member) bool { return m.name == userMember })
+	batch.User = ""
+	batch.CacheKey = ""
+	return batch
+}
+
+// WriteBatchKey writes the members that decide the response to an embeddings request, except its
+// inputs. The inputs of requests with the same key may be computed in one batch.
+func (r *Request) WriteBatchKey(hash io.Writer) {
+	r.writeMembers(hash, userMember, r.API.contentMember())
+}
+
+// WriteCacheKey writes the members that decide the response, which are all except user.
+func (r *Request) WriteCacheKey(hash io.Writer) {
+	r.writeMembers(hash, userMember)
+}
+
+// writeMembers writes all members except some to hash.
+func (r *Request) writeMembers(hash io.Writer, without ...string) {
+	for _, m := range r.members {
+		if slices.Contains(without, m.name) {
+			continue
+		}
+		_, _ = hash.Write(m.raw) // a hash.Hash never returns an error
+		_, _ = hash.Write([]byte{0})
+	}
+}
--- a/internal/openai/json.go
+++ b/internal/openai/json.go
@@ -6,16 +6,17 @@
 	"github.com/tidwall/gjson"
 )
 
-// maxDepth bounds the nesting of a body, in levels: the JSON library recurses.
+// maxDepth is the most levels that a body may nest. The JSON library recurses on each level,
+// so without a bound a client could overflow its stack.
 const maxDepth = 200
 
-// IsValidJSON tells whether a text is one JSON value of bounded depth.
+// IsValidJSON reports whether text is one valid JSON value of at most maxDepth levels.
 func IsValidJSON(text []byte) bool {
 	return isDepthBounded(text) && gjson.ValidBytes(text)
 }
 
-// isDepthBounded tells whether a text nests at most maxDepth levels. It looks at brackets
-// outside of strings only; whether they match is not its concern.
+// isDepthBounded reports whether text nests at most maxDepth levels. It counts brackets outside
+// of strings and does not check that they match: gjson.ValidBytes does.
 func isDepthBounded(text []byte) bool {
 	depth := 0
 	inString := false
@@ -41,10 +42,11 @@
 	return true
 }
 
-// isSet tells that a member is there and not null, which OpenAI's API takes as left out.
+// isSet reports whether a member is present and not null. OpenAI's API treats null like a
+// missing member.
 func isSet(value gjson.Result) bool { return value.Exists() && value.Type != gjson.Null }
 
-// decodeString decodes a string; "" where it is left out.
+// decodeString decodes an optional string. It returns "" if the member is not set.
 func decodeString(name string, value gjson.Result) (string, *Error) {
 	if isSet(value) && value.Type != gjson.String {
 		return "", InvalidRequest(name, "%s must be a string", name)
@@ -52,7 +54,7 @@
 	return value.Str, nil
 }
 
-// decodeBool decodes a boolean; false where it is left out.
+// decodeBool decodes an optional boolean. It returns false if the member is not set.
 func decodeBool(name string, value gjson.Result) (bool, *Error) {
 	if isSet(value) && !value.IsBool() {
 		return false, InvalidRequest(name, "%s must be true or false", name)
@@ -60,7 +62,8 @@
 	return value.Type == gjson.True, nil
 }
 
-// decodeCount decodes a whole number of at least 1; 0 where it is left out.
+// decodeCount decodes an optional whole number of at least 1. It returns 0 if the member is not
+// set.
 func decodeCount(name string, value gjson.Result) (int, *Error) {
 	if !isSet(value) {
 		return 0, nil
@@ -72,7 +75,7 @@
 	return int(count), nil
 }
 
-// appendObject appends a copy of an object whose values are written by appendValue.
+// appendObject appends a copy of an object. appendValue appends the value of each member.
 func appendObject(out []byte, object gjson.Result, appendValue func(out []byte, key string, value gjson.Result) []byte) []byte {
 	out = append(out, '{')
 	isFirst := true
@@ -89,7 +92,7 @@
 	return append(out, '}')
 }
 
-// appendArray appends an array of length elements, each written by appendElement.
+// appendArray appends an array of the given length. appendElement appends element i.
 func appendArray(out []byte, length int, appendElement func(out []byte, i int) []byte) []byte {
 	out = append(out, '[')
 	for i := range length {
--- a/internal/openai/loadreport.go
+++ b/internal/openai/loadreport.go
@@ -7,13 +7,15 @@
 	"github.com/tidwall/gjson"
 )
 
-// customMetrics is the member of OrcaLoadReport that holds an engine's own metrics.
+// customMetrics is the member of OrcaLoadReport that holds metrics of the engine's own.
 const customMetrics = "named_metrics"
 
-// ParseLoadReport parses an ORCA load report as engines attach to responses: JSON after "JSON " or
-// key=value pairs after "TEXT ", metrics named as in OrcaLoadReport (xDS, orca.proto), custom
-// ones under named_metrics. It returns the values of names in order, or nil where one is
-// missing: half a report would be taken for an idle engine.
+// ParseLoadReport parses an ORCA load report, which engines attach to responses as a header
+// field. Its value is a JSON object after "JSON " or key=value pairs after "TEXT ". Metrics are
+// named as in OrcaLoadReport (xDS, orca.proto); custom ones are under named_metrics.
+//
+// It returns the values of the named metrics in order. If one is missing it returns nil: an
+// engine with half a report would look idle.
 func ParseLoadReport(header []byte, names []string) []float64 {
 	if len(names) == 0 {
 		return nil
@@ -28,7 +30,7 @@
 	return nil
 }
 
-// parseJSONReport returns the values of names in a report of one JSON object, or nil.
+// parseJSONReport returns the values of the named metrics in a JSON report, or nil.
 func parseJSONReport(report []byte, names []string) []float64 {
 	if !IsValidJSON(report) {
 		return nil
@@ -48,8 +50,8 @@
 	return values
 }
 
-// parseTextReport returns the values of names in a report of key=value pairs between commas,
-// or nil.
+// parseTextReport returns the values of the named metrics in a report of comma-separated
+// key=value pairs, or nil.
 func parseTextReport(report []byte, names []string) []float64 {
 	values := make([]float64, 0, len(names))
 	for _, name := range names {
@@ -62,8 +64,8 @@
 	return values
 }
 
-// findTextMetric returns the value of the first pair of a name; false where there is none, or
-// its value is no number.
+// findTextMetric returns the value of the first pair with the given name. found is false if there
+// is none or if its value is not a number.
 func findTextMetric(report []byte, name string) (value float64, found bool) {
 	for pair := range bytes.SplitSeq(report, []byte{','}) {
 		key, text, _ := bytes.Cut(bytes.TrimSpace(pair), []byte{'='})
--- /dev/null
+++ b/internal/openai/merge.go
@@ -0,0 +1,99 @@
+package openai
+
+import (
+	"cmp"
+	"slices"
+	"strconv"
+
+	"github.com/tidwall/gjson"
+
+	"martenlock/control/scatter"
+)
+
+// MergeResponses returns the response to the request, made of the responses to its shards, which
+// CheckResponse has accepted. Indexes are those of the whole request, and usage is summed. Rerank
+// results are sorted by score and cut to top_n; of equal scores the earlier document is first.
+// Other members are copied from the first shard's response.
+func (r *Request) MergeResponses(shards []scatter.Shard, bodies [][]byte) []byte {
+	name := r.API.resultMember()
+	usage := usageTotals{}
+	for _, body := range bodies {
+		usage.add(gjson.GetBytes(body, "usage"))
+	}
+	results := r.mergeResults(shards, bodies)
+	first := gjson.ParseBytes(bodies[0])
+	return appendObject(nil, first, func(out []byte, key string, value gjson.Result) []byte {
+		switch {
+		case key == name:
+			return appendArray(out, len(results), func(out []byte, i int) []byte { return results[i].appendTo(out) })
+		case key == "usage" && value.IsObject():
+			return usage.appendTo(out, value)
+		}
+		return append(out, value.Raw...)
+	})
+}
+
+// mergeResults returns the results of all shards in the order of the merged response.
+func (r *Request) mergeResults(shards []scatter.Shard, bodies [][]byte) []mergedResult {
+	var results []mergedResult
+	for i, body := range bodies {
+		gjson.GetBytes(body, r.API.resultMember()).ForEach(func(_, value gjson.Result) bool {
+			results = append(results, mergedResult{
+				index: shards[i].From + int(value.Get("index").Int()),
+				score: value.Get("relevance_score").Num,
+				value: value,
+			})
+			return true
+		})
+	}
+	slices.SortFunc(results, func(a, b mergedResult) int {
+		if r.API == Rerank && a.score != b.score {
+			return cmp.Compare(b.score, a.score)
+		}
+		return cmp.Compare(a.index, b.index)
+	})
+	if r.TopN > 0 {
+		results = results[:min(r.TopN, len(results))]
+	}
+	return results
+}
+
+// mergedResult is one result of a merged response.
+type mergedResult struct {
+	index int // of the item in the whole request
+	score float64
+	value gjson.Result // as in the shard's response
+}
+
+// appendTo appends the result with its index in the whole request.
+func (m *mergedResult) appendTo(out []byte) []byte {
+	return appendObject(out, m.value, func(out []byte, key string, value gjson.Result) []byte {
+		if key == "index" {
+			return strconv.AppendInt(out, int64(m.index), 10)
+		}
+		return append(out, value.Raw...)
+	})
+}
+
+// usageTotals are the sums of the numbers in several responses' usage, by name.
+type usageTotals map[string]int64
+
+// add adds the usage of one response.
+func (u usageTotals) add(usage gjson.Result) {
+	usage.ForEach(func(key, value gjson.Result) bool {
+		if value.Type == gjson.Number {
+			u[key.Str] += value.Int()
+		}
+		return true
+	})
+}
+
+// appendTo appends a copy of usage with each number replaced by its total.
+func (u usageTotals) appendTo(out []byte, usage gjson.Result) []byte {
+	return appendObject(out, usage, func(out []byte, key string, value gjson.Result) []byte {
+		if value.Type == gjson.Number {
+			return strconv.AppendInt(out, u[key], 10)
+		}
+		return append(out, value.Raw...)
+	})
+}
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -1,54 +1,52 @@
 // Package openai decodes requests in the published form of OpenAI's API (chat completions,
-// completions, embeddings) and of Jina's and Cohere's rerank, as far as a router needs them,
-// and makes the bodies that are forwarded to engines. Members that it does not know are kept
-// byte for byte.
+// completions, embeddings) and of Jina's and Cohere's rerank API, as far as a router needs them.
+// It also makes the bodies that are forwarded to engines. Members that it does not know are
+// kept byte for byte.
 //
-// For prefill and decode on separate engines it follows vLLM's disaggregated form (its docs,
-// "Disaggregated prefilling", and the proxy example there): the prefill engine is asked for
-// one token with kv_transfer_params that say do_remote_decode, and what it answers in that
-// member goes to the decode engine.
+// For prefill and decode on separate engines it follows vLLM's disaggregated form (vLLM's docs,
+// "Disaggregated prefilling", and the proxy example there). The request to the prefill engine
+// asks for one token and has kv_transfer_params with do_remote_decode. The kv_transfer_params
+// of its response are passed to the decode engine.
 package openai
 
-import (
-	"fmt"
-	"slices"
-)
+//go:generate go tool stringer -linecomment -type=API,inputKind -output=enum_string.go
 
-// API is one operation.
+// API is one operation. Its String is its name in the configuration.
 type API uint8
 
 // The operations.
 const (
-	Chat API = iota
-	Completions
-	Embeddings
-	Rerank
+	Chat        API = iota // chat
+	Completions            // completions
+	Embeddings             // embeddings
+	Rerank                 // rerank
 )
 
-// apiNames are the operations' names in the configuration, by API.
-var apiNames = []string{"chat", "completions", "embeddings", "rerank"}
-
-// APINames returns the operations' names in the configuration.
-func APINames() []string { return apiNames }
+// apis are all operations, in the order in which error messages list them.
+var apis = [...]API{Chat, Completions, Embeddings, Rerank}
 
-// ParseAPI returns the operation of a name, and whether there is one.
-func ParseAPI(name string) (API, bool) {
-	i := slices.Index(apiNames, name)
-	if i < 0 {
-		return 0, false
+// APINames returns the operations' names in the configuration, by API.
+func APINames() []string {
+	names := make([]string, len(apis))
+	for i, api := range apis {
+		names[i] = api.String()
 	}
-	return API(i), true
+	return names
 }
 
-// String is the operation's name in the configuration.
-func (a API) String() string {
-	if int(a) < len(apiNames) {
-		return apiNames[a]
+// ParseAPI returns the operation of a name in the configuration. The second result reports
+// whether there is one.
+func ParseAPI(name string) (API, bool) {
+	for _, api := range apis {
+		if api.String() == name {
+			return api, true
+		}
 	}
-	return fmt.Sprintf("API(%d)", uint8(a))
+	return 0, false
 }
 
-// APIByPath returns the operation that is served at a path, and whether there is one.
+// APIByPath returns the operation that is served at a path. The second result reports whether
+// there is one.
 func APIByPath(path string) (API, bool) {
 	switch path {
 	case "/v1/chat/completions":
@@ -63,7 +61,7 @@
 	return 0, false
 }
 
-// contentMember is the member of a request that holds what the model is given.
+// contentMember returns the name of the request member that holds the model's input.
 func (a API) contentMember() string {
 	switch a {
 	case Chat:
@@ -72,15 +70,21 @@
 		return "prompt"
 	case Embeddings:
 		return "input"
-	default:
+	case Rerank:
 		return "documents"
 	}
+	return ""
 }
 
-// resultMember is the member of a response that holds one result for each item.
+// resultMember returns the name of the response member that holds the list of results, one for
+// each item of the request. It is "" for operations whose responses are not checked.
 func (a API) resultMember() string {
-	if a == Rerank {
+	switch a {
+	case Embeddings:
+		return "data"
+	case Rerank:
 		return "results"
+	case Chat, Completions:
 	}
-	return "data"
+	return ""
 }
--- a/internal/openai/rerank.go
+++ b/internal/openai/rerank.go
@@ -2,53 +2,54 @@
 
 import "github.com/tidwall/gjson"
 
-// decodeRerank decodes the members of a rerank.
-func (c *Request) decodeRerank(f *requestFields, rules *DecodeOptions) *Error {
-	query, err := decodeString("query", f.query)
+// decodeRerank decodes the members that only rerank requests have.
+func (r *Request) decodeRerank(fields *requestFields, options *DecodeOptions) *Error {
+	query, err := decodeString("query", fields.query)
 	if err != nil {
 		return err
 	}
 	if query == "" {
 		return InvalidRequest("query", "query must be a string that is not empty")
 	}
-	c.TopN, err = decodeCount("top_n", f.topN)
+	r.TopN, err = decodeCount("top_n", fields.topN)
 	if err != nil {
 		return err
 	}
-	_, err = decodeBool("return_documents", f.returnDocuments)
+	_, err = decodeBool("return_documents", fields.returnDocuments)
 	if err != nil {
 		return err
 	}
-	if !f.documents.IsArray() {
+	if !fields.documents.IsArray() {
 		return InvalidRequest("documents", "documents must be a list")
 	}
-	return c.decodeDocuments(query, f.documents, rules)
+	return r.decodeDocuments(query, fields.documents, options)
 }
 
-// decodeDocuments decodes the documents of a rerank. Each is computed together with the query.
-func (c *Request) decodeDocuments(query string, documents gjson.Result, rules *DecodeOptions) (err *Error) {
+// decodeDocuments decodes the documents. An engine scores each together with the query, so each
+// counts with the tokens of the query.
+func (r *Request) decodeDocuments(query string, documents gjson.Result, options *DecodeOptions) (err *Error) {
 	documents.ForEach(func(_, document gjson.Result) bool {
 		text := document
 		if document.IsObject() {
 			text = document.Get("text")
 		}
 		if text.Type != gjson.String {
-			err = InvalidRequest("documents", "documents[%d] must be a string or an object with a text", c.ItemCount)
+			err = InvalidRequest("documents", "documents[%d] must be a string or an object with a text", r.ItemCount)
 			return false
 		}
-		tokens := rules.tokens(len(query) + len(text.Str))
-		c.PromptTokens += tokens
-		c.LongestItemTokens = max(c.LongestItemTokens, tokens)
-		c.ItemCount++
-		if c.ItemCount > rules.MaxDocuments {
-			err = InvalidRequest("documents", "there are more than %d documents", rules.MaxDocuments)
+		tokens := options.tokens(len(query) + len(text.Str))
+		r.PromptTokens += tokens
+		r.LongestItemTokens = max(r.LongestItemTokens, tokens)
+		r.ItemCount++
+		if r.ItemCount > options.MaxDocuments {
+			err = InvalidRequest("documents", "there are more than %d documents", options.MaxDocuments)
 		}
 		return err == nil
 	})
 	if err != nil {
 		return err
 	}
-	if c.ItemCount == 0 {
+	if r.ItemCount == 0 {
 		return InvalidRequest("documents", "documents must not be empty")
 	}
 	return nil
--- a/internal/openaiserver/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -219,16 +219,16 @@
 // finishPrefill ends an attempt at a prefill engine, which tells where the KV state is.
 func (a *attempt) finishPrefill() {
 	x := a.exchange
-	kvTransfer, cachedTokens, isComplete := openai.ParsePrefillResponse(a.buffered)
-	if !isComplete {
+	response, hasKVTransfer := openai.ParsePrefillResponse(a.buffered)
+	if !hasKVTransfer {
 		x.pool.server.log.Warn().Str("endpoint", a.engine.node.Name).Msg("prefill response without kv_transfer_params")
 		a.finish(control.Failed, false)
 		return
 	}
 	x.pool.tokenEstimator.Observe(x.call.PromptTokens, openai.ParsePromptTokens(a.buffered))
-	x.kvTransfer = kvTransfer
+	x.kvTransfer = response.KVTransfer
 	x.kvHolders = append(x.kvHolders, a.engine)
-	a.cachedTokens = uint32(cachedTokens)
+	a.cachedTokens = uint32(response.CachedTokens)
 	a.finish(control.PrefillDone, false)
 }
 
--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -209,10 +209,9 @@
 	})
 	retry := newSequentialRetry(a)
 	scheduler.schedulePoll()
-	var pieces []openai.Embedding
-	var usage []int64
+	var results []openai.EmbeddingResult
 	if b.isBatch() && a.outcome == outcome.Served {
-		pieces, usage = b.call.SplitResponse(a.body, b.inputTokens)
+		results = b.call.SplitResponse(a.body, b.inputTokens)
 	}
 	for _, id := range completion.Requests {
 		m := scheduler.members[id]
@@ -222,9 +221,9 @@
 			retry.enqueue(m)
 		case completion.Handling == batching.RetrySeparately:
 			m.startAlone(m.client, a)
-		case pieces != nil:
+		case results != nil:
 			scheduler.batchedRequests++
-			m.client.respond(b.memberAnswer(m, a, pieces, usage))
+			m.client.respond(b.memberAnswer(m, a, results))
 		default:
 			m.client.respond(a)
 		}
@@ -233,18 +232,20 @@
 }
 
 // memberAnswer takes a member's answer out of the batch's.
-func (b *batch) memberAnswer(m *batchMember, a answer, pieces []openai.Embedding, usage []int64) answer {
+func (b *batch) memberAnswer(m *batchMember, a answer, results []openai.EmbeddingResult) answer {
 	from := b.firstInput[m.id]
 	to := from + len(m.inputs)
-	memberUsage := int64(0)
-	for _, tokens := range usage[from:to] {
-		memberUsage += tokens
+	embeddings := make([]openai.Embedding, 0, len(m.inputs))
+	promptTokens := int64(0)
+	for _, result := range results[from:to] {
+		embeddings = append(embeddings, result.Embedding)
+		promptTokens += result.PromptTokens
 	}
 	return answer{
 		outcome:     outcome.Served,
 		status:      http.StatusOK,
 		contentType: a.contentType,
 		requestID:   a.requestID,
-		body:        openai.AssembleResponse(a.body, pieces[from:to], memberUsage),
+		body:        openai.AssembleResponse(a.body, embeddings, promptTokens),
 	}
 }
--- a/internal/openaiserver/cachefill.go
+++ b/internal/openaiserver/cachefill.go
@@ -46,9 +46,9 @@
 		e.respond(a)
 		return
 	}
-	pieces, usage := f.call.SplitResponse(a.body, f.computedTokens())
-	f.store(pieces, usage, isWholeRequest)
-	serveFollowers(followers, a, pieces, usage)
+	results := f.call.SplitResponse(a.body, f.computedTokens())
+	f.store(results, isWholeRequest)
+	serveFollowers(followers, a, results)
 	if isWholeRequest {
 		e.respond(a)
 	} else {
@@ -98,21 +98,21 @@
 }
 
 // store caches the embeddings, and gives them to the request unless it gets the answer as it is.
-func (f *cacheFill) store(pieces []openai.Embedding, usage []int64, isWholeRequest bool) {
+func (f *cacheFill) store(results []openai.EmbeddingResult, isWholeRequest bool) {
 	e := f.request
 	cache := e.request.pool.embeddings.cache
 	for position, index := range f.inputs {
 		if cache != nil { // without the answer around it
-			cache.Set(e.keys[index], cachedEmbedding{piece: bytes.Clone(pieces[position]), usage: usage[position]})
+			cache.Set(e.keys[index], cachedEmbedding{piece: bytes.Clone(results[position].Embedding), usage: results[position].PromptTokens})
 		}
 		if !isWholeRequest {
-			e.setEmbedding(index, pieces[position], usage[position])
+			e.setEmbedding(index, results[position])
 		}
 	}
 }
 
 // serveFollowers gives embeddings to those who waited for them.
-func serveFollowers(followers []follower, a answer, pieces []openai.Embedding, usage []int64) {
+func serveFollowers(followers []follower, a answer, results []openai.EmbeddingResult) {
 	for _, waiting := range followers {
 		e := waiting.request
 		e.pendingIDs[waiting.index] = 0
@@ -122,7 +122,7 @@
 		if e.frame == nil {
 			e.frame = openai.ResponseTemplate(a.body)
 		}
-		e.setEmbedding(waiting.index, pieces[waiting.position], usage[waiting.position])
+		e.setEmbedding(waiting.index, results[waiting.position])
 		e.respondIfComplete(a.requestID)
 	}
 }
--- a/internal/openaiserver/embeddingrequest.go
+++ b/internal/openaiserver/embeddingrequest.go
@@ -149,7 +149,8 @@
 
 // setEmbedding takes in an input's embedding. One that is kept for a while is copied, without the
 // answer around it.
-func (e *embeddingRequest) setEmbedding(index int, piece openai.Embedding, usage int64) {
+func (e *embeddingRequest) setEmbedding(index int, result openai.EmbeddingResult) {
+	piece := result.Embedding
 	e.missing--
 	if e.missing > 0 || len(e.fills) > 0 {
 		piece = bytes.Clone(piece)
@@ -157,7 +158,7 @@
 		e.request.pool.server.bufferedBytes += int64(len(piece))
 	}
 	e.pieces[index] = piece
-	e.usage[index] = usage
+	e.usage[index] = result.PromptTokens
 }
 
 // respondIfComplete answers when all inputs are known. requestID is that of the latest computation;
