--- a/internal/eventloop/address.go
+++ b/internal/eventloop/address.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// sockaddr returns the address family and the address as the system calls take them.
+// sockaddr returns the address family and the form of addr that system calls take.
 func sockaddr(addr netip.AddrPort) (int, unix.Sockaddr) {
 	if addr.Addr().Is4() || addr.Addr().Is4In6() {
 		return unix.AF_INET, &unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}
@@ -14,7 +14,7 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
 }
 
-// addrPort is the reverse of sockaddr. Of other families it returns the zero address.
+// addrPort is the inverse of sockaddr. For other address families it returns the zero address.
 func addrPort(sa unix.Sockaddr) netip.AddrPort {
 	switch sa := sa.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/eventloop/bufferpool.go
+++ b/internal/eventloop/bufferpool.go
@@ -4,13 +4,13 @@
 
 const (
 	minBufferSize = 4 << 10 // bytes: a page; most requests and events fit
-	sizeClasses   = 13      // by powers of two, 4 KiB to 16 MiB; larger buffers are not kept
+	sizeClasses   = 13      // powers of two from 4 KiB to 16 MiB; larger buffers are not kept
 )
 
-// bufferPool keeps free buffers by power of two. It belongs to one loop, so it needs no lock,
-// and unlike sync.Pool it keeps what a burst needed only up to a bound.
+// bufferPool keeps free buffers, whose sizes are powers of two. It belongs to one loop and needs no
+// lock. Unlike sync.Pool it has a bound on what a burst leaves behind.
 type bufferPool struct {
-	maxFreeBytes int // of one size class; what is more goes to the garbage collector
+	maxFreeBytes int // of one size class; buffers above it go to the garbage collector
 	free         [sizeClasses][][]byte
 }
 
@@ -34,7 +34,8 @@
 	return free[last]
 }
 
-// put takes a buffer back. One that get did not make, also nil, goes to the garbage collector.
+// put returns a buffer to the pool. A nil buffer, or one that get did not make, is left to the
+// garbage collector.
 func (p *bufferPool) put(buffer []byte) {
 	buffer = buffer[:cap(buffer)]
 	size := len(buffer)
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -8,12 +8,12 @@
 	"martenlock/internal/timerwheel"
 )
 
-// closeTimeout bounds how long a closed connection waits for its peer to take the output, or to
-// end its half.
+// closeTimeout bounds how long a closed connection waits for its peer to take the output, and a
+// lingering one to end its half. A live peer does both within a few round trips.
 const closeTimeout = 2 * time.Second
 
-// Close sends what is buffered, then closes. The handler is told no more. A peer that does not
-// take the output within closeTimeout loses it.
+// Close sends the buffered output, then closes. The handler gets no further call. Output that the
+// peer does not take within closeTimeout is lost.
 func (c *Conn) Close() {
 	switch c.state {
 	case connClosed:
@@ -22,35 +22,36 @@
 		c.state = connCloseOnOpen
 	case connOpen:
 		c.state = connClosing
+	case connCloseOnOpen, connClosing, connAwaitingPeer: // Close was called before
 	}
 	c.handler = discard{}
 	c.in.reading = readActive
 	c.dropInput()
-	c.scheduleSettle()
+	c.markPending()
 }
 
-// CloseLingering is Close for a peer that may yet be sending: what it sends is thrown
-// away for a while, or the reset that answers it could overtake our last words (RFC
-// 9112, section 9.6).
+// CloseLingering is Close for a peer that may still be sending. Its input is discarded for up to
+// closeTimeout. Without this, the reset that answers it could overtake the last bytes of our output
+// (RFC 9112, section 9.6).
 func (c *Conn) CloseLingering() {
 	c.lingers = true
 	c.Close()
 }
 
-// continueClose moves a close on: the connection ends when all is sent and, where it lingers, the
-// peer has ended its half.
+// continueClose takes the next step of a close. The connection ends when all output is sent and,
+// if it lingers, the peer has ended its half.
 func (c *Conn) continueClose() {
 	if !c.state.closing() {
 		return
 	}
-	sent := c.out.unsent == 0
-	if sent && (!c.lingers || c.in.peer == peerRead) {
+	isSent := c.out.unsent == 0
+	if isSent && (!c.lingers || c.in.peer == peerEOFRead) {
 		c.release()
 		return
 	}
-	if sent && c.state == connClosing {
+	if isSent && c.state == connClosing {
 		c.state = connAwaitingPeer
-		_ = unix.Shutdown(c.fd, unix.SHUT_WR)
+		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // it fails only if the peer has reset the connection, which epoll reports
 	}
 	if c.closeTimer == nil {
 		c.closeTimer = &timerwheel.Timer{Fire: c.release}
@@ -58,8 +59,8 @@
 	}
 }
 
-// Abort closes at once; unsent output is lost, and the peer sees a reset where we had output left
-// or the kernel holds bytes of it that we did not read. The handler is told no more.
+// Abort closes at once. The handler gets no further call, and unsent output is lost. The peer sees a
+// reset if output was unsent or input unread.
 func (c *Conn) Abort() {
 	if c.out.unsent > 0 {
 		c.resetOnClose()
@@ -67,16 +68,16 @@
 	c.release()
 }
 
-// ShutdownAndAbort is Abort where the peer must hear of it before anything that is sent later in this
-// iteration on other connections.
+// ShutdownAndAbort is Abort, and the peer sees the end before it sees anything that other connections
+// send later in this iteration.
 func (c *Conn) ShutdownAndAbort() {
 	if !c.IsClosed() {
-		_ = unix.Shutdown(c.fd, unix.SHUT_RDWR)
+		_ = unix.Shutdown(c.fd, unix.SHUT_RDWR) // it fails only if the connection is not established: there is no end to see
 	}
 	c.Abort()
 }
 
-// Reset closes at once with a TCP reset (RFC 9293, section 3.10.7). The handler is told no more.
+// Reset closes at once with a TCP reset (RFC 9293, section 3.10.7). The handler gets no further call.
 func (c *Conn) Reset() {
 	c.resetOnClose()
 	c.release()
@@ -85,11 +86,12 @@
 // resetOnClose makes the kernel send a reset when the descriptor is closed.
 func (c *Conn) resetOnClose() {
 	if !c.IsClosed() {
+		// On a TCP socket it does not fail. If it did, the peer would see an end in place of a reset.
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 }
 
-// fail ends the connection and tells its handler why.
+// fail closes the connection at once and passes err to its handler.
 func (c *Conn) fail(err error) {
 	if c.IsClosed() {
 		return
@@ -99,14 +101,14 @@
 	handler.Closed(c, err)
 }
 
-// release ends the connection: it closes the descriptor and gives the buffers back.
+// release closes the descriptor and returns the buffers. Later calls have no effect.
 func (c *Conn) release() {
 	if c.IsClosed() {
 		return
 	}
 	c.state = connClosed
-	c.closeDescriptor()
-	c.out.lose(&c.loop.buffers)
+	c.releaseDescriptor()
+	c.out.discardAll(&c.loop.buffers)
 	c.dropInput()
 	if c.closeTimer != nil {
 		c.loop.StopTimer(c.closeTimer)
@@ -116,10 +118,10 @@
 	}
 }
 
-func (c *Conn) closeDescriptor() {
+func (c *Conn) releaseDescriptor() {
 	delete(c.loop.sources, c.fd)
 	c.loop.poller.remove(c.fd)
-	unix.Close(c.fd)
-	c.loop.pending.closed[c.fd] = struct{}{}
+	closeDescriptor(c.fd)
+	c.loop.pending.closedDescriptors[c.fd] = struct{}{}
 	c.loop.pending.descriptorFreed = true
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -9,47 +9,35 @@
 	"martenlock/internal/timerwheel"
 )
 
-// connState is the life of a connection, on this side.
+//go:generate go tool stringer -linecomment -type=connState,readState,peerState,listenerState -output=enum_string.go
+
+// connState is the state of a connection as far as this side decides on it.
 type connState uint8
 
 const (
-	connOpen         connState = iota
-	connConnecting             // Dial has begun it
-	connCloseOnOpen            // connecting, and Close was called meanwhile
-	connClosing                // Close was called: the output is sent first
-	connAwaitingPeer           // all is sent and our half is shut; the peer's end is awaited
-	connClosed                 // the descriptor is released
+	connOpen connState = iota // open
+	// connConnecting is a connection that Dial has started.
+	connConnecting // connecting
+	// connCloseOnOpen is a connection on which Close was called before it was established.
+	connCloseOnOpen // close on open
+	// connClosing is a connection on which Close was called and that has output to send.
+	connClosing // closing
+	// connAwaitingPeer is a lingering connection that has sent all output and shut its half.
+	connAwaitingPeer // awaiting peer
+	// connClosed is a connection without a descriptor.
+	connClosed // closed
 )
 
-// String returns the name of the state.
-func (s connState) String() string {
-	switch s {
-	case connOpen:
-		return "open"
-	case connConnecting:
-		return "connecting"
-	case connCloseOnOpen:
-		return "close on open"
-	case connClosing:
-		return "closing"
-	case connAwaitingPeer:
-		return "awaiting peer"
-	case connClosed:
-		return "closed"
-	}
-	return "unknown"
-}
-
 // connecting reports whether the handshake is under way.
 func (s connState) connecting() bool { return s == connConnecting || s == connCloseOnOpen }
 
-// closing reports whether Close was called and the connection has not ended.
+// closing reports whether Close was called and the connection is not yet closed.
 func (s connState) closing() bool {
 	return s == connCloseOnOpen || s == connClosing || s == connAwaitingPeer
 }
 
-// Conn is a TCP connection of a loop, which owns its descriptor and buffers. Its methods may be
-// called on the loop alone; on a closed connection they do nothing.
+// Conn is a TCP connection of a loop, which owns its descriptor and buffers. Its methods must be
+// called on the loop. On a closed connection they do nothing.
 type Conn struct {
 	loop     *Loop
 	handler  Handler
@@ -59,15 +47,16 @@
 	in       input
 	out      output
 
-	watched   uint32 // events that epoll watches for
-	unsettled bool   // stands in pendingWork.conns
+	watched uint32 // events that epoll watches for
+	pending bool   // is in pendingWork.conns
 
 	lingers    bool              // CloseLingering was called
-	closeTimer *timerwheel.Timer // bounds a close; nil before that
+	closeTimer *timerwheel.Timer // bounds a close; nil until needed
 }
 
-// Dial begins a connection. The handler is told Opened or Closed, never during this
-// call. An error here is the machine's own (no descriptor, no port), not the peer's.
+// Dial starts a connection to addr. The handler gets Opened or Closed later, never during this call.
+// An error is this machine's own, such as the lack of a descriptor or a port. Errors of the network
+// and the peer go to Closed.
 func (l *Loop) Dial(addr netip.AddrPort, h Handler) (*Conn, error) {
 	family, sa := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -79,21 +68,22 @@
 	switch {
 	case connectErr == nil, errors.Is(connectErr, unix.EINPROGRESS), errors.Is(connectErr, unix.EINTR):
 	case errors.Is(connectErr, unix.EADDRNOTAVAIL), errors.Is(connectErr, unix.EAGAIN):
-		unix.Close(fd)
+		closeDescriptor(fd)
 		return nil, connectErr
 	default:
 		l.Defer(func() { c.fail(connectErr) })
 	}
 	if err := c.register(unix.EPOLLOUT); err != nil {
-		unix.Close(fd)
+		closeDescriptor(fd)
 		return nil, err
 	}
 	return c, nil
 }
 
-// register makes the loop watch the descriptor.
+// register adds the connection to the loop, which watches its descriptor for events.
 func (c *Conn) register(events uint32) error {
-	_ = unix.SetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // output is gathered already
+	// The loop gathers output itself, so Nagle's algorithm would only delay it. A failure costs no more than that.
+	_ = unix.SetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if err := c.loop.poller.add(c.fd, events); err != nil {
 		return err
 	}
@@ -102,7 +92,7 @@
 	return nil
 }
 
-// finishConnect is called when the handshake has ended, well or not.
+// finishConnect handles the end of the handshake, whether it succeeded or failed.
 func (c *Conn) finishConnect() {
 	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil || code != 0 {
@@ -114,20 +104,21 @@
 	} else {
 		c.state = connOpen
 	}
-	c.scheduleSettle()
+	c.markPending()
 	c.handler.Opened(c)
 }
 
-// SetHandler hands the connection to another handler.
+// SetHandler replaces the handler. Later events go to h.
 func (c *Conn) SetHandler(h Handler) { c.handler = h }
 
 // Loop returns the loop that the connection belongs to.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// IsClosed reports whether the connection has ended.
+// IsClosed reports whether the connection is closed. After Close it is false until the output is
+// sent.
 func (c *Conn) IsClosed() bool { return c.state == connClosed }
 
-// Remote returns the peer's address, or the zero one of a connection that has ended.
+// Remote returns the peer's address. On a closed connection it returns the zero address.
 func (c *Conn) Remote() netip.AddrPort {
 	sa, err := unix.Getpeername(c.fd)
 	if err != nil || c.IsClosed() {
@@ -136,18 +127,19 @@
 	return addrPort(sa)
 }
 
-// scheduleSettle has the connection settled at the end of this iteration.
-func (c *Conn) scheduleSettle() {
-	if c.unsettled || c.IsClosed() {
+// markPending schedules flushPending for the end of this iteration.
+func (c *Conn) markPending() {
+	if c.pending || c.IsClosed() {
 		return
 	}
-	c.unsettled = true
+	c.pending = true
 	c.loop.pending.conns = append(c.loop.pending.conns, c)
 }
 
-// settle ends an iteration for the connection: it hands over kept bytes, sends output, moves a
-// close on and tells epoll what to watch for. Each step may end the connection.
-func (c *Conn) settle() {
+// flushPending does what the connection left to the end of the iteration: it redelivers input,
+// sends output, continues a close and updates what epoll watches for. Each step may close the
+// connection.
+func (c *Conn) flushPending() {
 	if c.IsClosed() || c.state.connecting() {
 		return
 	}
@@ -163,16 +155,16 @@
 	if c.IsClosed() {
 		return
 	}
-	c.tellDrained()
+	c.notifyWritable()
 	if c.IsClosed() {
 		return
 	}
 	c.updateWatch()
 }
 
-// updateWatch tells epoll which events the connection needs now.
+// updateWatch makes epoll watch for the events that the connection needs now.
 func (c *Conn) updateWatch() {
-	if c.in.detached {
+	if c.in.unwatched {
 		if c.in.paused() {
 			return
 		}
@@ -180,7 +172,7 @@
 			c.fail(err)
 			return
 		}
-		c.in.detached = false
+		c.in.unwatched = false
 		c.watched = unix.EPOLLIN
 	}
 	events := c.in.events(c.watched)
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -141,7 +141,7 @@
 			do(func() {
 				for _, s := range l.sources {
 					if c, ok := s.(*Conn); ok && c.listener == ln {
-						kept = len(c.in.kept)
+						kept = len(c.in.unconsumed)
 					}
 				}
 			})
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -1,44 +1,40 @@
 package eventloop
 
-import "io"
-
-// Handler is told what happens on a connection. All calls come on the loop, and none during a
-// call of Dial. A handler may call any method of its connection from them.
+// Handler receives the events of a connection. It is called on the loop, and never during a call of
+// Dial. From any of its methods it may call any method of the connection, also to close it.
 type Handler interface {
-	// Opened comes once on a connection that Dial began.
+	// Opened is called once on a connection of Dial, when it is established. It is not called on
+	// accepted connections.
 	Opened(c *Conn)
-	// Data brings all bytes that have come and were not consumed before, and returns
-	// how many it consumes; the rest comes again with the next ones. The slice is
-	// valid during the call.
+	// Data receives all bytes that have arrived and were not consumed before. It returns how many it
+	// consumes; the rest is passed again with the bytes that follow. The slice is valid during the
+	// call only.
 	Data(c *Conn, b []byte) int
-	// EOF tells that the peer will send no more. The connection can still be written.
-	// While reading is paused it comes early, with bytes yet to be read, and again
-	// after these.
+	// EOF is called when the peer has ended its half. Output can still be written. If reading is
+	// paused, EOF is called while bytes are unread, and again after Resume has delivered them.
 	EOF(c *Conn)
-	// Writable tells that unsent output fell to the low-water mark after it had reached the high one.
+	// Writable is called when unsent output has fallen to the low-water mark after it had reached the
+	// high-water mark.
 	Writable(c *Conn)
-	// Closed comes last and once, with the error that ended the connection; never
-	// after a Close or Abort of its own side.
+	// Closed is the last call. err is what closed the connection. It is not called if this side closed
+	// it, by Close, Abort or Reset.
 	Closed(c *Conn, err error)
 }
 
-// ErrPeerClosed is what handlers report where a peer ended a connection too early.
-var ErrPeerClosed = io.ErrUnexpectedEOF
-
-// discard is the handler of a connection that its own side closes.
+// discard is the handler of a connection on which Close was called.
 type discard struct{}
 
-// Opened implements Handler: it does nothing.
+// Opened implements Handler. Close has scheduled what follows.
 func (discard) Opened(*Conn) {}
 
-// Data implements Handler: it consumes everything.
+// Data implements Handler. It consumes and discards all input.
 func (discard) Data(_ *Conn, b []byte) int { return len(b) }
 
-// EOF implements Handler: it does nothing.
+// EOF implements Handler. A lingering close notices it by itself.
 func (discard) EOF(*Conn) {}
 
-// Writable implements Handler: it does nothing.
+// Writable implements Handler. There is no source of output to resume.
 func (discard) Writable(*Conn) {}
 
-// Closed implements Handler: it does nothing.
+// Closed implements Handler. The owner closed the connection and needs no notice.
 func (discard) Closed(*Conn, error) {}
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -2,68 +2,49 @@
 
 import "golang.org/x/sys/unix"
 
-// readState tells whether a connection's input is read.
+// readState is whether the input of a connection is read.
 type readState uint8
 
 const (
-	readActive readState = iota
-	readPaused
-	readPausedPending // paused, and bytes have come since: epoll watches for no more of them
+	readActive readState = iota // active
+	readPaused                  // paused
+	// readPausedPending is a paused connection with unread bytes. Epoll does not watch for more.
+	readPausedPending // paused with input pending
 )
 
-// String returns the name of the state.
-func (s readState) String() string {
-	switch s {
-	case readActive:
-		return "active"
-	case readPaused:
-		return "paused"
-	case readPausedPending:
-		return "paused with input pending"
-	}
-	return "unknown"
-}
-
-// peerState is the life of a connection on the peer's side.
+// peerState is the state of the peer's half of a connection.
 type peerState uint8
 
 const (
-	peerOpen  peerState = iota
-	peerEnded           // EOF was told while reading is paused; bytes before it may lie unread
-	peerRead            // everything up to the end has been read
+	peerOpen peerState = iota // open
+	// peerEOFNotified is a half that ended while reading was paused. The handler got EOF, but bytes
+	// before the end may be unread.
+	peerEOFNotified // ended
+	// peerEOFRead is a half that was read to its end.
+	peerEOFRead // read to the end
 )
 
-// String returns the name of the state.
-func (s peerState) String() string {
-	switch s {
-	case peerOpen:
-		return "open"
-	case peerEnded:
-		return "ended"
-	case peerRead:
-		return "read to the end"
-	}
-	return "unknown"
-}
-
 // input is the reading half of a connection.
 type input struct {
-	kept      []byte // bytes that the handler did not consume; pooled, nil while empty
-	reading   readState
-	peer      peerState
-	redeliver bool // kept is due to be handed over again, after a pause
-	patient   bool // bytes that came before a reset are handed over
-	detached  bool // epoll does not watch the descriptor: the peer has reset a paused, patient connection
+	unconsumed    []byte // bytes that the handler has not consumed; pooled, nil while empty
+	reading       readState
+	peer          peerState
+	redeliveryDue bool // unconsumed must be delivered again, after a pause
+	// deliverBeforeReset is set if bytes that arrived before a reset must be delivered first.
+	deliverBeforeReset bool
+	// unwatched is set while epoll does not watch the descriptor. The peer has reset the connection,
+	// and deliverBeforeReset holds its end back until Resume.
+	unwatched bool
 }
 
 func (in *input) paused() bool { return in.reading != readActive }
 
-// events returns what epoll must watch for, given what it watches for now. A pause is told to the
-// kernel only when bytes have come: most pauses end before that.
+// events returns the input events to watch for, given those watched for now. A pause is passed to
+// the kernel only when bytes have arrived, as most pauses end before that.
 func (in *input) events(watched uint32) uint32 {
 	var events uint32
 	switch {
-	case in.peer == peerRead:
+	case in.peer == peerEOFRead:
 	case in.reading == readActive:
 		events |= unix.EPOLLIN
 	case in.reading == readPaused:
@@ -75,16 +56,17 @@
 	return events
 }
 
-// NoInputPending reports whether the peer has sent nothing that was not read, not even its end: what has
-// come meanwhile on a connection that should be idle belongs to no request.
+// NoInputPending reports whether all that the peer has sent is consumed and its half is open. It asks
+// the kernel, so it also sees what the loop has not read. Input on an idle connection belongs to no
+// request.
 func (c *Conn) NoInputPending() bool {
-	if c.IsClosed() || c.in.peer == peerRead || len(c.in.kept) > 0 {
+	if c.IsClosed() || c.in.peer == peerEOFRead || len(c.in.unconsumed) > 0 {
 		return false
 	}
 	return peek(c.fd) == unix.EAGAIN
 }
 
-// Pause stops reading. That the peer has reset or closed is noticed all the same.
+// Pause stops reading. A reset or the end of the peer's half is still reported.
 func (c *Conn) Pause() {
 	if c.in.reading == readActive {
 		c.in.reading = readPaused
@@ -94,18 +76,19 @@
 // Paused reports whether reading is paused.
 func (c *Conn) Paused() bool { return c.in.paused() }
 
-// DeliverBeforeReset says that what the peer sent before it reset the connection matters, though reading is
-// paused meanwhile: EOF is told then, and Closed after these bytes. Else Closed is told at once.
-func (c *Conn) DeliverBeforeReset() { c.in.patient = true }
+// DeliverBeforeReset makes a paused connection deliver unread bytes before it reports a reset:
+// EOF is called at the reset, and after Resume the handler gets the bytes, then Closed. By default
+// Closed is called at once and the bytes are lost.
+func (c *Conn) DeliverBeforeReset() { c.in.deliverBeforeReset = true }
 
-// Resume reads again; bytes that the handler did not consume come first.
+// Resume continues reading. Bytes that the handler did not consume before are delivered first.
 func (c *Conn) Resume() {
 	if !c.in.paused() {
 		return
 	}
 	c.in.reading = readActive
-	c.in.redeliver = len(c.in.kept) > 0
-	c.scheduleSettle()
+	c.in.redeliveryDue = len(c.in.unconsumed) > 0
+	c.markPending()
 }
 
 // ready implements source.
@@ -127,46 +110,47 @@
 	}
 	if events&unix.EPOLLIN != 0 && c.in.reading == readPaused {
 		c.in.reading = readPausedPending
-		c.scheduleSettle()
+		c.markPending()
 	}
 	if events&unix.EPOLLRDHUP != 0 {
-		c.tellEarlyEOF() // what lies unread before it waits for Resume
+		c.notifyEarlyEOF() // unread bytes before the end wait for Resume
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		c.scheduleSettle()
+		c.markPending()
 	}
 }
 
-// resetWhilePaused is called when both halves of a paused connection have ended.
+// resetWhilePaused handles the end of both halves of a paused connection.
 func (c *Conn) resetWhilePaused() {
-	if c.in.patient && peek(c.fd) == nil { // bytes lie unread before it: Resume hands them over, and then the end
-		c.loop.poller.remove(c.fd) // or epoll would report it again and again
-		c.in.detached = true
-		c.tellEarlyEOF()
+	if c.in.deliverBeforeReset && peek(c.fd) == 0 {
+		c.loop.poller.remove(c.fd) // epoll would report the reset in each iteration
+		c.in.unwatched = true
+		c.notifyEarlyEOF()
 		return
 	}
-	code, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	code, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR) // 0 on failure
 	if code == 0 {
 		code = int(unix.ECONNRESET)
 	}
 	c.fail(unix.Errno(code))
 }
 
-func (c *Conn) tellEarlyEOF() {
+// notifyEarlyEOF calls EOF, once, while bytes before the end may be unread.
+func (c *Conn) notifyEarlyEOF() {
 	if c.in.peer != peerOpen {
 		return
 	}
-	c.in.peer = peerEnded
-	c.scheduleSettle()
+	c.in.peer = peerEOFNotified
+	c.markPending()
 	c.handler.EOF(c)
 }
 
 func (c *Conn) readyWhileReading(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
-		c.scheduleSettle()
+		c.markPending()
 	}
-	if c.in.peer != peerRead {
+	if c.in.peer != peerEOFRead {
 		if events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLERR|unix.EPOLLHUP) != 0 {
 			c.read()
 		}
@@ -177,67 +161,69 @@
 	}
 }
 
+// read makes one system call and passes what it returns to the handler. Epoll reports the rest again.
 func (c *Conn) read() {
 	scratch := c.loop.scratch
-	n, err := read(c.fd, scratch)
+	n, errno := read(c.fd, scratch)
 	switch {
-	case err == unix.EAGAIN || err == unix.EINTR:
-	case err != nil:
-		c.fail(err)
+	case errno == unix.EAGAIN || errno == unix.EINTR:
+	case errno != 0:
+		c.fail(errno)
 	case n == 0:
-		c.in.peer = peerRead
-		c.scheduleSettle()
+		c.in.peer = peerEOFRead
+		c.markPending()
 		c.handler.EOF(c)
-	case len(c.in.kept) == 0:
-		used := c.handler.Data(c, scratch[:n])
-		c.keep(scratch[used:n])
+	case len(c.in.unconsumed) == 0:
+		consumed := c.handler.Data(c, scratch[:n])
+		c.keepUnconsumed(scratch[consumed:n])
 	default:
-		c.keep(scratch[:n])
+		c.keepUnconsumed(scratch[:n])
 		c.deliver()
 	}
 }
 
-// redeliver hands over the bytes kept from before a pause that has ended.
+// redeliver delivers unconsumed bytes after the end of a pause.
 func (c *Conn) redeliver() {
-	if c.in.redeliver && !c.in.paused() {
-		c.in.redeliver = false
+	if c.in.redeliveryDue && !c.in.paused() {
+		c.in.redeliveryDue = false
 		c.deliver()
 	}
 }
 
-// deliver hands over the kept bytes. The handler may close the connection meanwhile, so the
-// buffer is not the connection's until it has returned.
+// deliver passes all unconsumed bytes to the handler. The handler may close the connection, which
+// returns its buffers. So the buffer is not the connection's during the call.
 func (c *Conn) deliver() {
-	kept := c.in.kept
-	c.in.kept = nil
-	used := c.handler.Data(c, kept)
-	rest := copy(kept, kept[used:])
+	unconsumed := c.in.unconsumed
+	c.in.unconsumed = nil
+	consumed := c.handler.Data(c, unconsumed)
+	rest := copy(unconsumed, unconsumed[consumed:])
 	if rest > 0 && c.keepsInput() {
-		c.in.kept = kept[:rest]
+		c.in.unconsumed = unconsumed[:rest]
 	} else {
-		c.loop.buffers.put(kept)
+		c.loop.buffers.put(unconsumed)
 	}
 }
 
-// keep adds bytes to those that the handler did not consume.
-func (c *Conn) keep(b []byte) {
+// keepUnconsumed adds bytes to the unconsumed ones.
+func (c *Conn) keepUnconsumed(b []byte) {
 	if len(b) == 0 || !c.keepsInput() {
 		return
 	}
-	size := len(c.in.kept) + len(b)
-	if size > cap(c.in.kept) {
-		grown := append(c.loop.buffers.get(size)[:0], c.in.kept...)
-		c.loop.buffers.put(c.in.kept)
-		c.in.kept = grown
+	size := len(c.in.unconsumed) + len(b)
+	if size > cap(c.in.unconsumed) {
+		grown := append(c.loop.buffers.get(size)[:0], c.in.unconsumed...)
+		c.loop.buffers.put(c.in.unconsumed)
+		c.in.unconsumed = grown
 	}
-	c.in.kept = append(c.in.kept, b...)
+	c.in.unconsumed = append(c.in.unconsumed, b...)
 }
 
-// keepsInput reports whether there is a handler that wants bytes it did not consume.
+// keepsInput reports whether the handler may still get input that it did not consume.
 func (c *Conn) keepsInput() bool { return !c.IsClosed() && !c.state.closing() }
 
+// dropInput discards the unconsumed bytes.
 func (c *Conn) dropInput() {
-	c.loop.buffers.put(c.in.kept)
-	c.in.kept = nil
-	c.in.redeliver = false
+	c.loop.buffers.put(c.in.unconsumed)
+	c.in.unconsumed = nil
+	c.in.redeliveryDue = false
 }
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -12,60 +12,49 @@
 )
 
 const (
-	backlog = 4096 // connections that may wait in the kernel; it caps this at net.core.somaxconn
+	// backlog is how many connections may wait in the kernel, which caps it at net.core.somaxconn.
+	backlog = 4096
 	// acceptsPerEvent bounds the connections accepted at once, so that a flood of new ones does not
-	// starve the old ones.
+	// delay the open ones.
 	acceptsPerEvent = 64
-	// starvedRetryDelay is after how long a listener that found no descriptor tries again, where
-	// none of the loop's own was freed before.
+	// starvedRetryDelay is the pause of a listener that found no free descriptor. It resumes earlier if
+	// the loop closes a descriptor. Descriptors that others close are noticed after this delay.
 	starvedRetryDelay = 100 * time.Millisecond
 )
 
-// listenerState is the life of a listener.
+// listenerState is whether a listener accepts connections.
 type listenerState uint8
 
 const (
-	listenerAccepting listenerState = iota
-	listenerAtMax                   // Listener.Max connections are open: one must close first
-	listenerClosed
+	listenerAccepting listenerState = iota // accepting
+	// listenerAtMax is a listener with Listener.MaxOpen open connections.
+	listenerAtMax  // at max
+	listenerClosed // closed
 )
 
-// String returns the name of the state.
-func (s listenerState) String() string {
-	switch s {
-	case listenerAccepting:
-		return "accepting"
-	case listenerAtMax:
-		return "at max"
-	case listenerClosed:
-		return "closed"
-	}
-	return "unknown"
-}
-
-// Listener accepts connections. It belongs to its loop.
+// Listener accepts connections on an address. It belongs to its loop.
 type Listener struct {
 	loop       *Loop
 	fd         int
 	addr       netip.AddrPort
 	accept     func(*Conn) Handler
 	state      listenerState
-	retryTimer timerwheel.Timer // while it is starved of descriptors
+	retryTimer timerwheel.Timer // runs while the listener is starved of descriptors
 	open       int
-	// MaxOpen bounds how many of its connections are open at once; 0 is no bound.
-	// Those above it wait in the kernel's backlog.
+	// MaxOpen bounds the listener's open connections. Further ones wait in the kernel's backlog. 0
+	// sets no bound.
 	MaxOpen int
 }
 
-// Listen opens a listener at an address; port 0 lets the kernel pick one. accept is called on
-// the loop and returns the handler of each new connection, or nil to close it.
+// Listen opens a listener on addr. Port 0 lets the kernel choose one. accept is called on the loop for
+// each new connection and returns its handler, or nil to close it.
 func (l *Loop) Listen(addr netip.AddrPort, accept func(*Conn) Handler) (*Listener, error) {
 	fd, bound, err := openListener(addr)
 	if err != nil {
 		return nil, fmt.Errorf("eventloop: listen %s: %w", addr, err)
 	}
 	if err := l.poller.add(fd, unix.EPOLLIN); err != nil {
-		unix.Close(fd)
+		closeDescriptor(fd)
 		return nil, fmt.Errorf("eventloop: listen %s: %w", addr, err)
 	}
 	ln := &Listener{loop: l, fd: fd, addr: bound, accept: accept}
@@ -74,7 +63,7 @@
 	return ln, nil
 }
 
-// openListener returns a descriptor that listens at addr, and the address that it is bound to.
+// openListener returns a descriptor that listens on addr, and the address that it is bound to.
 func openListener(addr netip.AddrPort) (int, netip.AddrPort, error) {
 	family, sa := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -83,7 +72,7 @@
 	}
 	bound, err := bindAndListen(fd, sa)
 	if err != nil {
-		unix.Close(fd)
+		closeDescriptor(fd)
 		return 0, netip.AddrPort{}, err
 	}
 	return fd, bound, nil
@@ -106,19 +95,19 @@
 	return addrPort(bound), nil
 }
 
-// Addr returns the address that it listens at.
+// Addr returns the address that the listener is bound to.
 func (ln *Listener) Addr() netip.AddrPort { return ln.addr }
 
-// Open returns how many of its connections are open.
+// Open returns the number of open connections that the listener has accepted.
 func (ln *Listener) Open() int { return ln.open }
 
-// Close stops accepting; open connections stay. Those that the system has accepted already are
-// taken first, or they would be reset.
+// Close stops accepting. Open connections stay open. Those in the backlog are accepted first, as the
+// kernel would reset them.
 func (ln *Listener) Close() {
 	if ln.state == listenerClosed {
 		return
 	}
-	for range backlog { // more cannot wait; the bound keeps a call that fails again and again from holding up the loop
+	for range backlog { // no more can wait, and accept may fail without end
 		if !ln.acceptOne() {
 			break
 		}
@@ -127,20 +116,20 @@
 	ln.loop.StopTimer(&ln.retryTimer)
 	delete(ln.loop.starved, ln)
 	delete(ln.loop.sources, ln.fd)
-	unix.Close(ln.fd) // at once: a client must not wait in a backlog that nobody reads
+	closeDescriptor(ln.fd) // now: a client must not wait in a backlog that is not accepted from
 }
 
-// watch sets the events that the listener waits for; none pauses it.
+// watch sets the events that the listener waits for. 0 pauses it.
 func (ln *Listener) watch(events uint32) {
 	if ln.state != listenerClosed {
-		_ = ln.loop.poller.modify(ln.fd, events)
+		_ = ln.loop.poller.modify(ln.fd, events) // an open descriptor that is watched can be modified
 	}
 }
 
 // ready implements source.
 func (ln *Listener) ready(uint32) {
 	for range acceptsPerEvent {
-		if ln.full() {
+		if ln.atMax() {
 			ln.state = listenerAtMax
 			ln.watch(0)
 			return
@@ -151,19 +140,19 @@
 	}
 }
 
-func (ln *Listener) full() bool { return ln.MaxOpen > 0 && ln.open >= ln.MaxOpen }
+func (ln *Listener) atMax() bool { return ln.MaxOpen > 0 && ln.open >= ln.MaxOpen }
 
-// acceptOne accepts a connection and reports whether there may be another.
+// acceptOne accepts a connection, if there is one, and reports whether there may be another.
 func (ln *Listener) acceptOne() bool {
-	if ln.full() {
+	if ln.atMax() {
 		return false
 	}
 	fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	switch {
-	case noResources(err):
+	case isResourceShortage(err):
 		ln.starve()
 		return false
-	case isPassing(err):
+	case isTransient(err):
 		return true
 	case err != nil:
 		return false
@@ -172,24 +161,32 @@
 	return true
 }
 
-func noResources(err error) bool {
-	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) ||
-		errors.Is(err, unix.ENOBUFS) || errors.Is(err, unix.ENOMEM)
+// isResourceShortage reports whether accept failed for lack of descriptors or memory.
+func isResourceShortage(err error) bool {
+	errno, _ := errors.AsType[unix.Errno](err)
+	switch errno {
+	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
+		return true
+	default:
+		return false
+	}
 }
 
-// isPassing tells whether accept failed for a moment or for one connection only: EINTR, and errors of the
-// network that were pending on a connection, which Linux reports here (accept(2)).
-func isPassing(err error) bool {
-	switch err {
+// isTransient reports whether accept may succeed if it is called again at once. That is so after EINTR
+// and after network errors that were pending on one connection, which Linux reports here (accept(2)).
+func isTransient(err error) bool {
+	errno, _ := errors.AsType[unix.Errno](err)
+	switch errno {
 	case unix.EINTR, unix.ECONNABORTED, unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
 		unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EPERM:
 		return true
+	default:
+		return false
 	}
-	return false
 }
 
-// starve pauses a listener that found no descriptor. The connection stays in the backlog, and a
-// level-triggered loop would spin on it.
+// starve pauses a listener that found no free descriptor. The connection stays in the backlog, where
+// epoll would report it in each iteration.
 func (ln *Listener) starve() {
 	ln.watch(0)
 	ln.loop.starved[ln] = struct{}{}
@@ -202,11 +199,12 @@
 	ln.watch(unix.EPOLLIN)
 }
 
-// admit makes an accepted descriptor a connection, or closes it where it gets no handler.
+// admit makes an accepted descriptor a connection. It closes the descriptor if epoll rejects it or the
+// connection gets no handler.
 func (ln *Listener) admit(fd int) {
 	c := &Conn{loop: ln.loop, fd: fd, listener: ln}
 	if c.register(unix.EPOLLIN|unix.EPOLLRDHUP) != nil {
-		unix.Close(fd)
+		closeDescriptor(fd)
 		return
 	}
 	ln.open++
@@ -216,7 +214,7 @@
 	}
 }
 
-// connClosed is called when one of its connections has closed.
+// connClosed is called when a connection of the listener has closed.
 func (ln *Listener) connClosed() {
 	ln.open--
 	if ln.state == listenerAtMax {
--- a/internal/eventloop/mailbox.go
+++ b/internal/eventloop/mailbox.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// noDescriptor is the descriptor of a mailbox that is closed.
+// noDescriptor is the descriptor of a closed mailbox.
 const noDescriptor = -1
 
-// mailbox takes functions from other goroutines and wakes the loop for them over an eventfd.
+// mailbox passes functions from other goroutines to the loop. An eventfd wakes the loop for them.
 type mailbox struct {
 	eventfd int // written under mu
 
@@ -34,12 +34,13 @@
 	m.signalled = m.signal()
 }
 
-// signal makes the eventfd readable. It returns false where that failed: the next put tries again.
+// signal makes the eventfd readable and reports whether it is. After a failure the next put tries
+// again.
 func (m *mailbox) signal() bool {
 	for {
 		_, err := unix.Write(m.eventfd, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 		switch {
-		case err == nil, errors.Is(err, unix.EAGAIN): // EAGAIN: it is readable already
+		case err == nil, errors.Is(err, unix.EAGAIN): // EAGAIN: the counter is at its maximum, so it is readable
 			return true
 		case !errors.Is(err, unix.EINTR):
 			return false
@@ -47,10 +48,10 @@
 	}
 }
 
-// takeAll returns the functions that have come and makes the eventfd unreadable.
+// takeAll returns the functions added so far and makes the eventfd unreadable.
 func (m *mailbox) takeAll() []func() {
 	var counter [8]byte
-	_, _ = unix.Read(m.eventfd, counter[:])
+	_, _ = unix.Read(m.eventfd, counter[:]) // if it fails, the loop wakes once more than needed
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	functions := m.functions
@@ -59,10 +60,10 @@
 	return functions
 }
 
-// close makes further calls of put do nothing.
+// close closes the eventfd. Later calls of put have no effect.
 func (m *mailbox) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	unix.Close(m.eventfd)
+	closeDescriptor(m.eventfd)
 	m.eventfd = noDescriptor
 }
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -6,26 +6,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// iovecsPerWrite bounds the segments of one writev: an iovec costs time to set up, and few
+// iovecsPerWrite bounds the segments of one writev. Each iovec takes time to set up, and few
 // connections have more segments.
 const iovecsPerWrite = 16
 
-// output is the writing half of a connection: the bytes that its peer has not taken.
+// output is the writing half of a connection.
 type output struct {
-	segments []segment
-	unsent   int  // bytes of all segments
-	lost     int  // bytes of them when the connection ended
-	full     bool // reached the high-water mark, and the handler was not told to go on since
+	segments      []segment // unsent bytes in order
+	unsent        int       // bytes of all segments
+	unsentAtClose int       // bytes that were unsent when the connection closed
+	writableDue   bool      // the high-water mark was reached, and Writable has not been called since
 }
 
 // segment is a piece of unsent output.
 type segment struct {
 	unsent []byte
-	buffer []byte // the pooled buffer that unsent lies in; nil where the caller owns the bytes
-	filled int    // bytes of buffer that were ever used
+	buffer []byte // pooled, holds unsent; nil if the bytes are those of a WriteRef
+	filled int    // bytes of buffer used so far, sent ones included
 }
 
-// hasSpace reports whether more bytes can be copied to the segment.
+// hasSpace reports whether the segment's buffer can take more bytes.
 func (s *segment) hasSpace() bool { return s.filled < len(s.buffer) }
 
 // fill copies as many bytes as fit and returns their number.
@@ -36,17 +36,18 @@
 	return n
 }
 
-// UnsentBytes returns the number of bytes written that the system has not taken.
+// UnsentBytes returns the number of bytes written that the kernel has not accepted.
 func (c *Conn) UnsentBytes() int { return c.out.unsent }
 
-// UnsentAtClose returns how many bytes were unsent when the connection ended.
-func (c *Conn) UnsentAtClose() int { return c.out.lost }
+// UnsentAtClose returns how many bytes were unsent when the connection closed. On an open connection
+// it returns 0.
+func (c *Conn) UnsentAtClose() int { return c.out.unsentAtClose }
 
-// AboveHighWaterMark reports whether unsent output has reached the high-water mark: its source should pause
-// until the handler is told that it fell to the low one.
+// AboveHighWaterMark reports whether unsent output has reached the high-water mark. Its source
+// should pause then until Handler.Writable is called.
 func (c *Conn) AboveHighWaterMark() bool { return c.out.unsent >= c.loop.opts.HighWaterMark }
 
-// Write buffers a copy of b; it is sent at the end of the iteration.
+// Write buffers a copy of b, which is sent at the end of the iteration.
 func (c *Conn) Write(b []byte) {
 	if c.IsClosed() {
 		return
@@ -55,7 +56,7 @@
 	c.written()
 }
 
-// WriteRef buffers b itself, which belongs to the connection from now on and must not change.
+// WriteRef buffers b without a copy. b belongs to the connection from now on and must not change.
 func (c *Conn) WriteRef(b []byte) {
 	if c.IsClosed() {
 		return
@@ -67,9 +68,10 @@
 	c.written()
 }
 
+// written follows each growth of the output.
 func (c *Conn) written() {
-	c.out.full = c.out.full || c.AboveHighWaterMark()
-	c.scheduleSettle()
+	c.out.writableDue = c.out.writableDue || c.AboveHighWaterMark()
+	c.markPending()
 }
 
 // append copies b to the last segment's buffer and to new ones.
@@ -87,11 +89,12 @@
 	}
 }
 
-// flush sends what the system takes. It ends the connection where that fails, or where more
-// remains than the options allow; bytes that the caller owns may pass that bound while they are last.
+// flush sends as much output as the kernel accepts. It closes the connection if that fails, or if
+// more than Options.MaxUnsentBytes remain. Bytes of a WriteRef may exceed that limit while they are
+// the last ones: they take no memory of the loop.
 func (c *Conn) flush() {
-	if err := c.send(); err != nil {
-		c.fail(err)
+	if errno := c.send(); errno != 0 {
+		c.fail(errno)
 		return
 	}
 	if c.out.unsent <= c.loop.opts.MaxUnsentBytes {
@@ -103,22 +106,26 @@
 	}
 }
 
-func (c *Conn) send() error {
+// send writes until all output is sent or the kernel accepts no more. It returns 0 in both cases.
+func (c *Conn) send() unix.Errno {
 	for c.out.unsent > 0 {
-		n, err := c.out.writeTo(c.fd, c.loop.iovecs[:])
-		if err == unix.EAGAIN {
-			return nil
+		n, errno := c.out.writeTo(c.fd, c.loop.iovecs[:])
+		switch errno {
+		case 0:
+			c.out.removeSent(&c.loop.buffers, n)
+		case unix.EINTR:
+		case unix.EAGAIN:
+			return 0
+		default:
+			return errno
 		}
-		if err != nil && err != unix.EINTR {
-			return err
-		}
-		c.out.sent(&c.loop.buffers, max(n, 0))
 	}
-	return nil
+	return 0
 }
 
-// writeTo makes one system call that writes the first segments.
-func (o *output) writeTo(fd int, iovecs []unix.Iovec) (int, error) {
+// writeTo makes one system call that writes the first segments. It returns how many bytes the
+// kernel accepted.
+func (o *output) writeTo(fd int, iovecs []unix.Iovec) (int, unix.Errno) {
 	if len(o.segments) == 1 {
 		return write(fd, o.segments[0].unsent)
 	}
@@ -128,20 +135,20 @@
 		iovecs[i].Base = unsafe.SliceData(unsent)
 		iovecs[i].SetLen(len(unsent))
 	}
-	n, err := writev(fd, iovecs)
-	clear(iovecs) // they would keep the bytes from the garbage collector
-	return n, err
+	n, errno := writev(fd, iovecs)
+	clear(iovecs) // the loop's iovecs must not keep the bytes alive
+	return n, errno
 }
 
-// sent takes the first n bytes off and releases the segments that they complete.
-func (o *output) sent(buffers *bufferPool, n int) {
+// removeSent removes the first n bytes and releases the segments that are sent whole.
+func (o *output) removeSent(buffers *bufferPool, n int) {
 	o.unsent -= n
 	done := 0
 	for n > 0 {
 		s := &o.segments[done]
-		taken := min(n, len(s.unsent))
-		s.unsent = s.unsent[taken:]
-		n -= taken
+		sent := min(n, len(s.unsent))
+		s.unsent = s.unsent[sent:]
+		n -= sent
 		if len(s.unsent) == 0 {
 			buffers.put(s.buffer)
 			*s = segment{}
@@ -157,20 +164,20 @@
 	}
 }
 
-// lose releases all segments when the connection ends.
-func (o *output) lose(buffers *bufferPool) {
+// discardAll releases all segments when the connection closes.
+func (o *output) discardAll(buffers *bufferPool) {
 	for i := range o.segments {
 		buffers.put(o.segments[i].buffer)
 	}
-	o.lost = o.unsent
+	o.unsentAtClose = o.unsent
 	o.segments = nil
 	o.unsent = 0
 }
 
-// tellDrained resumes the source of the output once the low-water mark is reached.
-func (c *Conn) tellDrained() {
-	if c.out.full && c.out.unsent <= c.loop.opts.LowWaterMark {
-		c.out.full = false
+// notifyWritable calls Writable once output has fallen from the high-water to the low-water mark.
+func (c *Conn) notifyWritable() {
+	if c.out.writableDue && c.out.unsent <= c.loop.opts.LowWaterMark {
+		c.out.writableDue = false
 		c.handler.Writable(c)
 	}
 }
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -2,7 +2,7 @@
 
 import "golang.org/x/sys/unix"
 
-// poller is an epoll instance (epoll(7)), level-triggered.
+// poller is a level-triggered epoll instance (epoll(7)).
 type poller struct{ fd int }
 
 func openPoller() (poller, error) {
@@ -10,7 +10,7 @@
 	return poller{fd: fd}, err
 }
 
-// add watches a descriptor for events.
+// add starts to watch a descriptor for events.
 func (p poller) add(fd int, events uint32) error {
 	event := unix.EpollEvent{Events: events, Fd: int32(fd)}
 	return unix.EpollCtl(p.fd, unix.EPOLL_CTL_ADD, fd, &event)
@@ -22,17 +22,18 @@
 	return unix.EpollCtl(p.fd, unix.EPOLL_CTL_MOD, fd, &event)
 }
 
-// remove ends the watch over a descriptor, if there is one.
+// remove stops watching a descriptor. The call fails only if the descriptor is not watched, which
+// is then what the caller wants.
 func (p poller) remove(fd int) {
 	_ = unix.EpollCtl(p.fd, unix.EPOLL_CTL_DEL, fd, nil)
 }
 
-// wait blocks until there are events or timeout milliseconds have passed, -1 for no bound.
+// wait blocks until there are events or timeout milliseconds have passed. -1 sets no bound.
 func (p poller) wait(events []unix.EpollEvent, timeout int) (int, error) {
 	return unix.EpollWait(p.fd, events, timeout)
 }
 
-// poll returns the events that there are now, and false where the call failed: then events is as it was.
+// poll is wait without blocking. If it reports false, the call failed and events is unchanged.
 func (p poller) poll(events []unix.EpollEvent) (n int, ok bool) { return pollEvents(p.fd, events) }
 
-func (p poller) close() error { return unix.Close(p.fd) }
+func (p poller) close() { closeDescriptor(p.fd) }
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -9,19 +9,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxTimerDelay is how many iterations timers may wait while there are more events than one
-// iteration takes.
+// maxTimerDelay is how many iterations timers may wait while each iteration has as many events as it
+// can take. Bytes that arrived before a timer was due should be read before it fires, but a flood of
+// events must not stop all timers.
 const maxTimerDelay = 8
 
-// Run runs the loop on the calling goroutine, whose thread it locks, until it is stopped. Then it closes
-// every descriptor of the loop, without telling the handlers. The error is that of epoll.
+// Run runs the loop on the calling goroutine, locked to its thread, until Stop. Before it returns it
+// closes every descriptor of the loop. Handlers get no call for that. The error is that of epoll_wait.
 func (l *Loop) Run() error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	defer l.closeAll()
 	events := make([]unix.EpollEvent, l.maxEvents)
 	n := 0
-	timersDelayed := 0
+	timerDelay := 0 // iterations since timers last fired
 	for !l.stopped {
 		var err error
 		n, err = l.wait(events, n)
@@ -29,21 +30,21 @@
 			return err
 		}
 		l.dispatch(events[:n])
-		timersDelayed++
-		if n < len(events) || timersDelayed > maxTimerDelay {
-			timersDelayed = 0
+		timerDelay++
+		if n < len(events) || timerDelay > maxTimerDelay {
+			timerDelay = 0
 			l.wheel.Advance(uint64(l.now / tick))
 		}
-		l.settle()
+		l.finishIteration()
 	}
 	return nil
 }
 
-// wait begins an iteration: it waits for events and reads the clock. previous is the number of
-// events of the iteration before.
+// wait begins an iteration: it waits for events and reads the clock. It returns the number of
+// events. previous is that of the iteration before.
 func (l *Loop) wait(events []unix.EpollEvent, previous int) (int, error) {
 	n := 0
-	if previous > 1 { // busy: more has come by now, most likely
+	if previous > 1 { // on a busy loop more has most likely arrived, and a poll is cheaper than a wait
 		n, _ = l.poller.poll(events)
 	}
 	if n == 0 {
@@ -56,8 +57,9 @@
 	l.now = time.Since(l.origin)
 	l.iterations++
 	if n < len(events) && l.timersDue() {
-		// This thread may have been held up after epoll_wait returned. What has come by now came
-		// before the timers that are due: a late loop must not take its own lateness for a peer's.
+		// This thread may have been delayed after epoll_wait returned. Events that arrived meanwhile are
+		// handled before the timers that are due. Without this, a late loop would time out peers that
+		// were in time.
 		if current, ok := l.poller.poll(events); ok {
 			n = current
 		}
@@ -65,7 +67,7 @@
 	return max(n, 0), nil
 }
 
-// waitTimeout returns how long epoll_wait may wait, in milliseconds.
+// waitTimeout returns how long epoll_wait may block, in milliseconds. -1 sets no bound.
 func (l *Loop) waitTimeout() int {
 	next, ok := l.wheel.NextDeadline()
 	if !ok {
@@ -75,21 +77,22 @@
 	return int(max((ahead+tick-1)/tick, 0))
 }
 
+// timersDue reports whether a timer is due at Now.
 func (l *Loop) timersDue() bool {
 	next, ok := l.wheel.NextDeadline()
 	return ok && next <= uint64(l.now/tick)
 }
 
-// dispatch hands events to the mailbox, connections and listeners.
+// dispatch passes events to the mailbox, connections and listeners.
 func (l *Loop) dispatch(events []unix.EpollEvent) {
-	clear(l.pending.closed)
+	clear(l.pending.closedDescriptors)
 	for i := range events {
 		fd := int(events[i].Fd)
 		if fd == l.mailbox.eventfd {
 			l.runPosted()
 			continue
 		}
-		if _, closed := l.pending.closed[fd]; closed {
+		if _, closed := l.pending.closedDescriptors[fd]; closed {
 			continue
 		}
 		if source := l.sources[fd]; source != nil {
@@ -104,6 +107,7 @@
 	}
 }
 
+// handle passes events to a source and recovers from a panic of its handler.
 func (l *Loop) handle(s source, events uint32) {
 	if l.opts.OnPanic != nil {
 		defer l.recoverFrom(s)
@@ -111,7 +115,8 @@
 	s.ready(events)
 }
 
-// recoverFrom ends the connection whose handler has panicked. It must be deferred itself.
+// recoverFrom closes the connection whose handler has panicked. It must be the deferred function
+// itself, as recover works nowhere else.
 func (l *Loop) recoverFrom(s source) {
 	reason := recover()
 	if reason == nil {
@@ -127,12 +132,12 @@
 			l.opts.OnPanic(again)
 		}
 	}()
-	c.fail(fmt.Errorf("eventloop: panic of a handler: %v", reason))
+	c.fail(fmt.Errorf("eventloop: handler panicked: %v", reason))
 }
 
-// settle ends an iteration: it runs the deferred functions and settles the connections that
-// changed, until neither has made more of them.
-func (l *Loop) settle() {
+// finishIteration runs the deferred functions and flushes the pending connections. Either may add
+// to both, so it repeats until none are left.
+func (l *Loop) finishIteration() {
 	for len(l.pending.deferred) > 0 || len(l.pending.conns) > 0 {
 		deferred := l.pending.deferred
 		l.pending.deferred = nil
@@ -142,8 +147,8 @@
 		conns := l.pending.conns
 		l.pending.conns = nil
 		for _, c := range conns {
-			c.unsettled = false
-			l.settleConn(c)
+			c.pending = false
+			l.flushConn(c)
 		}
 	}
 	if l.pending.descriptorFreed {
@@ -152,14 +157,15 @@
 	}
 }
 
-func (l *Loop) settleConn(c *Conn) {
+// flushConn is Conn.flushPending and recovers from a panic of the handler.
+func (l *Loop) flushConn(c *Conn) {
 	if l.opts.OnPanic != nil {
 		defer l.recoverFrom(c)
 	}
-	c.settle()
+	c.flushPending()
 }
 
-// resumeStarved lets the listeners accept that waited for a free descriptor.
+// resumeStarved makes the listeners accept again that waited for a free descriptor.
 func (l *Loop) resumeStarved() {
 	for ln := range l.starved {
 		delete(l.starved, ln)
@@ -169,9 +175,9 @@
 
 func (l *Loop) closeAll() {
 	for fd := range l.sources {
-		unix.Close(fd)
+		closeDescriptor(fd)
 	}
 	l.sources = nil
-	_ = l.poller.close()
+	l.poller.close()
 	l.mailbox.close()
 }
--- a/internal/eventloop/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -6,46 +6,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// On a non-blocking socket these calls never wait, so the scheduler need not be told of
-// them: unix.Read would hand the processor over and take it back each time.
+// The raw calls below never block on a non-blocking descriptor, so the scheduler need not know of
+// them: unix.Read would release the processor and acquire it again each time. They return the errno
+// itself, 0 on success, which is compared without the cost of errors.Is.
 
-func read(fd int, b []byte) (int, error) {
+func read(fd int, b []byte) (int, unix.Errno) {
 	n, _, errno := unix.RawSyscall(unix.SYS_READ, uintptr(fd), uintptr(unsafe.Pointer(unsafe.SliceData(b))), uintptr(len(b)))
-	if errno != 0 {
-		return -1, errno
-	}
-	return int(n), nil
+	return int(n), errno
 }
 
-func write(fd int, b []byte) (int, error) {
+func write(fd int, b []byte) (int, unix.Errno) {
 	n, _, errno := unix.RawSyscall(unix.SYS_WRITE, uintptr(fd), uintptr(unsafe.Pointer(unsafe.SliceData(b))), uintptr(len(b)))
-	if errno != 0 {
-		return -1, errno
-	}
-	return int(n), nil
+	return int(n), errno
 }
 
-func writev(fd int, iovecs []unix.Iovec) (int, error) {
+func writev(fd int, iovecs []unix.Iovec) (int, unix.Errno) {
 	n, _, errno := unix.RawSyscall(unix.SYS_WRITEV, uintptr(fd), uintptr(unsafe.Pointer(unsafe.SliceData(iovecs))), uintptr(len(iovecs)))
-	if errno != 0 {
-		return -1, errno
-	}
-	return int(n), nil
+	return int(n), errno
 }
 
-// peek returns the error that a read would and consumes nothing: nil where there are bytes or
-// the end of the stream.
-func peek(fd int) error {
+// peek returns the errno that a read would fail with, without consuming input. It returns 0 if there
+// are bytes to read or the peer's half has ended.
+func peek(fd int) unix.Errno {
 	var b [1]byte
 	_, _, errno := unix.RawSyscall6(unix.SYS_RECVFROM, uintptr(fd), uintptr(unsafe.Pointer(&b[0])), 1, unix.MSG_PEEK|unix.MSG_DONTWAIT, 0, 0)
-	if errno != 0 {
-		return errno
-	}
-	return nil
+	return errno
 }
 
-// pollEvents is an epoll_wait that does not wait. It returns how many events it has set, and false where the
-// call failed and has set none.
+// pollEvents is epoll_wait with a time-out of 0. It returns how many events it has set. If it
+// reports false, the call failed and events is unchanged.
 func pollEvents(epoll int, events []unix.EpollEvent) (n int, ok bool) {
 	count, _, errno := unix.RawSyscall6(unix.SYS_EPOLL_PWAIT, uintptr(epoll), uintptr(unsafe.Pointer(unsafe.SliceData(events))), uintptr(len(events)), 0, 0, 0)
 	if errno != 0 {
@@ -53,3 +42,7 @@
 	}
 	return int(count), true
 }
+
+// closeDescriptor closes a descriptor of the loop. The error is ignored: Linux has released the
+// descriptor when close returns, whatever it returns (close(2)), and nobody could act on the error.
+func closeDescriptor(fd int) { _ = unix.Close(fd) }
--- a/internal/eventloop/syscalls_test.go
+++ b/internal/eventloop/syscalls_test.go
@@ -56,16 +56,16 @@
 		unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
 		unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ECONNABORTED, unix.EINTR, unix.ETIMEDOUT,
 	} {
-		if !isPassing(errno) || noResources(errno) {
+		if !isTransient(errno) || isResourceShortage(errno) {
 			t.Errorf("%v stops accepting", errno)
 		}
 	}
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM} {
-		if !noResources(errno) || isPassing(errno) {
+		if !isResourceShortage(errno) || isTransient(errno) {
 			t.Errorf("%v does not pause the listener", errno)
 		}
 	}
-	if isPassing(unix.EAGAIN) || isPassing(errors.New("x")) {
+	if isTransient(unix.EAGAIN) || isTransient(errors.New("x")) {
 		t.Error("an empty backlog is no passing error")
 	}
 }
