--- a/control/admission/deadline.go
+++ b/control/admission/deadline.go
@@ -10,9 +10,9 @@
 // maxEstimateSeconds bounds an estimated time to completion, so that it fits a time.Duration.
 const maxEstimateSeconds = 1e6
 
-// estimateCompletion returns when ownTokens of a tenant's work would have ended: after all that is
-// outstanding, and after what other tenants are served meanwhile by their fair shares. Of what waits,
-// excludedTokens are left out. The tenant may be nil, for one that is new.
+// estimateCompletion returns the time at which ownTokens of a tenant's work would have ended. The work ends
+// after all outstanding units and after what other tenants are served meanwhile by their fair shares.
+// excludedTokens of the waiting work are not counted. tenant is nil for a tenant that is not known yet.
 func (q *Queue) estimateCompletion(now control.Time, tenant *tenantQueue, ownTokens, excludedTokens float64) control.Time {
 	rate := q.throughput.optimisticRate(now)
 	if rate == 0 {
@@ -30,8 +30,8 @@
 	return now.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// rejectLate cancels the requests that can't end before their deadlines. Those behind a rejected one are
-// estimated without it, and may be in time then.
+// rejectLate cancels and returns the requests that cannot end before their deadlines. A request behind a
+// rejected one is estimated without it, and may then be in time.
 func (q *Queue) rejectLate(now control.Time) []Rejection {
 	var rejected []Rejection
 	rejectedTokens := 0.0
--- a/control/admission/example_test.go
+++ b/control/admission/example_test.go
@@ -8,7 +8,7 @@
 	"martenlock/control/admission"
 )
 
-// A large request of two units on one endpoint: the second is admitted after the first has ended.
+// A large request of two units on one endpoint. The second unit is admitted after the first has ended.
 func Example() {
 	queue := admission.NewQueue(admission.Settings{LargeTokens: 500})
 	queue.SetReadyEndpoints(1)
@@ -21,7 +21,7 @@
 	fmt.Println(first, queue.Poll(start).Admitted)
 
 	end := start.Add(100 * time.Millisecond)
-	queue.Complete(end, first[0], admission.Served)
+	queue.Complete(end, first[0], admission.UnitServed)
 	fmt.Println(queue.Poll(end).Admitted)
 	// Output:
 	// [{1 0}] []
--- a/control/admission/limits.go
+++ b/control/admission/limits.go
@@ -6,24 +6,24 @@
 	"martenlock/control"
 )
 
-// TokenLimits is the most tokens that one request may have at the endpoints of a pool; 0 for not known. A
-// request beyond them fits no endpoint, whenever it comes.
+// TokenLimits is the most tokens that one request may have at the endpoints of a pool. A limit of 0 is not
+// known. A request beyond the limits fits no endpoint at any time.
 type TokenLimits struct {
-	Context float64 // prompt and answer together, by the model
-	Prefill float64 // prompt, by the memory of the largest prefill endpoint
-	Decode  float64 // prompt and answer together, by the memory of the largest decode endpoint
+	Context float64 // of prompt and answer together, by the model
+	Prefill float64 // of the prompt, by the memory of the largest prefill endpoint
+	Decode  float64 // of prompt and answer together, by the memory of the largest decode endpoint
 }
 
-// Endpoint is what the limits need to know of an endpoint.
+// Endpoint is the part of an endpoint that the limits depend on.
 type Endpoint struct {
 	Role         control.Role
-	MemoryTokens float64 // 0 for not known: it may hold anything
+	MemoryTokens float64 // tokens that its memory holds; 0 is not known and counts as unlimited
 }
 
-// NewTokenLimits returns the limits at some endpoints, of a model with a context of so many tokens (0 for
-// not known).
-func NewTokenLimits(context float64, endpoints []Endpoint) TokenLimits {
-	limits := TokenLimits{Context: context}
+// NewTokenLimits returns the limits at the given endpoints. contextTokens is the model's context length, or 0
+// if it is not known.
+func NewTokenLimits(contextTokens float64, endpoints []Endpoint) TokenLimits {
+	limits := TokenLimits{Context: contextTokens}
 	for _, endpoint := range endpoints {
 		memory := infiniteIfUnknown(endpoint.MemoryTokens)
 		if endpoint.Role != control.RoleDecode {
@@ -36,26 +36,26 @@
 	return limits
 }
 
-// totalLimit returns how many tokens prompt and answer may have together.
+// totalLimit returns the most tokens that prompt and answer may have together.
 func (l TokenLimits) totalLimit() float64 {
 	return min(infiniteIfUnknown(l.Context), infiniteIfUnknown(l.Decode))
 }
 
-// promptLimit returns how many tokens the prompt may have.
+// promptLimit returns the most tokens that the prompt may have.
 func (l TokenLimits) promptLimit() float64 {
 	return min(infiniteIfUnknown(l.Prefill), l.totalLimit())
 }
 
-// NeverFits reports whether a request fits no endpoint: a prompt with an uncorrected estimate of prompt
-// tokens, and answer tokens as its client has asked for. It returns the limit that the request was held
-// against, of the prompt or of both together.
-func (l TokenLimits) NeverFits(estimator *TokenEstimator, prompt, answer float64) (limit float64, neverFits bool) {
-	least := estimator.LowerBound(prompt)
-	if promptLimit := l.promptLimit(); least > promptLimit {
+// NeverFits reports whether a request fits no endpoint. promptTokens is the uncorrected estimate of its
+// prompt, and answerTokens is what its client asks for. NeverFits also returns the limit that the request was
+// compared with: that of the prompt if the prompt alone exceeds it, otherwise that of both together.
+func (l TokenLimits) NeverFits(estimator *TokenEstimator, promptTokens, answerTokens float64) (limit float64, neverFits bool) {
+	leastPromptTokens := estimator.LowerBound(promptTokens)
+	if promptLimit := l.promptLimit(); leastPromptTokens > promptLimit {
 		return promptLimit, true
 	}
 	totalLimit := l.totalLimit()
-	return totalLimit, least+answer > totalLimit
+	return totalLimit, leastPromptTokens+answerTokens > totalLimit
 }
 
 func infiniteIfUnknown(tokens float64) float64 {
--- a/control/admission/limits_test.go
+++ b/control/admission/limits_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestNeverFitsOnlyWhatExceedsLimits: a request that fits is never rejected while estimates are wrong by up
-// to four times and engines report correctly; far too much is rejected, from the first request on.
+// to four times and engines report correctly. A request far beyond the limit is rejected, from the first one.
 func TestNeverFitsOnlyWhatExceedsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0.25, 4).Draw(t, "actual over estimated")
@@ -26,7 +26,7 @@
 		if _, neverFits := limits.NeverFits(&estimator, actual/ratio, limit-actual); neverFits {
 			t.Fatalf("rejected %v of %v tokens, estimated as %v", actual, limit, actual/ratio)
 		}
-		for range rapid.IntRange(0, 200).Draw(t, "observed of others") { // who write densely, or next to nothing
+		for range rapid.IntRange(0, 200).Draw(t, "observed of others") { // with dense texts or tiny prompts
 			estimator.Observe(rapid.SampledFrom([]float64{1, 5000}).Draw(t, "size"), 20000)
 		}
 		if _, neverFits := limits.NeverFits(&estimator, actual/ratio, limit-actual); neverFits && ratio >= 0.5 {
@@ -37,7 +37,7 @@
 		}
 	})
 	estimator := TokenEstimator{}
-	estimator.Observe(1000, 500) // and then the prompts change
+	estimator.Observe(1000, 500) // from here on the prompts are denser
 	for range 300 {
 		estimator.Observe(1000, 2000)
 	}
--- a/control/admission/queue.go
+++ b/control/admission/queue.go
@@ -1,7 +1,6 @@
 package admission
 
 import (
-	"maps"
 	"time"
 
 	"martenlock/control"
@@ -9,17 +8,12 @@
 )
 
 const (
-	// pollInterval is how often waiting requests are looked at although no event comes: short beside
+	// pollInterval is the longest time between two polls while requests wait. It is short compared with
 	// any latency objective. It is also the least RetryAfter.
 	pollInterval = 50 * time.Millisecond
 	// unitAlpha is the weight of a new unit in the mean tokens of a unit.
 	unitAlpha = 0.1
-	// maxIdleTenants is how many tenants are remembered before those are forgotten that wait for
-	// nothing and have no service ahead of the others.
-	maxIdleTenants = 1024
-	// maxTenants is how many are remembered before all are forgotten that wait for nothing.
-	maxTenants = 4 * maxIdleTenants
-	// unitCompleted takes the place of a unit's tokens after its end.
+	// unitCompleted replaces the tokens of a unit that has ended.
 	unitCompleted = -1
 )
 
@@ -30,8 +24,8 @@
 	requests          map[RequestID]*queuedRequest
 	tenants           map[uint64]*tenantQueue
 	waitingTenants    *indexedheap.Heap[*tenantQueue] // the lowest start tag first
-	sequence          uint64
-	virtualTime       float64 // the start tag of the unit admitted last
+	sequence          uint64                          // of the latest accepted request
+	virtualTime       float64                         // the start tag of the unit admitted last
 	waitingTokens     float64
 	outstandingTokens float64
 	outstandingUnits  int
@@ -39,6 +33,7 @@
 	throughput        throughput
 	share             share
 	lastDeadlineCheck control.Time
+	polledAt          control.Time
 }
 
 // NewQueue returns an empty queue.
@@ -58,19 +53,19 @@
 	}
 }
 
-// IsLarge reports whether a request of so many tokens has to pass the queue.
+// IsLarge reports whether a request with that number of tokens must pass through the queue.
 func (q *Queue) IsLarge(tokens float64) bool {
 	return q.settings.LargeTokens > 0 && tokens > q.settings.LargeTokens
 }
 
-// SetReadyEndpoints sets how many endpoints of the pool are ready.
+// SetReadyEndpoints sets the number of endpoints of the pool that are ready.
 func (q *Queue) SetReadyEndpoints(count int) { q.readyEndpoints = count }
 
-// Len returns how many requests wait or are outstanding.
+// Len returns the number of requests that wait or are outstanding.
 func (q *Queue) Len() int { return len(q.requests) }
 
-// Enqueue adds a large request, of which Poll says when its units are admitted. If the request can't end
-// before its deadline it is not added: Enqueue then returns its rejection and true.
+// Enqueue adds a large request. Poll returns its units as they are admitted. If the request cannot end before
+// its deadline, Enqueue does not add it and returns its rejection and true.
 func (q *Queue) Enqueue(now control.Time, request Request) (rejection Rejection, rejected bool) {
 	q.observeThroughput(now)
 	added := &queuedRequest{Request: request, sequence: q.sequence + 1, heapIndex: indexedheap.NoIndex}
@@ -104,9 +99,9 @@
 	return Rejection{}, false
 }
 
-// Complete records the end of an admitted unit. A second end of one unit, and the end of one that was
-// never admitted, are ignored.
-func (q *Queue) Complete(now control.Time, unit Unit, outcome Outcome) {
+// Complete records the end of an admitted unit. It has no effect for a unit that has already ended or was
+// never admitted.
+func (q *Queue) Complete(now control.Time, unit Unit, outcome UnitOutcome) {
 	request := q.requests[unit.Request]
 	if request == nil || unit.Index < 0 || unit.Index >= request.nextUnit {
 		return
@@ -120,19 +115,21 @@
 	q.outstandingTokens = max(q.outstandingTokens-tokens, 0)
 	q.outstandingUnits--
 	if q.outstandingUnits == 0 {
-		q.outstandingTokens = 0 // drop what rounding left
+		q.outstandingTokens = 0 // drop the rounding error
 	}
 	switch outcome {
-	case Served:
+	case UnitServed:
 		q.throughput.add(tokens)
-	case Cancelled: // clients that leave early must not make the pool look slow
+	case UnitNotServed: // the window goes on without its tokens
+	case UnitCancelled: // clients that leave early must not make the pool look slow
 		q.throughput.restartWindow(now, q.waitingTokens > 0)
 	}
 	q.observeThroughput(now)
 	q.forgetIfEnded(request)
 }
 
-// Cancel withdraws the units of a request that wait. Units that are outstanding still need Complete.
+// Cancel withdraws the waiting units of a request. Outstanding units still need Complete. It has no effect
+// for a request that is not known.
 func (q *Queue) Cancel(now control.Time, id RequestID) {
 	request := q.requests[id]
 	if request == nil {
@@ -144,10 +141,11 @@
 	q.forgetIfEnded(request)
 }
 
-// Poll returns the units that are admitted now and the requests that can't end before their deadlines any
-// more. It has to be called after every event, and when NextDeadline says.
+// Poll returns the units that are admitted now and the requests that can no longer end before their
+// deadlines. It must be called after every event, and at NextDeadline.
 func (q *Queue) Poll(now control.Time) PollResult {
 	var result PollResult
+	q.polledAt = now
 	q.observeThroughput(now)
 	if now.Sub(q.lastDeadlineCheck) >= pollInterval {
 		q.lastDeadlineCheck = now
@@ -161,25 +159,26 @@
 			q.meanUnitTokens = tokens
 			limit = q.outstandingLimit(now)
 		}
-		// Half a unit more, since units are uneven.
+		// The limit may be exceeded by half a unit, since units differ in size.
 		if q.outstandingUnits > 0 && q.outstandingTokens+tokens > limit+q.meanUnitTokens/2 {
 			break
 		}
 		result.Admitted = append(result.Admitted, q.admitNextUnit(request))
 	}
-	if q.waitingTenants.Len() == 0 && q.outstandingUnits == 0 { // no tenant is owed anything
+	if q.waitingTenants.Len() == 0 && q.outstandingUnits == 0 { // the start tags no longer matter
 		clear(q.tenants)
 		q.virtualTime = 0
 	}
 	return result
 }
 
-// NextDeadline returns when Poll has to be called although no event comes; false while nothing waits.
-func (q *Queue) NextDeadline(now control.Time) (control.Time, bool) {
-	return now.Add(pollInterval), q.waitingTenants.Len() > 0
+// NextDeadline returns when Poll must be called if no event occurs before. It returns false while no request
+// waits.
+func (q *Queue) NextDeadline() (deadline control.Time, ok bool) {
+	return q.polledAt.Add(pollInterval), q.waitingTenants.Len() > 0
 }
 
-// admitNextUnit takes the next unit of the request that is first in the queue.
+// admitNextUnit admits the next unit of the request that is first in the queue.
 func (q *Queue) admitNextUnit(request *queuedRequest) Unit {
 	tenant := request.tenant
 	unit := Unit{request.ID, request.nextUnit}
@@ -194,7 +193,7 @@
 	request.waitingTokens -= tokens
 	if request.nextUnit == len(request.UnitTokens) {
 		tenant.requests.Remove(request.heapIndex)
-		tokens += request.waitingTokens // what rounding left
+		tokens += request.waitingTokens // the rounding error
 		request.waitingTokens = 0
 	} else {
 		tenant.requests.Fix(request.heapIndex)
@@ -206,7 +205,7 @@
 	return unit
 }
 
-// removeWaiting takes a request out of its tenant's queue, if it is there.
+// removeWaiting removes a request from its tenant's queue, if it has waiting units.
 func (q *Queue) removeWaiting(request *queuedRequest) {
 	if request.heapIndex == indexedheap.NoIndex {
 		return
@@ -216,13 +215,13 @@
 	request.waitingTokens = 0
 }
 
-// subtractWaiting records that a tenant has so many tokens less waiting, after its heap of requests has
+// subtractWaiting subtracts tokens from what a tenant has waiting. The tenant's heap of requests has already
 // changed.
 func (q *Queue) subtractWaiting(tenant *tenantQueue, tokens float64) {
 	tenant.waitingTokens -= tokens
 	q.waitingTokens -= tokens
 	if tenant.requests.Len() == 0 {
-		q.waitingTokens -= tenant.waitingTokens // what rounding left
+		q.waitingTokens -= tenant.waitingTokens // the rounding error
 		tenant.waitingTokens = 0
 		q.waitingTenants.Remove(tenant.heapIndex)
 	}
@@ -232,7 +231,7 @@
 	}
 }
 
-// forgetIfEnded drops a request that has nothing outstanding and nothing waiting.
+// forgetIfEnded drops a request that has no outstanding and no waiting units.
 func (q *Queue) forgetIfEnded(request *queuedRequest) {
 	hasNoMoreUnits := request.cancelled || request.nextUnit == len(request.UnitTokens)
 	if hasNoMoreUnits && request.outstandingUnits == 0 {
@@ -240,21 +239,7 @@
 	}
 }
 
-// forgetIdleTenants bounds the memory for tenants that wait for nothing: of many, those are forgotten whose
-// service is in the past; of far too many, all.
-func (q *Queue) forgetIdleTenants() {
-	if len(q.tenants) < maxIdleTenants {
-		return
-	}
-	maps.DeleteFunc(q.tenants, func(_ uint64, tenant *tenantQueue) bool {
-		return !tenant.isWaiting() && tenant.startTag <= q.virtualTime
-	})
-	if len(q.tenants) >= maxTenants {
-		maps.DeleteFunc(q.tenants, func(_ uint64, tenant *tenantQueue) bool { return !tenant.isWaiting() })
-	}
-}
-
-// outstandingLimit returns how many tokens large requests may have outstanding.
+// outstandingLimit returns the most tokens that large requests may have outstanding.
 func (q *Queue) outstandingLimit(now control.Time) float64 {
 	currentShare := q.share.update(now)
 	ownEndpoints := max(float64(q.readyEndpoints)/float64(q.settings.Routers), 1)
@@ -265,7 +250,7 @@
 	return currentShare * max(ownEndpoints*q.meanUnitTokens, q.throughput.rate*seconds)
 }
 
-// observeThroughput closes the throughput's window if it is due.
+// observeThroughput closes the window of the throughput if it is long enough.
 func (q *Queue) observeThroughput(now control.Time) {
 	q.throughput.observe(now, load{
 		hasOutstanding: q.outstandingUnits > 0,
--- a/control/admission/queue_test.go
+++ b/control/admission/queue_test.go
@@ -15,12 +15,12 @@
 
 const second = time.Second
 
-// at returns the time of the decisions at some time since the start of a test.
+// at returns the time of the decisions after the start of a test.
 func at(elapsed time.Duration) control.Time { return control.Time(1e12).Add(elapsed) }
 
 func unitsOf(count int, tokens float64) []float64 { return slices.Repeat([]float64{tokens}, count) }
 
-// simulation is endpoints behind a queue, which each serve one unit after another in virtual time.
+// simulation runs endpoints behind a queue in virtual time. Each endpoint serves one unit after another.
 type simulation struct {
 	queue           *Queue
 	now             time.Duration
@@ -47,7 +47,7 @@
 	return s
 }
 
-// run goes on until a time, in steps of 5 ms.
+// run advances the simulation to a time, in steps of 5 ms.
 func (s *simulation) run(until time.Duration) {
 	for ; s.now < until; s.now += 5 * time.Millisecond {
 		s.completeUnits()
@@ -62,20 +62,20 @@
 	}
 }
 
-// completeUnits ends the units whose time has come.
+// completeUnits ends the units that have been served.
 func (s *simulation) completeUnits() {
 	remaining := s.outstanding[:0]
 	for _, running := range s.outstanding {
 		if running.endAt > s.now {
 			remaining = append(remaining, running)
 		} else {
-			s.queue.Complete(at(s.now), running.unit, Served)
+			s.queue.Complete(at(s.now), running.unit, UnitServed)
 		}
 	}
 	s.outstanding = remaining
 }
 
-// start has the endpoint that is free first serve a unit.
+// start assigns a unit to the endpoint that is free first.
 func (s *simulation) start(unit Unit) {
 	s.admitted = append(s.admitted, unit)
 	first := 0
@@ -89,167 +89,270 @@
 	s.outstanding = append(s.outstanding, runningUnit{unit, s.freeAt[first]})
 }
 
-// enqueue reports whether the request was accepted.
+// enqueue offers a request of equal units to the queue and reports whether it was accepted.
 func (s *simulation) enqueue(id RequestID, tenant uint64, units int, tokens float64, patience time.Duration) bool {
 	_, rejected := s.queue.Enqueue(at(s.now), Request{id, tenant, unitsOf(units, tokens), at(s.now + patience)})
 	return !rejected
 }
 
-// observeSmall records a small request with an objective of a second and a patience of as much.
+// observeSmall records a small request with an objective and a patience of one second.
 func (s *simulation) observeSmall(elapsed time.Duration) {
 	s.queue.ObserveSmall(at(s.now), SmallRequest{Elapsed: elapsed, Objective: second, Patience: second})
 }
 
+// cancel cancels a request and all outstanding units, and frees the endpoints.
+func (s *simulation) cancel(id RequestID) {
+	for _, running := range s.outstanding {
+		s.queue.Complete(at(s.now), running.unit, UnitCancelled)
+	}
+	s.outstanding = nil
+	s.queue.Cancel(at(s.now), id)
+	clear(s.freeAt)
+}
+
 // compareUnits orders units by request, then by index.
 func compareUnits(a, b Unit) int {
 	return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Index, b.Index))
 }
 
-// limitOfNextPoll returns the limit that a poll decides by. It takes a copy: what it learns must not help
-// the queue.
+// limitOfNextPoll returns the limit by which the next poll decides. The queue is a copy, so that the original
+// does not observe anything.
 func limitOfNextPoll(queue Queue, now control.Time) float64 {
 	queue.observeThroughput(now)
 	return queue.outstandingLimit(now)
 }
 
-// TestUnitsAdmittedOnceInOrderWithinLimit: whatever comes, each unit is admitted once and in order, never
-// after its request was cancelled; what is outstanding keeps the limit that its poll decided by; nothing
-// waits beside an idle pool; nothing is left in the end.
+// model drives a queue with random events and checks each decision against its own bookkeeping.
+type model struct {
+	t           *rapid.T
+	settings    Settings
+	queue       *Queue
+	now         time.Duration
+	lastID      RequestID
+	unitTokens  map[RequestID][]float64 // of accepted requests
+	nextUnit    map[RequestID]int
+	cancelled   map[RequestID]bool // or rejected
+	outstanding map[Unit]float64   // tokens
+}
+
+func newModel(t *rapid.T) *model {
+	settings := Settings{
+		LargeTokens:     1,
+		OutstandingWork: time.Duration(rapid.IntRange(0, 500).Draw(t, "outstanding work")) * time.Millisecond,
+		Routers:         rapid.IntRange(1, 3).Draw(t, "routers"),
+	}
+	m := &model{
+		t:           t,
+		settings:    settings,
+		queue:       NewQueue(settings),
+		unitTokens:  map[RequestID][]float64{},
+		nextUnit:    map[RequestID]int{},
+		cancelled:   map[RequestID]bool{},
+		outstanding: map[Unit]float64{},
+	}
+	m.queue.SetReadyEndpoints(rapid.IntRange(0, 8).Draw(t, "endpoints"))
+	return m
+}
+
+// advance lets a random time pass.
+func (m *model) advance() {
+	m.now += time.Duration(rapid.IntRange(0, 300).Draw(m.t, "ms")) * time.Millisecond
+}
+
+// enqueue offers a random request to the queue.
+func (m *model) enqueue() {
+	m.lastID++
+	tokens := rapid.SliceOfN(rapid.Float64Range(0, 5000), 1, 9).Draw(m.t, "units")
+	request := Request{
+		ID:         m.lastID,
+		Tenant:     rapid.Uint64Range(0, 3).Draw(m.t, "tenant"),
+		UnitTokens: slices.Clone(tokens),
+		Deadline:   at(m.now + second*time.Duration(rapid.IntRange(0, 9).Draw(m.t, "patience"))),
+	}
+	if _, rejected := m.queue.Enqueue(at(m.now), request); !rejected {
+		m.unitTokens[m.lastID] = tokens
+	}
+}
+
+// completeAll ends all outstanding units with random outcomes, and reports each end twice.
+func (m *model) completeAll() {
+	for _, unit := range slices.SortedFunc(maps.Keys(m.outstanding), compareUnits) {
+		m.queue.Complete(at(m.now), unit, UnitOutcome(rapid.IntRange(0, 2).Draw(m.t, "outcome")))
+		m.queue.Complete(at(m.now), unit, UnitServed)
+		delete(m.outstanding, unit)
+	}
+}
+
+// cancelOne cancels a random request, which may be unknown, and reports the end of a unit that was never admitted.
+func (m *model) cancelOne() {
+	id := RequestID(rapid.IntRange(0, int(m.lastID)).Draw(m.t, "cancelled"))
+	m.queue.Cancel(at(m.now), id)
+	m.cancelled[id] = true
+	m.queue.Complete(at(m.now), Unit{id, m.nextUnit[id]}, UnitServed)
+}
+
+// poll polls the queue and checks that the admitted units keep the limit by which the poll decides.
+func (m *model) poll() {
+	limit, largestUnit := limitOfNextPoll(*m.queue, at(m.now)), m.queue.meanUnitTokens
+	isFirstUnit := m.queue.meanUnitTokens == 0
+	result := m.queue.Poll(at(m.now))
+	m.reject(result.Rejected)
+	for _, unit := range result.Admitted {
+		tokens := m.admit(unit)
+		largestUnit = max(largestUnit, tokens)
+		if isFirstUnit && tokens > 0 { // Poll takes the mean, and with it the limit, from this unit
+			isFirstUnit = false
+			limit = m.queue.share.value * tokens * max(float64(m.queue.readyEndpoints)/float64(m.settings.Routers), 1)
+		}
+	}
+	mostTokens := limit + largestUnit/2 + 1e-6 // no mean unit is larger than the largest
+	outstandingTokens := m.outstandingTokens()
+	if len(result.Admitted) > 0 && len(m.outstanding) > 1 && outstandingTokens > mostTokens {
+		m.t.Fatalf("%v tokens outstanding, limit %v, largest unit %v", outstandingTokens, limit, largestUnit)
+	}
+}
+
+// reject records the requests that a poll rejects.
+func (m *model) reject(rejections []Rejection) {
+	for _, rejection := range rejections {
+		m.cancelled[rejection.Request] = true
+		if rejection.RetryAfter < pollInterval {
+			m.t.Fatalf("retry after %v", rejection.RetryAfter)
+		}
+	}
+}
+
+// admit records an admitted unit, which must be the next one of its request, and returns its tokens.
+func (m *model) admit(unit Unit) (tokens float64) {
+	id := unit.Request
+	if m.cancelled[id] || unit.Index != m.nextUnit[id] || unit.Index >= len(m.unitTokens[id]) {
+		m.t.Fatalf("admitted %v; cancelled %v, next is %d of %d", unit, m.cancelled[id], m.nextUnit[id], len(m.unitTokens[id]))
+	}
+	m.nextUnit[id]++
+	tokens = m.unitTokens[id][unit.Index]
+	m.outstanding[unit] = tokens
+	return tokens
+}
+
+func (m *model) outstandingTokens() float64 {
+	total := 0.0
+	for _, tokens := range m.outstanding {
+		total += tokens
+	}
+	return total
+}
+
+func (m *model) waitingUnits() int {
+	units := 0
+	for id, tokens := range m.unitTokens {
+		if !m.cancelled[id] {
+			units += len(tokens) - m.nextUnit[id]
+		}
+	}
+	return units
+}
+
+// checkCounts checks what the queue counts, and that nothing waits beside an idle pool.
+func (m *model) checkCounts() {
+	waitingUnits := m.waitingUnits()
+	if len(m.outstanding) == 0 && waitingUnits > 0 {
+		m.t.Fatalf("%d units wait and none is outstanding", waitingUnits)
+	}
+	outstandingTokens := m.outstandingTokens()
+	difference := m.queue.outstandingTokens - outstandingTokens
+	if difference > 1e-6 || difference < -1e-6 || m.queue.outstandingUnits != len(m.outstanding) {
+		m.t.Fatalf("the queue counts %v tokens in %d units, outstanding are %v in %d",
+			m.queue.outstandingTokens, m.queue.outstandingUnits, outstandingTokens, len(m.outstanding))
+	}
+	deadline, ok := m.queue.NextDeadline()
+	if ok != (waitingUnits > 0) || deadline != at(m.now+pollInterval) {
+		m.t.Fatalf("next deadline %v, %v, %d units wait", deadline, ok, waitingUnits)
+	}
+}
+
+// endAll cancels all requests and ends all units.
+func (m *model) endAll() {
+	for id := RequestID(0); id <= m.lastID; id++ {
+		m.queue.Cancel(at(m.now), id)
+	}
+	for unit := range m.outstanding {
+		m.queue.Complete(at(m.now), unit, UnitServed)
+	}
+	m.queue.Poll(at(m.now))
+}
+
+// checkEmpty checks that the queue remembers nothing.
+func (m *model) checkEmpty() {
+	queue := m.queue
+	if queue.Len() != 0 || len(queue.tenants) != 0 || queue.waitingTokens != 0 || queue.outstandingTokens != 0 {
+		m.t.Fatalf("left: %d requests, %d tenants, %v tokens waiting, %v outstanding",
+			queue.Len(), len(queue.tenants), queue.waitingTokens, queue.outstandingTokens)
+	}
+}
+
+// TestUnitsAdmittedOnceInOrderWithinLimit: after any events each unit is admitted once and in order, and never
+// after its request was cancelled. What is outstanding keeps the limit by which its poll decided, nothing waits
+// beside an idle pool, and nothing is left in the end.
 func TestUnitsAdmittedOnceInOrderWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{
-			LargeTokens:     1,
-			OutstandingWork: time.Duration(rapid.IntRange(0, 500).Draw(t, "outstanding work")) * time.Millisecond,
-			Routers:         rapid.IntRange(1, 3).Draw(t, "routers"),
-		}
-		queue := NewQueue(settings)
-		queue.SetReadyEndpoints(rapid.IntRange(0, 8).Draw(t, "endpoints"))
-		now, lastID := time.Duration(0), RequestID(0)
-		nextUnit := map[RequestID]int{}
-		outstanding := map[Unit]float64{}
-		cancelled := map[RequestID]bool{}
-		unitTokens := map[RequestID][]float64{}
+		m := newModel(t)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
+			m.advance()
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0, 1:
-				lastID++
-				tokens := rapid.SliceOfN(rapid.Float64Range(0, 5000), 1, 9).Draw(t, "units")
-				request := Request{
-					ID:         lastID,
-					Tenant:     rapid.Uint64Range(0, 3).Draw(t, "tenant"),
-					UnitTokens: slices.Clone(tokens),
-					Deadline:   at(now + second*time.Duration(rapid.IntRange(0, 9).Draw(t, "patience"))),
-				}
-				if _, rejected := queue.Enqueue(at(now), request); !rejected {
-					unitTokens[lastID] = tokens
-				}
+				m.enqueue()
 			case 2:
-				for _, unit := range slices.SortedFunc(maps.Keys(outstanding), compareUnits) {
-					queue.Complete(at(now), unit, Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")))
-					queue.Complete(at(now), unit, Served) // reported twice
-					delete(outstanding, unit)
-				}
+				m.completeAll()
 			case 3:
-				id := RequestID(rapid.IntRange(0, int(lastID)).Draw(t, "cancelled"))
-				queue.Cancel(at(now), id)
-				cancelled[id] = true
-				queue.Complete(at(now), Unit{id, nextUnit[id]}, Served) // never admitted
+				m.cancelOne()
 			case 4:
-				queue.ObserveSmall(at(now), SmallRequest{second, second, second})
+				m.queue.ObserveSmall(at(m.now), SmallRequest{second, second, second})
 			case 5:
-				queue.ObserveSmall(at(now), SmallRequest{0, second, second})
-			}
-			limit, largestUnit := limitOfNextPoll(*queue, at(now)), queue.meanUnitTokens
-			isFirstUnit := queue.meanUnitTokens == 0
-			result := queue.Poll(at(now))
-			for _, rejection := range result.Rejected {
-				cancelled[rejection.Request] = true
-				if rejection.RetryAfter < pollInterval {
-					t.Fatalf("retry after %v", rejection.RetryAfter)
-				}
+				m.queue.ObserveSmall(at(m.now), SmallRequest{0, second, second})
 			}
-			for _, unit := range result.Admitted {
-				id := unit.Request
-				if cancelled[id] || unit.Index != nextUnit[id] || unit.Index >= len(unitTokens[id]) {
-					t.Fatalf("admitted %v; cancelled %v, next is %d of %d", unit, cancelled[id], nextUnit[id], len(unitTokens[id]))
-				}
-				nextUnit[id]++
-				tokens := unitTokens[id][unit.Index]
-				outstanding[unit] = tokens
-				largestUnit = max(largestUnit, tokens)
-				if isFirstUnit && tokens > 0 { // Poll has taken this unit for the mean, and its limit from it
-					isFirstUnit = false
-					limit = queue.share.value * tokens * max(float64(queue.readyEndpoints)/float64(settings.Routers), 1)
-				}
-			}
-			outstandingTokens, waitingUnits := 0.0, 0
-			for _, tokens := range outstanding {
-				outstandingTokens += tokens
-			}
-			for id, tokens := range unitTokens {
-				if !cancelled[id] {
-					waitingUnits += len(tokens) - nextUnit[id]
-				}
-			}
-			mostTokens := limit + largestUnit/2 + 1e-6 // no mean unit is larger than the largest
-			if len(result.Admitted) > 0 && len(outstanding) > 1 && outstandingTokens > mostTokens {
-				t.Fatalf("%v tokens outstanding, limit %v, largest unit %v", outstandingTokens, limit, largestUnit)
-			}
-			if len(outstanding) == 0 && waitingUnits > 0 {
-				t.Fatalf("%d units wait and none is outstanding", waitingUnits)
-			}
-			difference := queue.outstandingTokens - outstandingTokens
-			if difference > 1e-6 || difference < -1e-6 || queue.outstandingUnits != len(outstanding) {
-				t.Fatalf("the queue counts %v tokens in %d units, outstanding are %v in %d",
-					queue.outstandingTokens, queue.outstandingUnits, outstandingTokens, len(outstanding))
-			}
-			if _, ok := queue.NextDeadline(at(now)); ok != (waitingUnits > 0) {
-				t.Fatalf("to be polled again: %v, %d units wait", ok, waitingUnits)
-			}
-		}
-		for id := RequestID(0); id <= lastID; id++ {
-			queue.Cancel(at(now), id)
-		}
-		for unit := range outstanding {
-			queue.Complete(at(now), unit, Served)
-		}
-		queue.Poll(at(now))
-		if queue.Len() != 0 || len(queue.tenants) != 0 || queue.waitingTokens != 0 || queue.outstandingTokens != 0 {
-			t.Fatalf("left: %d requests, %d tenants, %v tokens waiting, %v outstanding",
-				queue.Len(), len(queue.tenants), queue.waitingTokens, queue.outstandingTokens)
+			m.poll()
+			m.checkCounts()
 		}
+		m.endAll()
+		m.checkEmpty()
 	})
 }
 
-// TestTenantsShareFairly: tenants are served alike, however many requests each has waiting, also one that
-// never has more than one; of one tenant the request that has begun comes first, then the smallest.
+// TestTenantsShareFairly: tenants are served alike however many requests each has waiting, including a tenant that
+// never has more than one.
 func TestTenantsShareFairly(t *testing.T) {
 	s := newSimulation(1, 20000, Settings{LargeTokens: 1})
-	s.enqueue(99, 2, 1, 1000, time.Hour) // the first of all: it wins ties
+	s.enqueue(99, 2, 1, 1000, time.Hour) // the first of all, which wins ties
 	for i := range RequestID(20) {
 		s.enqueue(i+1, 1, 4, 1000, time.Hour)
 	}
-	admitted := map[uint64]int{}
+
 	for id := RequestID(100); s.now < 4*second; s.run(s.now + 20*time.Millisecond) {
 		if tenant := s.queue.tenants[2]; tenant == nil || !tenant.isWaiting() {
 			s.enqueue(id, 2, 1, 1000, time.Hour)
 			id++
 		}
 	}
+
+	admitted := map[uint64]int{}
 	for _, unit := range s.admitted {
 		admitted[uint64(unit.Request/100)]++
 	}
 	if admitted[0] < 30 || admitted[1] < 30 || admitted[0] > admitted[1]+4 || admitted[1] > admitted[0]+4 {
 		t.Errorf("units admitted: %v", admitted)
 	}
+}
 
-	s = newSimulation(1, 10000, Settings{LargeTokens: 1})
+// TestBegunThenSmallestRequestFirst: of one tenant the request that has begun comes first, then the smallest.
+func TestBegunThenSmallestRequestFirst(t *testing.T) {
+	s := newSimulation(1, 10000, Settings{LargeTokens: 1})
 	s.enqueue(1, 1, 6, 1000, time.Hour)
 	s.run(150 * time.Millisecond)
 	s.enqueue(2, 1, 5, 1000, time.Hour)
 	s.enqueue(3, 1, 2, 1000, time.Hour)
+
 	s.run(3 * second)
+
 	order := []RequestID{}
 	for _, unit := range s.admitted {
 		if len(order) == 0 || order[len(order)-1] != unit.Request {
@@ -261,11 +364,12 @@
 	}
 }
 
-// TestRequestsRejectedByThroughput: the queue keeps the endpoints busy without knowing their speed, rejects
-// on arrival what can't end in time, rejects later what won't any more, and recovers after the endpoints
-// have.
+// TestRequestsRejectedByThroughput: the queue keeps the endpoints busy without knowing their speed. It rejects on
+// arrival what cannot end in time, rejects later what no longer can, and recovers after the endpoints have.
 func TestRequestsRejectedByThroughput(t *testing.T) {
 	s := newSimulation(4, 20000, Settings{LargeTokens: 1, OutstandingWork: 250 * time.Millisecond})
+
+	// The speed is learned, alone and beside small requests.
 	s.enqueue(1, 1, 700, 1000, time.Hour)
 	s.run(4 * second)
 	done := len(s.admitted) - len(s.outstanding)
@@ -278,6 +382,8 @@
 	if len(s.outstanding) > 4*8 || len(s.outstanding) < 4*4 { // 5 an endpoint in the work
 		t.Errorf("%d units outstanding beside small requests", len(s.outstanding))
 	}
+
+	// Only requests that cannot end in time are rejected on arrival.
 	if s.enqueue(2, 1, 400, 1000, second) {
 		t.Error("accepted 5 s of work with 1 s to go")
 	}
@@ -292,13 +398,17 @@
 	if len(s.rejected) > 0 {
 		t.Errorf("rejected: %v", s.rejected)
 	}
-	s.enqueue(5, 1, 200, 1000, 4*second) // and now the endpoints become ten times slower
+
+	// An accepted request is rejected when the endpoints become ten times slower.
+	s.enqueue(5, 1, 200, 1000, 4*second)
 	s.run(s.now + 200*time.Millisecond)
 	s.tokensPerSecond /= 10
 	s.run(s.now + 2*second)
 	if len(s.rejected) != 1 || s.rejected[0] != 5 || s.queue.waitingTokens != 0 {
 		t.Errorf("rejected: %v, %v tokens wait", s.rejected, s.queue.waitingTokens)
 	}
+
+	// The queue accepts again after the endpoints have recovered.
 	s.tokensPerSecond *= 10
 	s.run(s.now + 20*second)
 	if !s.enqueue(6, 1, 100, 1000, 4*second) {
@@ -306,19 +416,22 @@
 	}
 }
 
-// TestLateSmallRequestsLowerShare: large requests give way while small ones are late, down to one unit at a
-// time, and come back; a small request that was late beside no large one changes nothing.
+// TestLateSmallRequestsLowerShare: large requests yield while small ones are late, down to one unit at a time, and
+// recover afterwards. A late small request has no effect while no large one is outstanding.
 func TestLateSmallRequestsLowerShare(t *testing.T) {
 	s := newSimulation(8, 10000, Settings{LargeTokens: 1, OutstandingWork: 50 * time.Millisecond})
+
 	s.observeSmall(second)
 	if s.queue.share.value != 1 {
 		t.Error("the share fell while nothing large was outstanding")
 	}
+
 	s.enqueue(1, 1, 1000, 1000, time.Hour)
 	s.run(second)
 	if len(s.outstanding) != 8 {
 		t.Errorf("%d of 8 endpoints have a unit", len(s.outstanding))
 	}
+
 	for range 100 {
 		s.observeSmall(600 * time.Millisecond)
 		s.run(s.now + 20*time.Millisecond)
@@ -326,6 +439,7 @@
 	if len(s.outstanding) != 1 {
 		t.Errorf("%d units outstanding while small requests are late", len(s.outstanding))
 	}
+
 	for range 50 {
 		s.observeSmall(400 * time.Millisecond)
 	}
@@ -335,23 +449,20 @@
 	}
 }
 
-// TestClientCannotHoldBackOthers: nothing that one client does holds another's large requests back: neither
-// cancelling before the end, nor small requests without patience.
+// TestClientCannotHoldBackOthers: one client cannot hold back another's large requests, neither by cancelling its
+// own early nor by small requests without patience.
 func TestClientCannotHoldBackOthers(t *testing.T) {
 	s := newSimulation(2, 10000, Settings{LargeTokens: 1, OutstandingWork: 100 * time.Millisecond})
 	s.enqueue(1, 1, 60, 1000, time.Hour)
 	s.run(3 * second)
-	for id := RequestID(2); id < 80; id++ { // its units take 200 ms each; it cancels before
+
+	for id := RequestID(2); id < 80; id++ { // its units take 200 ms each and are cancelled after 100 ms
 		s.queue.ObserveSmall(at(s.now), SmallRequest{Elapsed: second, Objective: second, Patience: 50 * time.Millisecond})
 		s.enqueue(id, 1, 2, 2000, time.Hour)
 		s.run(s.now + 100*time.Millisecond)
-		for _, running := range s.outstanding {
-			s.queue.Complete(at(s.now), running.unit, Cancelled)
-		}
-		s.outstanding = nil
-		s.queue.Cancel(at(s.now), id)
-		clear(s.freeAt)
+		s.cancel(id)
 	}
+
 	if s.queue.share.value != 1 {
 		t.Errorf("large requests may use a share of only %v", s.queue.share.value)
 	}
@@ -360,7 +471,7 @@
 	}
 }
 
-// TestRememberedTenantsBounded: the number of remembered tenants is bounded, though each tenant comes once.
+// TestRememberedTenantsBounded: the number of known tenants is bounded even if each tenant sends one request.
 func TestRememberedTenantsBounded(t *testing.T) {
 	s := newSimulation(1, 1e6, Settings{LargeTokens: 1, OutstandingWork: time.Millisecond})
 	s.enqueue(1, 0, 1e5, 1000, time.Hour)
@@ -369,7 +480,7 @@
 		s.run(s.now + 5*time.Millisecond)
 	}
 	if n := len(s.queue.tenants); n > 5*maxIdleTenants {
-		t.Errorf("%d tenants remembered", n)
+		t.Errorf("%d tenants are known", n)
 	}
 }
 
@@ -380,10 +491,10 @@
 	}
 	now := time.Duration(0)
 	var outstanding []Unit
-	for b.Loop() { // one end and one poll a unit
+	for b.Loop() { // one unit ends for each poll
 		now += 10 * time.Microsecond
 		if len(outstanding) > 100 {
-			s.queue.Complete(at(now), outstanding[0], Served)
+			s.queue.Complete(at(now), outstanding[0], UnitServed)
 			outstanding = outstanding[1:]
 		}
 		outstanding = append(outstanding, s.queue.Poll(at(now)).Admitted...)
--- a/control/admission/throughput.go
+++ b/control/admission/throughput.go
@@ -15,49 +15,49 @@
 	emptyWindow = time.Second
 	// throughputAlpha is the weight of a new sample.
 	throughputAlpha = 0.3
-	// optimismPeriod is the time in which a throughput without new samples is taken to have risen by a
+	// optimismPeriod is the time in which the estimate of a throughput without new samples rises by a
 	// factor of e.
 	optimismPeriod = 2 * time.Second
 	// maxOptimismPeriods bounds that rise, so that it stays finite.
 	maxOptimismPeriods = 20
-	// recoveryUnitsPerSecond is what empty windows lower the throughput to, in mean units a second: low
-	// enough to reject most of what comes, high enough to come back within seconds.
+	// recoveryUnitsPerSecond is the lowest throughput after empty windows, in mean units a second. It is low
+	// enough to reject most arriving requests, and high enough to recover within seconds.
 	recoveryUnitsPerSecond = 0.25
 )
 
-// throughput measures what the pool does of large requests, in tokens a second.
+// throughput measures the rate at which the pool serves large requests.
 //
-// A sample is the tokens that ended in a window, over its length. A window in which work waited all the
-// time measures the pool's capacity and is averaged in. Otherwise there may have been too little to do,
-// so that the sample is only a lower bound: it can raise the throughput, not lower it.
+// A sample is the tokens of units that ended in a window, divided by the window's length. A window in which
+// work waited all the time measures the pool's capacity and is averaged in. In any other window the pool may
+// have been idle, so that the sample is only a lower bound: it can raise the throughput but not lower it.
 type throughput struct {
 	rate               float64 // tokens a second; 0 while it is not known
 	updatedAt          control.Time
 	windowStart        control.Time
-	windowTokens       float64 // that ended in the window
+	windowTokens       float64 // of units that ended in the window
 	windowIsBacklogged bool    // work waited all through the window
 }
 
-// load is the state of a queue that decides what a window's sample means.
+// load is the state of the queue at the end of a window. It decides what the window's sample means.
 type load struct {
 	hasOutstanding bool
 	hasWaiting     bool
 	meanUnitTokens float64
 }
 
-// add records that a unit of so many tokens was served.
+// add records that a unit was served.
 func (t *throughput) add(tokens float64) { t.windowTokens += tokens }
 
-// restartWindow drops the samples of the current window and begins another.
+// restartWindow discards the current window and begins another.
 func (t *throughput) restartWindow(now control.Time, isBacklogged bool) {
 	t.windowStart = now
 	t.windowTokens = 0
 	t.windowIsBacklogged = isBacklogged
 }
 
-// observe closes the current window if it is long enough, and takes its sample.
+// observe closes the current window and takes its sample, if the window is long enough.
 func (t *throughput) observe(now control.Time, current load) {
-	if !current.hasOutstanding && t.windowTokens == 0 { // idle: there is nothing to measure
+	if !current.hasOutstanding && t.windowTokens == 0 { // idle: nothing to measure
 		t.restartWindow(now, current.hasWaiting)
 		return
 	}
@@ -81,8 +81,8 @@
 	t.restartWindow(now, current.hasWaiting)
 }
 
-// optimisticRate returns the throughput, raised by its age: while nothing is tried because the pool was
-// slow, nobody would learn that it has recovered.
+// optimisticRate returns the throughput, raised by the age of its last sample. Without this, a pool that was
+// slow would get no more requests and its recovery would not be observed.
 func (t *throughput) optimisticRate(now control.Time) float64 {
 	periods := now.Sub(t.updatedAt).Seconds() / optimismPeriod.Seconds()
 	return t.rate * math.Exp(min(max(periods, 0), maxOptimismPeriods))
--- a/control/admission/tokens.go
+++ b/control/admission/tokens.go
@@ -1,29 +1,29 @@
 package admission
 
 const (
-	// maxEstimateError is by what factor an uncorrected estimate may be wrong, either way.
+	// maxEstimateError is the factor by which an uncorrected estimate may be too high or too low.
 	maxEstimateError = 4.0
 	// ratioAlpha is the weight of a new sample in the mean ratio.
 	ratioAlpha = 0.05
-	// minRatioAlpha is the weight by which the least ratio rises towards the mean again.
+	// minRatioAlpha is the weight with which the least ratio returns to the mean.
 	minRatioAlpha = 0.02
 	// lowerBoundMargin multiplies the least ratio: the next prompt may have fewer tokens for its bytes
-	// than any before.
+	// than all observed ones.
 	lowerBoundMargin = 0.5
-	// minSampleTokens is the least estimate that is learned from: shorter prompts say more about the
-	// engine's template than about the text.
+	// minSampleTokens is the least estimate that counts as a sample. The tokens of shorter prompts depend more
+	// on the engine's template than on the text.
 	minSampleTokens = 200
 )
 
-// TokenEstimator corrects the numbers of tokens that are estimated from prompts' bytes by those that engines
-// report in their usage. One serves one pool, since languages and vocabularies differ. The zero value has
-// learned nothing.
+// TokenEstimator corrects token counts that are estimated from the bytes of prompts, by the counts that
+// engines report in their usage. Each pool has its own, since languages and vocabularies differ. The zero
+// value has no samples and is ready for use.
 type TokenEstimator struct {
-	meanRatio float64 // actual over estimated tokens; 0 for not learned
-	minRatio  float64 // about the least of late; 0 for not learned
+	meanRatio float64 // actual over estimated tokens, EWMA; 0 without samples
+	minRatio  float64 // about the least recent ratio; 0 without samples
 }
 
-// Observe records the actual tokens of a prompt beside its uncorrected estimate.
+// Observe records the actual tokens of a prompt and its uncorrected estimate.
 func (e *TokenEstimator) Observe(estimated, actual float64) {
 	if estimated < minSampleTokens || actual < 1 {
 		return
@@ -48,8 +48,9 @@
 	return estimated * e.meanRatio
 }
 
-// LowerBound returns how many tokens a prompt has at least: no more than half of its estimate, whatever
-// others' prompts had, so that one client's dense texts can't make another's prompts count as too long.
+// LowerBound returns the least tokens that a prompt with an uncorrected estimate may have. It is at most half
+// of the estimate whatever other prompts had, so that one client's dense texts cannot make another's prompts
+// count as too long.
 func (e *TokenEstimator) LowerBound(estimated float64) float64 {
 	if e.minRatio == 0 {
 		return estimated / maxEstimateError
--- a/control/batching/batcher.go
+++ b/control/batching/batcher.go
@@ -12,26 +12,27 @@
 const (
 	// durationAlpha is the weight of a new batch in the mean duration of batches.
 	durationAlpha = 0.1
-	// objectiveSlack is how many mean durations before its objective a request stops waiting for others.
+	// objectiveSlack is how long before its objective a request stops waiting for others, in mean durations
+	// of a batch: one for its own batch, and one as a margin.
 	objectiveSlack = 2.0
 )
 
-// Batcher batches the small requests of one pool, after Nagle's algorithm (RFC 896): a request is sent at once
-// while fewer batches of its key are outstanding than there are endpoints for this router. Others wait until
-// a batch ends, until they fill one, or until their time has come, which is Settings.MaxWait at most and
-// earlier where their objectives ask for it.
+// Batcher batches the small requests of one pool, after Nagle's algorithm (RFC 896). A request is sent at once
+// while fewer batches of its key are outstanding than this router's share of the endpoints. Other requests wait
+// until a batch ends or until they fill one, but at most for Settings.MaxWait, and less if their objectives are
+// near.
 //
-// Requests keep their own deadlines and may be cancelled; the others of the batch get their answers. When a
-// batch fails in a way that one of its requests may have caused, each is retried by itself with the attempts
-// that the batch has left, so that a bad input costs other requests no more than time. When an engine was
-// lost, they are retried one after another (see SequentialRetry).
+// Each request keeps its own deadline and may be cancelled while the others of its batch go on. If a batch fails
+// in a way that one of its requests may have caused, each is retried by itself with the attempts that the batch
+// has left. Thus an invalid input delays other requests but does not fail them. If an engine was lost, they are
+// retried one after another by a SequentialRetry.
 //
 // It is not safe for concurrent use.
 type Batcher struct {
 	settings            Settings
 	readyEndpoints      int
 	queues              map[Key]*requestQueue
-	waitingQueues       []*requestQueue // those with waiting requests, first come first served
+	waitingQueues       []*requestQueue // those with waiting requests, in order of arrival
 	batches             map[BatchID]*sentBatch
 	requests            map[RequestID]*trackedRequest
 	deadlines           *indexedheap.Heap[*trackedRequest] // of requests in batches of several
@@ -39,23 +40,23 @@
 	meanDurationSeconds float64 // of a batch; 0 while it is not known
 }
 
-// requestQueue is the requests of one key.
+// requestQueue holds the requests of one key.
 type requestQueue struct {
 	key                Key
 	waiting            []*trackedRequest
 	waitingItems       int
 	waitingTokens      float64
-	sendBy             control.Time // what waits is sent then at the latest
+	sendBy             control.Time // latest time at which the waiting requests are sent
 	outstandingBatches int
-	isListed           bool // in Batcher.waitingQueues
+	listed             bool // in Batcher.waitingQueues
 }
 
 // sentBatch is a batch that has not ended.
 type sentBatch struct {
-	queue      *requestQueue
-	sentAt     control.Time
-	hadSeveral bool // requests when it was sent
-	requests   []*trackedRequest
+	queue             *requestQueue
+	sentAt            control.Time
+	hadSeveralMembers bool              // when it was sent
+	requests          []*trackedRequest // not cancelled or expired since
 }
 
 // trackedRequest is a request that waits or is in a batch.
@@ -66,7 +67,7 @@
 	heapIndex int     // in Batcher.deadlines
 }
 
-// NewBatcher returns a batcher without requests.
+// NewBatcher returns an empty batcher.
 func NewBatcher(settings Settings) *Batcher {
 	settings.Routers = max(settings.Routers, 1)
 	return &Batcher{
@@ -83,18 +84,18 @@
 	}
 }
 
-// SetReadyEndpoints sets how many endpoints of the pool are ready.
+// SetReadyEndpoints sets the number of endpoints of the pool that are ready.
 func (b *Batcher) SetReadyEndpoints(count int) { b.readyEndpoints = count }
 
-// IsSmall reports whether a request is small enough to share a batch: two of its size must fit.
+// IsSmall reports whether a request is small enough to share a batch. Two of its size must fit into one.
 func (b *Batcher) IsSmall(items int, tokens float64) bool {
 	return b.settings.MaxWait > 0 && 2*items <= b.settings.BatchItems && 2*tokens <= b.settings.BatchTokens
 }
 
-// Len returns how many requests wait or are in batches.
+// Len returns the number of requests that wait or are in batches.
 func (b *Batcher) Len() int { return len(b.requests) }
 
-// Enqueue adds a request. Poll says when it is sent.
+// Enqueue adds a request. Poll returns it in a batch.
 func (b *Batcher) Enqueue(now control.Time, key Key, request Request) {
 	queue := b.queues[key]
 	if queue == nil {
@@ -110,13 +111,13 @@
 	queue.waiting = append(queue.waiting, added)
 	queue.waitingItems += request.Items
 	queue.waitingTokens += request.Tokens
-	if !queue.isListed {
-		queue.isListed = true
+	if !queue.listed {
+		queue.listed = true
 		b.waitingQueues = append(b.waitingQueues, queue)
 	}
 }
 
-// sendBy returns until when a request with an objective may wait for others.
+// sendBy returns the time up to which a request with an objective may wait for others.
 func (b *Batcher) sendBy(now, objective control.Time) control.Time {
 	slack := time.Duration(objectiveSlack * b.meanDurationSeconds * float64(time.Second))
 	untilObjective := objective.Sub(now)
@@ -126,8 +127,8 @@
 	return now.Add(b.settings.MaxWait)
 }
 
-// Poll returns the batches that are sent now and the requests that have expired. It has to be called after
-// every event, and when NextDeadline says.
+// Poll returns the batches to send now and the requests that have expired. It must be called after every event,
+// and at NextDeadline.
 func (b *Batcher) Poll(now control.Time) PollResult {
 	return PollResult{
 		Batches: b.sendDue(now),
@@ -135,7 +136,8 @@
 	}
 }
 
-// NextDeadline returns when Poll has to be called although no event comes; false for never.
+// NextDeadline returns when Poll must be called if no event occurs before. It returns false while no request
+// waits and none can expire.
 func (b *Batcher) NextDeadline() (deadline control.Time, ok bool) {
 	for _, queue := range b.waitingQueues {
 		if len(queue.waiting) > 0 && (!ok || queue.sendBy < deadline) {
@@ -148,14 +150,14 @@
 	return deadline, ok
 }
 
-// sendDue takes all batches that are to be sent now.
+// sendDue returns all batches that are due.
 func (b *Batcher) sendDue(now control.Time) []Batch {
 	var batches []Batch
 	stillWaiting := b.waitingQueues[:0]
 	for _, queue := range b.waitingQueues {
 		batches = b.sendDueOf(now, queue, batches)
-		queue.isListed = len(queue.waiting) > 0
-		if queue.isListed {
+		queue.listed = len(queue.waiting) > 0
+		if queue.listed {
 			stillWaiting = append(stillWaiting, queue)
 		} else {
 			b.forgetIfEmpty(queue)
@@ -166,7 +168,7 @@
 	return batches
 }
 
-// sendDueOf appends the batches of one queue that are to be sent now.
+// sendDueOf appends the batches of one queue that are due.
 func (b *Batcher) sendDueOf(now control.Time, queue *requestQueue, batches []Batch) []Batch {
 	ownEndpoints := max(b.readyEndpoints/b.settings.Routers, 1)
 	for len(queue.waiting) > 0 {
@@ -175,7 +177,7 @@
 		if !isFull && freeEndpoints <= 0 && now < queue.sendBy {
 			break
 		}
-		// Spread over the free endpoints: sharing a batch pays only where none is free.
+		// Spread over the free endpoints: sharing a batch pays only if none is free.
 		spread := max(freeEndpoints, 1)
 		maxRequests := (len(queue.waiting) + spread - 1) / spread
 		batches = append(batches, b.send(now, queue, maxRequests))
@@ -183,23 +185,23 @@
 	return batches
 }
 
-// send makes a batch of as many requests as fit from the front of a queue, at least one and at most
+// send makes a batch of the requests at the front of a queue, as many as fit. It takes at least one and at most
 // maxRequests.
 func (b *Batcher) send(now control.Time, queue *requestQueue, maxRequests int) Batch {
 	requests := b.takeFitting(queue, maxRequests)
 	b.lastBatchID++
 	batch := Batch{ID: b.lastBatchID}
-	hasSeveral := len(requests) > 1
+	hasSeveralMembers := len(requests) > 1
 	for _, request := range requests {
 		request.batch = batch.ID
 		batch.Requests = append(batch.Requests, request.ID)
 		batch.Deadline = max(batch.Deadline, request.Deadline)
-		if hasSeveral { // the decision module keeps the deadline of a single one
+		if hasSeveralMembers { // the decision module enforces the deadline of a single one
 			b.deadlines.Push(request)
 		}
 	}
 	queue.outstandingBatches++
-	b.batches[batch.ID] = &sentBatch{queue: queue, sentAt: now, hadSeveral: hasSeveral, requests: requests}
+	b.batches[batch.ID] = &sentBatch{queue: queue, sentAt: now, hadSeveralMembers: hasSeveralMembers, requests: requests}
 	return batch
 }
 
@@ -224,16 +226,16 @@
 	return taken
 }
 
-// subtractWaiting records that requests of so many items and tokens were removed from waiting.
+// subtractWaiting subtracts the items and tokens of requests that were removed from waiting.
 func (q *requestQueue) subtractWaiting(items int, tokens float64) {
 	q.waitingItems -= items
 	q.waitingTokens -= tokens
 	if len(q.waiting) == 0 {
-		q.waitingTokens = 0 // drop what rounding left
+		q.waitingTokens = 0 // drop the rounding error
 	}
 }
 
-// expire cancels and returns the requests in batches of several whose deadlines have come, the earliest first.
+// expire cancels and returns the requests in batches of several whose deadlines have come, earliest first.
 func (b *Batcher) expire(now control.Time) []RequestID {
 	var expired []RequestID
 	for b.deadlines.Len() > 0 && b.deadlines.Min().Deadline <= now {
@@ -244,8 +246,8 @@
 	return expired
 }
 
-// Complete records the end of a batch and decides how its requests are treated. They are forgotten here. A
-// batch that is not known has no requests.
+// Complete records the end of a batch, decides how its requests are handled, and forgets them. For a batch that
+// is not known it returns no requests.
 func (b *Batcher) Complete(now control.Time, id BatchID, result BatchResult) Completion {
 	batch := b.batches[id]
 	if batch == nil {
@@ -254,7 +256,7 @@
 	if result.Outcome == outcome.Served {
 		b.observeDuration(now.Sub(batch.sentAt))
 	}
-	completion := Completion{Handling: handlingOf(result, batch.hadSeveral)}
+	completion := Completion{Handling: handlingOf(result, batch.hadSeveralMembers)}
 	for _, request := range batch.requests {
 		completion.Requests = append(completion.Requests, request.ID)
 		b.forgetRequest(request)
@@ -263,17 +265,18 @@
 	return completion
 }
 
-// handlingOf decides how the requests of a batch are treated after its end.
-func handlingOf(result BatchResult, hadSeveral bool) FailureHandling {
+// handlingOf decides how the requests of a batch are handled after its end.
+func handlingOf(result BatchResult, hadSeveralMembers bool) FailureHandling {
 	mayBeRequestFault := false
 	switch result.Outcome {
 	case outcome.Failed, outcome.InvalidRequest:
 		mayBeRequestFault = true
-	case outcome.Rejected: // without an attempt there is no capacity, for none of them
+	case outcome.Rejected: // without an attempt the cause was a lack of capacity, for all of them
 		mayBeRequestFault = result.Attempts > 0
+	case outcome.Served:
 	}
 	switch {
-	case !mayBeRequestFault || !hadSeveral || result.Attempts >= result.MaxAttempts:
+	case !mayBeRequestFault || !hadSeveralMembers || result.Attempts >= result.MaxAttempts:
 		return ShareResult
 	case result.LostConnections > 0:
 		return RetrySequentially
@@ -289,7 +292,7 @@
 	b.meanDurationSeconds += durationAlpha * (seconds - b.meanDurationSeconds)
 }
 
-// Cancel removes a request that needs no answer any more. One that is not known changes nothing.
+// Cancel removes a request that needs no further answer. It has no effect for a request that is not known.
 func (b *Batcher) Cancel(id RequestID) Cancellation {
 	request := b.requests[id]
 	if request == nil {
@@ -326,9 +329,9 @@
 	b.forgetIfEmpty(batch.queue)
 }
 
-// forgetIfEmpty drops a queue that has nothing waiting and nothing outstanding.
+// forgetIfEmpty drops a queue that has no waiting requests and no outstanding batches.
 func (b *Batcher) forgetIfEmpty(queue *requestQueue) {
-	if len(queue.waiting) == 0 && queue.outstandingBatches == 0 && !queue.isListed {
+	if len(queue.waiting) == 0 && queue.outstandingBatches == 0 && !queue.listed {
 		delete(b.queues, queue.key)
 	}
 }
--- a/control/batching/batching_test.go
+++ b/control/batching/failurehandling_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// TestStringNamesEachHandling: logs and test failures tell the ways to treat requests apart.
+// TestStringNamesEachHandling: logs and test failures distinguish the handlings, including an unknown one.
 func TestStringNamesEachHandling(t *testing.T) {
 	seen := map[string]bool{}
 	for value := FailureHandling(0); value <= RetrySequentially+1; value++ {
 		name := value.String()
 		if name == "" || seen[name] {
-			t.Errorf("FailureHandling %d is called %q", uint8(value), name)
+			t.Errorf("handling %d is called %q", uint8(value), name)
 		}
 		seen[name] = true
 	}
--- a/control/batching/sequentialretry.go
+++ b/control/batching/sequentialretry.go
@@ -3,9 +3,9 @@
 import "slices"
 
 // SequentialRetry orders the retries of the requests of a batch that lost its engine. One of them may crash
-// engines, and would cost others their attempts if they shared an engine with it. So each waits for the end of
-// the one before, until one loses its engine again: it is taken to be the cause, and all others go at once.
-// The zero value has no requests.
+// engines, and would cost others their attempts if they shared an engine with it. So each retry waits for the
+// end of the one before, until one loses its engine again. That one is assumed to be the cause, and all others
+// are retried at once. The zero value has no requests and is ready for use.
 type SequentialRetry struct {
 	requests   []retriedRequest
 	causeFound bool
@@ -22,8 +22,8 @@
 	s.requests = append(s.requests, retriedRequest{id: id})
 }
 
-// Start returns the requests that are to be retried now, each once. It has to be called after all were added
-// and after each Complete.
+// Start returns the requests to retry now, each once. It must be called after all were added and after each
+// Complete.
 func (s *SequentialRetry) Start() []RequestID {
 	var started []RequestID
 	for i := range s.requests {
--- a/control/batching/sequentialretry_test.go
+++ b/control/batching/sequentialretry_test.go
@@ -8,8 +8,8 @@
 	_ "martenlock/internal/proptest"
 )
 
-// TestRetriesSequentialUntilCauseFound: no request is retried beside another before one has lost its engine,
-// each is retried once, and those that leave hold nobody up.
+// TestRetriesSequentialUntilCauseFound: no request is retried beside another before one has lost its engine.
+// Each is retried once, and cancelled ones do not delay the others.
 func TestRetriesSequentialUntilCauseFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var retry SequentialRetry
--- a/control/coalesce/coalesce.go
+++ b/control/coalesce/coalesce.go
@@ -1,6 +1,6 @@
 // Package coalesce decides which of several identical requests is computed and what the others get (request
-// coalescing, also known as single flight): the first one leads and is computed, those that come meanwhile
-// follow it and get the same answer. Each still has its one answer before its own deadline.
+// coalescing, also known as single flight). The first request leads and is computed. Those that arrive
+// meanwhile follow it and get the same answer. Each still gets one answer before its own deadline.
 //
 // Like control, the package does no I/O, reads no clock and starts no goroutine.
 package coalesce
@@ -13,28 +13,35 @@
 	"martenlock/control/outcome"
 )
 
-// Key names what is computed: requests of one key get the same answer.
+// Key identifies a computation. Requests with the same key get the same answer.
 type Key [16]byte
 
-// RequestID names a request. Ids are never used twice.
+// RequestID identifies a request in one group. Ids are never reused.
 type RequestID uint64
 
-// Completion is what the end of a leader means for those that followed it.
+// Completion is what the end of a leader means for its followers.
 type Completion struct {
 	SameResult   []RequestID // get the leader's result, in order of arrival; the group has forgotten them
-	NewLeader    RequestID   // is to be computed now, if HasNewLeader
+	NewLeader    RequestID   // to be computed now, if HasNewLeader
 	HasNewLeader bool
 }
 
-// Group holds the requests of one pool that are computed or follow. It holds no more requests than its owner
-// does. It is not safe for concurrent use.
+// PollResult is what Group.Poll decides.
+type PollResult struct {
+	// Expired are followers whose deadlines have come, the earliest first. Each is to be rejected; the group has
+	// forgotten it.
+	Expired []RequestID
+}
+
+// Group holds the leaders and followers of one pool. Its size is bounded by its owner, which adds each request
+// once and ends it by Complete, Cancel or Poll. It is not safe for concurrent use.
 type Group struct {
 	computations map[Key]*computation
 	requests     map[RequestID]*request
 	deadlines    *indexedheap.Heap[*request] // of followers
 }
 
-// computation is what is done for the requests of one key.
+// computation is the leader and the followers of one key.
 type computation struct {
 	key       Key
 	leader    *request
@@ -49,13 +56,13 @@
 	heapIndex   int // in Group.deadlines
 }
 
-// MayCoalesce reports whether requests of a class may share one answer: only where running them again, or not
-// at all, makes no difference.
+// MayCoalesce reports whether requests of a class may share one answer. They may if a request can be executed
+// again, or not at all, without a difference.
 func MayCoalesce(class control.Class) bool { return class.Idempotency == control.Idempotent }
 
-// OutcomeOfInput returns what the end of a call for several inputs is to each of them. When such a call fails,
-// any of its inputs may be at fault, so that it counts as rejected for each: the followers of the others try
-// theirs alone.
+// OutcomeOfInput returns the outcome of each input of a call. If a call of several inputs is not served, any of
+// them may be the cause. It then counts as rejected for each, so that the followers of the other inputs are
+// computed alone.
 func OutcomeOfInput(call outcome.Outcome, inputs int) outcome.Outcome {
 	if call != outcome.Served && inputs > 1 {
 		return outcome.Rejected
@@ -77,11 +84,11 @@
 	}
 }
 
-// Len returns how many requests lead or follow.
+// Len returns the number of requests that lead or follow.
 func (g *Group) Len() int { return len(g.requests) }
 
-// Add adds a request and reports whether it leads, that is, has to be computed. Otherwise it waits for what
-// Complete, Cancel or Expire say of it, the last at its deadline.
+// Add adds a request and reports whether it leads and must be computed. Otherwise it follows until Complete
+// gives it a result, Complete or Cancel makes it the leader, or Poll expires it.
 func (g *Group) Add(key Key, id RequestID, deadline control.Time) (leads bool) {
 	added := &request{id: id, deadline: deadline, heapIndex: indexedheap.NoIndex}
 	g.requests[id] = added
@@ -97,17 +104,17 @@
 	return false
 }
 
-// Complete records the end of a leader; of any other request it changes nothing.
+// Complete records the end of a leader. It has no effect for any other request.
 //
-// A rejection may come from the leader's own early deadline, so that the next request is computed for itself.
-// Any other outcome is that of all followers. In particular what made a computation fail, such as an input
-// that crashes engines, must not be tried once for each request.
-func (g *Group) Complete(id RequestID, end outcome.Outcome) Completion {
+// A rejection may be due to the leader's own early deadline, so that the next request is computed instead. Any
+// other outcome also applies to all followers. In particular, an input that crashes engines must not be tried
+// once for each request.
+func (g *Group) Complete(id RequestID, result outcome.Outcome) Completion {
 	completed := g.requests[id]
 	if completed == nil || completed.computation.leader != completed {
 		return Completion{}
 	}
-	if end == outcome.Rejected {
+	if result == outcome.Rejected {
 		newLeader, ok := g.Cancel(id)
 		return Completion{NewLeader: newLeader, HasNewLeader: ok}
 	}
@@ -121,8 +128,8 @@
 	return completion
 }
 
-// Cancel removes a request that needs no answer any more. If it led, Cancel returns the request that is to be
-// computed in its place, and true, unless nobody followed.
+// Cancel removes a request that needs no further answer. If it led and has followers, Cancel returns the one
+// that is to be computed in its place, and true. It has no effect for a request that is not known.
 func (g *Group) Cancel(id RequestID) (newLeader RequestID, ok bool) {
 	cancelled := g.requests[id]
 	if cancelled == nil {
@@ -145,19 +152,19 @@
 	return current.leader.id, true
 }
 
-// Expire removes and returns the followers whose deadlines have come, the earliest first. Each is to be
-// rejected.
-func (g *Group) Expire(now control.Time) []RequestID {
-	var expired []RequestID
+// Poll removes and returns the followers whose deadlines have come. It must be called at NextDeadline.
+func (g *Group) Poll(now control.Time) PollResult {
+	var result PollResult
 	for g.deadlines.Len() > 0 && g.deadlines.Min().deadline <= now {
 		id := g.deadlines.Min().id
-		expired = append(expired, id)
+		result.Expired = append(result.Expired, id)
 		g.Cancel(id)
 	}
-	return expired
+	return result
 }
 
-// NextDeadline returns when Expire has to be called; false while nobody follows.
+// NextDeadline returns when Poll must be called if no event occurs before. It returns false while no request
+// follows.
 func (g *Group) NextDeadline() (deadline control.Time, ok bool) {
 	if g.deadlines.Len() == 0 {
 		return 0, false
--- a/control/outcome/outcome.go
+++ b/control/outcome/outcome.go
@@ -1,37 +1,22 @@
 // Package outcome names how a request ended, or a part of one that is a request of its own to the decision
-// module. The state packages beside it (scatter, batching, coalesce) decide by it what the ends of several
-// mean for each other.
+// module. The packages scatter, batching and coalesce decide by it what the ends of several requests mean for
+// each other.
 package outcome
 
-import "fmt"
+//go:generate go tool stringer -linecomment -type=Outcome -output=enum_string.go
 
 // Outcome is how a request ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Served is an answer that was checked.
-	Served Outcome = iota
-	// Rejected is a refusal by the router, for overload or because a deadline would be missed. Whatever
-	// attempts there were did nothing, so that a retry is harmless.
-	Rejected
-	// Failed promises nothing: an engine may have executed the request.
-	Failed
-	// InvalidRequest is an engine's answer that the request itself is at fault.
-	InvalidRequest
+	// Served is the outcome of a request whose answer was complete and passed the checks.
+	Served Outcome = iota // served
+	// Rejected is the outcome of a request that the router rejected, for overload or because it would have missed
+	// its deadline. No attempt has had an effect, so that a retry is harmless.
+	Rejected // rejected
+	// Failed is the outcome of a request that an engine may have executed.
+	Failed // failed
+	// InvalidRequest is the outcome of a request that an engine answered as invalid.
+	InvalidRequest // invalid request
 )
-
-// String returns the outcome in lower case.
-func (o Outcome) String() string {
-	switch o {
-	case Served:
-		return "served"
-	case Rejected:
-		return "rejected"
-	case Failed:
-		return "failed"
-	case InvalidRequest:
-		return "invalid request"
-	}
-	return fmt.Sprintf("Outcome(%d)", uint8(o))
-}
--- a/control/outcome/outcome_test.go
+++ b/control/outcome/outcome_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestStringNamesEachOutcome: logs and test failures tell the outcomes apart, also one that does not exist.
+// TestStringNamesEachOutcome: logs and test failures distinguish the outcomes, including an unknown one.
 func TestStringNamesEachOutcome(t *testing.T) {
 	seen := map[string]bool{}
 	for value := Served; value <= InvalidRequest+1; value++ {
--- a/control/scatter/example_test.go
+++ b/control/scatter/example_test.go
@@ -8,7 +8,7 @@
 	"martenlock/control/scatter"
 )
 
-// Four items in shards of at most 500 tokens; the answer is merged when both shards are served.
+// Four items in shards of at most 500 tokens. The answers are merged when both shards are served.
 func Example() {
 	shards := scatter.Plan([]float64{200, 200, 200, 200}, scatter.Limits{ShardTokens: 500})
 	fmt.Println(shards)
--- a/control/scatter/gather.go
+++ b/control/scatter/gather.go
@@ -1,72 +1,63 @@
 package scatter
 
 import (
-	"fmt"
 	"time"
 
 	"martenlock/control"
 	"martenlock/control/outcome"
 )
 
-// Decision is what is to be done about the whole request.
+//go:generate go tool stringer -linecomment -type=Decision -output=enum_string.go
+
+// Decision is what to do about the whole request after the end of a shard.
 type Decision uint8
 
 // The decisions.
 const (
-	Wait       Decision = iota // for the shards that are outstanding
-	Merge                      // answer with the answers of all shards
-	Reject                     // a retry of the whole request is harmless
-	Fail                       // the request may have been executed in part
-	RelayError                 // answer with the engine's error about the shard that ended last
+	// Wait means that nothing is decided until further shards end.
+	Wait Decision = iota // wait
+	// Merge means to answer with the merged answers of all shards.
+	Merge // merge
+	// Reject means to reject the request. A retry of the whole is harmless.
+	Reject // reject
+	// Fail means to fail the request. It may have been executed in part.
+	Fail // fail
+	// RelayError means to answer with the engine's error about the shard that ended last.
+	RelayError // relay error
 )
 
-// String returns the decision in lower case.
-func (d Decision) String() string {
-	switch d {
-	case Wait:
-		return "wait"
-	case Merge:
-		return "merge"
-	case Reject:
-		return "reject"
-	case Fail:
-		return "fail"
-	case RelayError:
-		return "relay error"
-	}
-	return fmt.Sprintf("Decision(%d)", uint8(d))
-}
-
-// Gather follows the shards of one request to their ends. It makes one decision other than Wait.
+// Gather collects the outcomes of the shards of one request. It makes at most one decision other than Wait.
 type Gather struct {
-	isRepeatable bool   // any shard may be executed again
-	completed    []bool // by shard
-	outstanding  int
-	isDecided    bool
+	repeatable  bool   // any shard may be executed again
+	completed   []bool // by shard
+	outstanding int
+	decided     bool
 }
 
-// NewGather returns the gather of so many shards of a request's class.
+// NewGather returns the Gather of a request of a class that was split into a number of shards.
 func NewGather(shards int, class control.Class) *Gather {
 	return &Gather{
-		isRepeatable: isRepeatable(class),
-		completed:    make([]bool, shards),
-		outstanding:  shards,
+		repeatable:  isRepeatable(class),
+		completed:   make([]bool, shards),
+		outstanding: shards,
 	}
 }
 
-// isRepeatable reports whether the router's client may repeat a request whose shards were executed in part. A
-// key serves for that only where all endpoints know it, since a repeat may choose others.
+// isRepeatable reports whether a client may repeat a request whose shards were executed in part. An idempotency
+// key allows it only if all endpoints share the keys, since a repeat may reach other endpoints.
 func isRepeatable(class control.Class) bool {
 	switch class.Idempotency {
 	case control.Idempotent:
 		return true
 	case control.IdempotentWithKey:
 		return class.DedupScope == control.DedupScopeAll
+	case control.NotIdempotent:
 	}
 	return false
 }
 
-// Outstanding returns the shards that have not ended. They are to be cancelled once the request is decided.
+// Outstanding returns the shards that have not ended, in ascending order. They are to be cancelled once the
+// request is decided.
 func (g *Gather) Outstanding() []int {
 	var shards []int
 	for shard, completed := range g.completed {
@@ -77,39 +68,38 @@
 	return shards
 }
 
-// Complete records the end of a shard and decides about the whole request. A second end of one shard, and any
-// end after the decision, is ignored.
+// Complete records the end of a shard and decides about the whole request. It returns Wait for a shard that is
+// not known or has already ended, and for all shards after the decision.
 //
-// The first shard that is not served decides: there is no answer with holes, and what other shards would
-// bring is of no use. Its rejection is one of the whole request only if the request is repeatable or has no
-// other shards: those may have been executed, and a retry of the whole would execute them again.
-func (g *Gather) Complete(shard int, end outcome.Outcome) Decision {
-	if g.isDecided || shard < 0 || shard >= len(g.completed) || g.completed[shard] {
+// The first shard that is not served decides: an answer needs all shards. Its rejection becomes that of the
+// whole request only if the request is repeatable or has no other shards. Otherwise other shards may have been
+// executed, and a retry of the whole would execute them again.
+func (g *Gather) Complete(shard int, result outcome.Outcome) Decision {
+	if g.decided || shard < 0 || shard >= len(g.completed) || g.completed[shard] {
 		return Wait
 	}
 	g.completed[shard] = true
 	g.outstanding--
-	if end == outcome.Served && g.outstanding > 0 {
+	if result == outcome.Served && g.outstanding > 0 {
 		return Wait
 	}
-	g.isDecided = true
+	g.decided = true
 	switch {
-	case end == outcome.Served:
+	case result == outcome.Served:
 		return Merge
-	case end == outcome.InvalidRequest:
+	case result == outcome.InvalidRequest:
 		return RelayError
-	case end == outcome.Rejected && (g.isRepeatable || len(g.completed) == 1):
+	case result == outcome.Rejected && (g.repeatable || len(g.completed) == 1):
 		return Reject
 	}
 	return Fail
 }
 
-// Cancel ends the request without a decision, because its client has left or its router shuts down.
-func (g *Gather) Cancel() { g.isDecided = true }
+// Cancel ends the request without a decision, because its client has left or the router shuts down.
+func (g *Gather) Cancel() { g.decided = true }
 
-// RetryAfter returns how long a client is to wait before it retries a whole request, from what the decision
-// module said about one shard: the whole needs capacity for all of them, so it waits for so many times as
-// long, up to a bound (or the one shard's wait, if that is longer).
+// RetryAfter returns the Retry-After of a whole request, given that of one shard. The whole needs capacity for
+// all shards and waits for as many times as long, up to bound. The result is never less than oneShard.
 func RetryAfter(oneShard time.Duration, shards int, bound time.Duration) time.Duration {
 	return min(oneShard*time.Duration(max(shards, 1)), max(bound, oneShard))
 }
--- a/internal/openaiserver/admissionqueue.go
+++ b/internal/openaiserver/admissionqueue.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"martenlock/control"
 	"martenlock/control/admission"
 )
 
@@ -29,15 +28,10 @@
 		queue:    admission.NewQueue(settings),
 		requests: map[admission.RequestID]*scatterRequest{},
 	}
-	q.deadlineTimer = newDeadlineTimer(p.server, q.poll, q.nextDeadline)
+	q.deadlineTimer = newDeadlineTimer(p.server, q.poll, q.queue.NextDeadline)
 	return q
 }
 
-// nextDeadline returns when the queue is to be polled again.
-func (q *admissionQueue) nextDeadline() (control.Time, bool) {
-	return q.queue.NextDeadline(q.pool.server.now())
-}
-
 // enqueue takes in a large request.
 func (q *admissionQueue) enqueue(scattered *scatterRequest) {
 	s := q.pool.server
--- a/internal/openaiserver/embeddingcache.go
+++ b/internal/openaiserver/embeddingcache.go
@@ -62,7 +62,7 @@
 
 // expire rejects requests that waited for another's computation until their deadlines.
 func (c *embeddingCache) expire() {
-	for _, id := range c.group.Expire(c.pool.server.now()) {
+	for _, id := range c.group.Poll(c.pool.server.now()).Expired {
 		input, isPending := c.pending[id]
 		delete(c.pending, id)
 		if isPending && !input.request.hasEnded {
--- a/internal/openaiserver/scatter.go
+++ b/internal/openaiserver/scatter.go
@@ -107,7 +107,7 @@
 }
 
 // complete takes in that a shard is computed no more.
-func (s *shard) complete(result admission.Outcome) {
+func (s *shard) complete(result admission.UnitOutcome) {
 	p := s.parent.request.pool
 	s.exchange = nil
 	p.server.bufferedBytes -= s.copiedBytes
@@ -121,9 +121,9 @@
 // respond takes a shard's answer.
 func (s *shard) respond(a answer) {
 	parent := s.parent
-	result := admission.NotServed
+	result := admission.UnitNotServed
 	if a.outcome == outcome.Served {
-		result = admission.Served
+		result = admission.UnitServed
 		parent.bodies[s.index] = a.body
 		parent.request.pool.server.bufferedBytes += int64(len(a.body))
 	}
@@ -183,7 +183,7 @@
 		s := r.shards[index]
 		if s != nil && s.exchange != nil {
 			x := s.exchange
-			s.complete(admission.Cancelled)
+			s.complete(admission.UnitCancelled)
 			x.clientGone()
 		}
 	}
