--- a/control/capacity.go
+++ b/control/capacity.go
@@ -26,34 +26,34 @@
 func (r *Router) freeCapacity() float64 {
 	view := &r.capacity
 	perRequest := max(r.traffic.meanDemand.value, 1)
-	free := r.capacityShare(view.memoryTokens) - view.demand/perRequest
+	free := r.capacityShare(view.memoryTokens) - float64(view.demand/perRequest)
 	if r.now.Sub(view.reportedAt) < reportTTL && view.reportedAt != 0 {
-		reported := view.reportedFree.value * view.endpoints / float64(r.settings.Routers)
-		free = min(free, (reported-view.sentSinceReport)/perRequest)
+		reported := view.reportedFree.value * Tokens(view.endpoints) / Tokens(r.settings.Identity.Routers)
+		free = min(free, float64((reported-view.sentSinceReport)/perRequest))
 	}
 	return free - view.prefillsInFlight
 }
 
 // capacityShare is our share of so much memory in mean requests, with slack for chance, which weighs more
 // the smaller the share is. Memory of unknown size has no bound.
-func (r *Router) capacityShare(memoryTokens float64) float64 {
+func (r *Router) capacityShare(memoryTokens Tokens) float64 {
 	if memoryTokens <= 0 {
 		return math.Inf(1)
 	}
 	perRequest := max(r.traffic.meanDemand.value, 1)
-	share := fullMemory * memoryTokens / float64(r.settings.Routers) / perRequest
-	return min(shareMargin*share+math.Sqrt(share), fullMemory*memoryTokens/perRequest)
+	share := float64(fullMemory * memoryTokens / Tokens(r.settings.Identity.Routers) / perRequest)
+	return min(shareMargin*share+math.Sqrt(share), float64(fullMemory*memoryTokens/perRequest))
 }
 
 // recordReport takes in a load report. It joins a mean: in a large service a single endpoint is heard from
 // too seldom.
 func (r *Router) recordReport(source *endpoint, values []float64) {
-	report, ok := parseReport(r.settings.ReportFields, values)
+	report, ok := parseReport(r.settings.Engines.ReportFields, values)
 	if !ok {
 		return
 	}
 	free := r.reportedFree(source, report)
-	if source.role != RolePrefill && !math.IsInf(free, 1) {
+	if source.role != RolePrefill && !math.IsInf(float64(free), 1) {
 		r.capacity.reportedFree.observe(free, reportAlpha)
 		r.capacity.reportedAt = r.now
 	}
@@ -61,17 +61,17 @@
 
 // reportedFree is the free memory that a load report shows, in tokens: the capacity of AIBrix's request for
 // comments where the fields for it exist, else known memory less its part in use; infinite for unknown.
-func (r *Router) reportedFree(source *endpoint, report loadReport) float64 {
+func (r *Router) reportedFree(source *endpoint, report loadReport) Tokens {
 	utilization := report[ReportUtilization]
 	switch {
 	case report[ReportMemory] > fullMemory || report[ReportQueued] >= fullQueue:
 		return 0
 	case report[ReportInFlight]*utilization > 0:
-		return report[ReportInFlight] * (1 - utilization) / utilization * r.traffic.meanDemand.value
-	case source.memoryTokens > 0 && slices.Contains(r.settings.ReportFields, ReportMemory):
-		return max(fullMemory-report[ReportMemory], 0) * source.memoryTokens
+		return Tokens(report[ReportInFlight]*(1-utilization)/utilization) * r.traffic.meanDemand.value
+	case source.memoryTokens > 0 && slices.Contains(r.settings.Engines.ReportFields, ReportMemory):
+		return Tokens(max(fullMemory-report[ReportMemory], 0)) * source.memoryTokens
 	}
-	return math.Inf(1)
+	return Tokens(math.Inf(1))
 }
 
 // rebalance works out what each endpoint takes of all traffic, and each cell of prefills and answers. Every
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -29,7 +29,7 @@
 
 func TestPrefillsInFlightCountAsLoad(t *testing.T) {
 	settings := testSettings(RolePrefill, RoleDecode)
-	settings.MemoryTokensByKind = []float64{0, 2300} // capacity for two requests
+	settings.Engines.Kinds[1].MemoryTokens = 2300 // capacity for two requests
 	s := startRouter(t, settings, 0, 1)
 	s.onlyForward(s.handle(0, s.request(1, 0)))
 	s.onlyForward(s.handle(10*ms, s.request(2, 0)))
@@ -40,7 +40,8 @@
 
 func TestLateLoadReportDoesNotHideOwnAttempts(t *testing.T) {
 	settings := testSettings(RolePrefill, RoleDecode)
-	settings.MemoryTokensByKind, settings.ReportFields = []float64{0, 2400}, []ReportField{ReportMemory}
+	settings.Engines.Kinds[1].MemoryTokens = 2400
+	settings.Engines.ReportFields = []ReportField{ReportMemory}
 	s := startRouter(t, settings, 0, 1)
 	for id := RequestID(1); id < 3; id++ { // two answers fill the decode engine
 		decode := s.onlyForward(s.finishPrefill(s.onlyForward(s.handle(0, s.request(id, 0))), 0))
@@ -57,7 +58,7 @@
 func TestCapacityIsSharedAmongManyRouters(t *testing.T) {
 	for _, routers := range []int{3, 300} {
 		settings := testSettings(RolePrefill, RoleDecode)
-		settings.MemoryTokensByKind = []float64{0, 20600} // 20 requests a decode engine, 18 under the limit
+		settings.Engines.Kinds[1].MemoryTokens = 20600 // 20 requests a decode engine, 18 under the limit
 		sent := 0
 		for _, s := range startRouters(t, routers, settings, testEndpoints(10, 50)) {
 			for i := range 4 * 900 / routers { // four times what fits
@@ -75,7 +76,7 @@
 		s := startRouter(t, testSettings(RolePrefill, RoleDecode, RoleColocated))
 		s.handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(4, 4, 4)})
 		for id := RequestID(1); id < 400; id++ {
-			forward, attempt, d := s.onlyForward(s.handle(10*ms, s.request(id, 0), Timer{})), 0, took
+			forward, attempt, d := s.onlyForward(s.handle(10*ms, s.request(id, 0), Timer{})), AttemptNumber(0), took
 			if forward.Endpoint <= 4 {
 				forward, attempt, d = s.onlyForward(s.finishPrefill(forward, 0)), 1, 100*ms
 			} else if id > 200 {
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -40,12 +40,12 @@
 	if entry.StartedAt > known.slowStartSince && entry.State == Ready { // a new process: what we knew is void
 		known.slowStartSince = entry.StartedAt
 		known.failureRate = 0
-		known.relativeLatency = ewma{}
+		known.relativeLatency = ewma[float64]{}
 	}
 	known.Endpoint = entry
 	known.Weight = max(entry.Weight, minWeight)
-	known.role = r.settings.RoleByKind[entry.Kind]
-	known.memoryTokens = r.settings.MemoryTokensByKind[entry.Kind]
+	known.role = r.settings.Engines.Kinds[entry.Kind].Role
+	known.memoryTokens = r.settings.Engines.Kinds[entry.Kind].MemoryTokens
 }
 
 // expireAndDecay drops idle sessions and lets what was counted fade.
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -55,7 +55,7 @@
 func TestRestartedEndpointIsNotEjectedForOldLatency(t *testing.T) {
 	settings := testSettings(RolePrefill, RoleDecode)
 	settings.Classes[0].TTFTObjective = 10 * time.Second // nothing is rejected for its objective
-	settings.SlowStartDuration = 0                       // the restarted engine takes its share at once
+	settings.SlowStart.Duration = 0                      // the restarted engine takes its share at once
 	s := startRouter(t, settings, 0, 0, 0, 1)
 	lastID := RequestID(0)
 	serveOnFirst := func(took time.Duration) { // and on the others in 20 ms, until the first has had one
--- a/control/ewma.go
+++ b/control/ewma.go
@@ -2,10 +2,10 @@
 
 // ewma is an exponentially weighted moving average. Each call gives the weight alpha of its value, from 0
 // to 1. 0 stands for no observation yet.
-type ewma struct{ value float64 }
+type ewma[T ~float64] struct{ value T }
 
 // observe takes in a value; the first one is the average.
-func (e *ewma) observe(value, alpha float64) {
+func (e *ewma[T]) observe(value T, alpha float64) {
 	if e.value == 0 {
 		e.value = value
 	}
@@ -13,13 +13,13 @@
 }
 
 // approach moves the average towards a value, also from 0: for rates, which start there.
-func (e *ewma) approach(value, alpha float64) {
-	e.value += alpha * (value - e.value)
+func (e *ewma[T]) approach(value T, alpha float64) {
+	e.value += T(alpha) * (value - e.value)
 }
 
 // observeLow follows the lower values: a value below the average has the weight fallAlpha first, and every
 // value has the weight riseAlpha. Times that include a queue hardly move it.
-func (e *ewma) observeLow(value, fallAlpha, riseAlpha float64) {
+func (e *ewma[T]) observeLow(value T, fallAlpha, riseAlpha float64) {
 	if value < e.value {
 		e.observe(value, fallAlpha)
 	}
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -10,12 +10,12 @@
 // A router with one prefill engine and one decode engine takes a request through both stages.
 func Example() {
 	settings := control.Settings{
-		Routers:            1,
-		RoleByKind:         []control.Role{control.RolePrefill, control.RoleDecode},
-		MemoryTokensByKind: []float64{0, 0},
-		MaxAttempts:        3,
-		KVRetentionLimit:   500 * time.Millisecond,
-		Classes:            []control.Class{{TTFTObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
+		Identity: control.RouterIdentity{Routers: 1},
+		Engines: control.EngineSettings{
+			Kinds: []control.EngineKind{{Role: control.RolePrefill}, {Role: control.RoleDecode}},
+		},
+		Limits:  control.Limits{MaxAttempts: 3, KVRetentionLimit: 500 * time.Millisecond},
+		Classes: []control.Class{{TTFTObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
 	}
 	now := control.Time(0)
 	router := control.New(settings, now)
--- a/control/golden_adapter_test.go
+++ b/control/golden_adapter_test.go
@@ -34,18 +34,29 @@
 // goldenSettings is the configuration that scripts start from.
 func goldenSettings(seed uint64) control.Settings {
 	return control.Settings{
-		Seed: seed, Routers: 1, Classes: goldenClasses(),
-		Tenants:            []control.Tenant{{RateLimit: 20, Share: 0.7}, {RateLimit: 5, Share: 0.3}},
-		RoleByKind:         []control.Role{control.RolePrefill, control.RoleDecode, control.RoleColocated},
-		MemoryTokensByKind: []float64{0, engineMemory, engineMemory},
-		ReportFields: []control.ReportField{
-			control.ReportOther, control.ReportInFlight, control.ReportQueued,
-			control.ReportUtilization, control.ReportMemory, control.ReportBacklog,
+		Identity: control.RouterIdentity{Seed: seed, Routers: 1},
+		Classes:  goldenClasses(),
+		Tenants:  []control.Tenant{{RateLimit: 20, Share: 0.7}, {RateLimit: 5, Share: 0.3}},
+		Engines: control.EngineSettings{
+			Kinds: []control.EngineKind{
+				{Role: control.RolePrefill},
+				{Role: control.RoleDecode, MemoryTokens: engineMemory},
+				{Role: control.RoleColocated, MemoryTokens: engineMemory},
+			},
+			ReportFields: []control.ReportField{
+				control.ReportOther, control.ReportInFlight, control.ReportQueued,
+				control.ReportUtilization, control.ReportMemory, control.ReportBacklog,
+			},
+		},
+		Caller: control.Capabilities{CanHealthCheck: true, CanCancel: true, MustSubscribe: true},
+		Limits: control.Limits{
+			MaxAttempts: 4, MaxRetryAfter: 5 * time.Second, ConnectTimeout: time.Second,
+			KVRetentionLimit: 3 * time.Second, DrainGrace: 2 * time.Second, AnswerGrace: time.Second,
+		},
+		SlowStart: control.SlowStart{
+			InitialShare: 0.3, Duration: 10 * time.Second,
+			OverloadMultiple: 2, OverloadDuration: 3 * time.Second,
 		},
-		CanHealthCheck: true, CanCancel: true, MustSubscribe: true,
-		MaxAttempts: 4, MaxRetryAfter: 5 * time.Second, ConnectTimeout: time.Second,
-		KVRetentionLimit: 3 * time.Second, DrainGrace: 2 * time.Second, AnswerGrace: time.Second,
-		SlowStartShare: 0.3, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadDuration: 3 * time.Second,
 	}
 }
 
--- a/control/golden_engine_test.go
+++ b/control/golden_engine_test.go
@@ -8,7 +8,7 @@
 
 // start lets an engine take an attempt.
 func (s *service) start(c *clientCall, e *engine, timeout time.Duration) {
-	a := &attempt{call: c, number: len(c.attempts), engine: e, sentAt: s.now, timeout: timeout}
+	a := &attempt{call: c, number: control.AttemptNumber(len(c.attempts)), engine: e, sentAt: s.now, timeout: timeout}
 	c.attempts = append(c.attempts, a)
 	s.finish(a, timeout, control.TimedOut, false)
 	kind, factor := s.faultAt(e)
@@ -100,7 +100,7 @@
 		return
 	}
 	kept := e.cached(a.call)
-	work := (a.call.PromptTokens - kept + prefillFixed) * factor / max(e.entry.Weight, 0.25)
+	work := float64(a.call.PromptTokens-kept+prefillFixed) * factor / max(e.entry.Weight, 0.25)
 	e.busyUntil = e.busyUntil.Add(time.Duration(work * float64(prefillToken)))
 	wait := e.busyUntil.Sub(s.now)
 	if e.role() == mixedRole {
@@ -111,7 +111,7 @@
 }
 
 // cached returns how many tokens of a prompt an engine has kept, and keeps this prompt's prefix.
-func (e *engine) cached(c *clientCall) float64 {
+func (e *engine) cached(c *clientCall) control.Tokens {
 	if c.PrefixHash == 0 {
 		return 0
 	}
@@ -120,7 +120,7 @@
 	return kept
 }
 
-func (s *service) prefilled(a *attempt, kept float64) control.Event {
+func (s *service) prefilled(a *attempt, kept control.Tokens) control.Event {
 	if a.over {
 		return nil
 	}
@@ -141,8 +141,8 @@
 	e.memory += need
 	a.memory = need
 	factor *= (1 + float64(e.streams)/engineStreams) * (0.9 + 0.2*s.rng.Float64())
-	first := wait + time.Duration((a.call.PromptTokens+prefillFixed)*factor*float64(fetchToken))
-	stream := time.Duration(a.call.tokens * factor * float64(decodeToken))
+	first := wait + time.Duration(float64(a.call.PromptTokens+prefillFixed)*factor*float64(fetchToken))
+	stream := time.Duration(float64(a.call.tokens) * factor * float64(decodeToken))
 	s.plan(a.call.router, first, func() control.Event { return s.begin(a) })
 	if breaks {
 		s.finish(a, first+stream/2, control.Failed, false)
@@ -160,7 +160,7 @@
 }
 
 // cancel withdraws an attempt; sometimes the word comes too late, or what it crosses arrives as well.
-func (s *service) cancel(c *clientCall, number int) {
+func (s *service) cancel(c *clientCall, number control.AttemptNumber) {
 	a := c.attempts[number]
 	if !s.script.promptCancels && s.chance(0.2) {
 		return
@@ -178,8 +178,8 @@
 		return nil
 	}
 	backlog := max(e.busyUntil.Sub(s.now), 0).Seconds()
-	values := make([]float64, 0, len(s.set.ReportFields))
-	for _, field := range s.set.ReportFields {
+	values := make([]float64, 0, len(s.set.Engines.ReportFields))
+	for _, field := range s.set.Engines.ReportFields {
 		values = append(values, e.value(field, backlog, s.script.background))
 	}
 	return values
@@ -194,7 +194,7 @@
 	case control.ReportUtilization:
 		return min(float64(e.streams)/(2*engineStreams), 1)
 	case control.ReportMemory:
-		return background + e.memory/engineMemory
+		return background + float64(e.memory/engineMemory)
 	case control.ReportBacklog:
 		return backlog * 10
 	}
--- a/control/golden_scripts_test.go
+++ b/control/golden_scripts_test.go
@@ -127,7 +127,7 @@
 
 // routers sets how many routers the service has.
 func routers(n int) func(*control.Settings) {
-	return func(set *control.Settings) { set.Routers = n }
+	return func(set *control.Settings) { set.Identity.Routers = n }
 }
 
 // goldenScripts lists every play; the first is also written in full.
@@ -205,7 +205,7 @@
 		{
 			name: "giant-prompts", seed: 16, length: 30 * second, fleet: pool(4, 5, 0), rate: 30, promptMean: 800,
 			answerMean: 100, giants: 0.05, reports: 0.5,
-			configure: func(set *control.Settings) { set.MaxRetryAfter = 500 * second },
+			configure: func(set *control.Settings) { set.Limits.MaxRetryAfter = 500 * second },
 		},
 		{
 			name: "idle-sessions", seed: 17, length: 200 * second, fleet: pool(8, 8, 0), rate: 4, promptMean: 800,
@@ -218,7 +218,11 @@
 		{
 			name: "unknown-memory", seed: 25, length: 30 * second, fleet: pool(4, 4, 2), rate: 60, promptMean: 1000,
 			answerMean: 400, sessions: 40, prefixes: 4, reports: 0.2, burst: 8, burstChance: 0.05,
-			configure: func(set *control.Settings) { set.MemoryTokensByKind = []float64{0, 0, 0} },
+			configure: func(set *control.Settings) {
+				for i := range set.Engines.Kinds {
+					set.Engines.Kinds[i].MemoryTokens = 0
+				}
+			},
 		},
 		{
 			name: "pauses", seed: 18, length: 80 * second, fleet: pool(6, 3, 0), rate: 60, promptMean: 900, answerMean: 350,
@@ -245,7 +249,7 @@
 		{
 			name: "lost-connections", seed: 22, length: 30 * second, fleet: pool(6, 6, 2), rate: 40, promptMean: 700,
 			answerMean: 100, sessions: 30, prefixes: 4, reports: 0.3, watchFails: 0.8, earlyLeave: 0.1,
-			configure: func(set *control.Settings) { set.MaxAttempts = 2 },
+			configure: func(set *control.Settings) { set.Limits.MaxAttempts = 2 },
 			faults:    []fault{{kind: faultReset, to: 20 * second, chance: 0.5}},
 		},
 	}
@@ -299,7 +303,7 @@
 
 // hastyClasses makes all requests safe to repeat and short of time, and leaves signs of life to them alone.
 func hastyClasses(set *control.Settings) {
-	set.CanHealthCheck = false
+	set.Caller.CanHealthCheck = false
 	for i := range set.Classes {
 		set.Classes[i].Idempotency, set.Classes[i].TTFTObjective, set.Classes[i].Deadline = control.Idempotent, time.Second, 4*time.Second
 	}
@@ -307,7 +311,7 @@
 
 // patientClasses lets requests wait for longer than a load report is believed.
 func patientClasses(set *control.Settings) {
-	set.Routers, set.CanHealthCheck = 2, false
+	set.Identity.Routers, set.Caller.CanHealthCheck = 2, false
 	for i := range set.Classes {
 		set.Classes[i].TTFTObjective, set.Classes[i].Deadline = 15*time.Second, 25*time.Second
 	}
@@ -323,14 +327,14 @@
 }
 
 // releaseUnderAttempts lets releases be asked for while attempts are in flight.
-func releaseUnderAttempts(set *control.Settings) { set.ReleaseSparesAttempts = true }
+func releaseUnderAttempts(set *control.Settings) { set.Caller.ReleaseSparesAttempts = true }
 
 // withoutProbes leaves signs of life to requests alone.
-func withoutProbes(set *control.Settings) { set.CanHealthCheck = false }
+func withoutProbes(set *control.Settings) { set.Caller.CanHealthCheck = false }
 
 // bareSettings leaves out what a site may leave out.
 func bareSettings(set *control.Settings) {
-	set.CanCancel, set.MustSubscribe, set.MaxAttempts = false, false, 6
-	set.ReportFields = []control.ReportField{control.ReportQueued, control.ReportMemory}
-	set.KVRetentionLimit = time.Second
+	set.Caller.CanCancel, set.Caller.MustSubscribe, set.Limits.MaxAttempts = false, false, 6
+	set.Engines.ReportFields = []control.ReportField{control.ReportQueued, control.ReportMemory}
+	set.Limits.KVRetentionLimit = time.Second
 }
--- a/control/golden_service_test.go
+++ b/control/golden_service_test.go
@@ -51,27 +51,27 @@
 	entry       endpoint
 	busyUntil   instant // end of the prefills accepted so far
 	streams     int
-	memory      float64
-	prefixCache map[uint64]float64 // looked up by key only
+	memory      control.Tokens
+	prefixCache map[uint64]control.Tokens // looked up by key only
 }
 
 // attempt is one send of a request to an engine.
 type attempt struct {
 	call    *clientCall
-	number  int
+	number  control.AttemptNumber
 	engine  *engine
 	sentAt  instant
 	timeout time.Duration
 	started bool
 	over    bool
-	memory  float64 // tokens that it holds at the engine
+	memory  control.Tokens // that it holds at the engine
 }
 
 // clientCall is a request as its client sees it.
 type clientCall struct {
 	call
 	router   int
-	tokens   float64 // length of its answer
+	tokens   control.Tokens // length of its answer
 	attempts []*attempt
 	prefill  bool // its state is ready
 	over     bool
@@ -133,7 +133,7 @@
 	}
 	for i := range max(sc.instances, 1) {
 		set := s.set
-		set.Seed, set.Rank = sc.seed*1000+uint64(i)<<33+uint64(i), i
+		set.Identity.Seed, set.Identity.Rank = sc.seed*1000+uint64(i)<<33+uint64(i), i
 		s.routers = append(s.routers, control.New(set, s.now))
 		s.send(i, 0, control.EndpointUpdate{Endpoints: s.list(), Full: true})
 	}
@@ -141,7 +141,7 @@
 }
 
 func (s *service) addEngine(entry endpoint) *engine {
-	e := &engine{entry: entry, prefixCache: map[uint64]float64{}}
+	e := &engine{entry: entry, prefixCache: map[uint64]control.Tokens{}}
 	s.engines = append(s.engines, e)
 	s.byID[entry.ID] = e
 	return e
@@ -279,7 +279,7 @@
 		c.SessionID = 1 + s.rng.Uint64N(sc.sessions)
 		c.router = int(c.SessionID) % len(s.routers)
 	}
-	c.PromptTokens = 50 + s.rng.ExpFloat64()*sc.promptMean
+	c.PromptTokens = control.Tokens(50 + s.rng.ExpFloat64()*sc.promptMean)
 	if s.chance(sc.giants) {
 		c.PromptTokens *= 1000
 	}
@@ -287,8 +287,8 @@
 		c.PrefixHash = 1 + min(s.rng.Uint64N(sc.prefixes), s.rng.Uint64N(sc.prefixes))
 		c.PrefixTokens = c.PromptTokens * 0.6
 	}
-	c.MaxTokens = 20 + s.rng.ExpFloat64()*sc.answerMean
-	c.tokens = 1 + c.MaxTokens*s.rng.Float64()
+	c.MaxTokens = control.Tokens(20 + s.rng.ExpFloat64()*sc.answerMean)
+	c.tokens = 1 + c.MaxTokens*control.Tokens(s.rng.Float64())
 	c.Resumed = s.chance(0.03)
 	return c
 }
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -19,11 +19,28 @@
 
 // testSettings has engine kinds of these roles, and classes that are idempotent, not idempotent, and idempotent
 // with a key.
-func testSettings(role ...Role) Settings {
+func testSettings(roles ...Role) Settings {
+	var kinds []EngineKind
+	for _, role := range roles {
+		kinds = append(kinds, EngineKind{Role: role})
+	}
 	return Settings{
-		Seed: 1, Routers: 1, RoleByKind: role, MemoryTokensByKind: make([]float64, len(role)), CanCancel: true, MaxAttempts: 5,
-		KVRetentionLimit: 500 * ms, DrainGrace: 250 * ms, AnswerGrace: 8 * ms, SlowStartShare: 0.25, SlowStartDuration: 10 * time.Second,
-		OverloadMultiple: 2.5, OverloadDuration: time.Second, MaxRetryAfter: time.Second,
+		Identity: RouterIdentity{Seed: 1, Routers: 1},
+		Engines:  EngineSettings{Kinds: kinds},
+		Caller:   Capabilities{CanCancel: true},
+		Limits: Limits{
+			MaxAttempts:      5,
+			MaxRetryAfter:    time.Second,
+			KVRetentionLimit: 500 * ms,
+			DrainGrace:       250 * ms,
+			AnswerGrace:      8 * ms,
+		},
+		SlowStart: SlowStart{
+			InitialShare:     0.25,
+			Duration:         10 * time.Second,
+			OverloadMultiple: 2.5,
+			OverloadDuration: time.Second,
+		},
 		Classes: []Class{
 			{TTFTObjective: 800 * ms, Deadline: 4 * time.Second, PriorityWeight: 1},
 			{TTFTObjective: 800 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: NotIdempotent},
@@ -88,14 +105,14 @@
 }
 
 // finishPrefill ends a prefill well after 20 ms.
-func (s *script) finishPrefill(forward Forward, attempt int) []Action {
+func (s *script) finishPrefill(forward Forward, attempt AttemptNumber) []Action {
 	return s.handle(20*ms, Outcome{ID: forward.ID, Attempt: attempt, Endpoint: forward.Endpoint, Result: PrefillDone, Elapsed: 20 * ms})
 }
 
 // startRouters starts so many routers of one service, which share nothing but the list.
 func startRouters(t *testing.T, routers int, settings Settings, list []Endpoint) (all []*script) {
 	for i := range routers {
-		settings.Seed, settings.Rank, settings.Routers = uint64(i+1), i, routers
+		settings.Identity.Seed, settings.Identity.Rank, settings.Identity.Routers = uint64(i+1), i, routers
 		s := startRouter(t, settings)
 		s.handle(0, EndpointUpdate{Endpoints: list, Full: true})
 		all = append(all, s)
@@ -123,7 +140,7 @@
 		for _, s := range all {
 			id++
 			actions := s.handle(time.Second*time.Duration(len(all))/300, ask(s, id), Timer{})
-			for attempt := 0; len(actionsOf[Forward](actions)) > 0; attempt++ {
+			for attempt := AttemptNumber(0); len(actionsOf[Forward](actions)) > 0; attempt++ {
 				forward := actionsOf[Forward](actions)[0]
 				forwards[forward.Endpoint]++
 				if s.router.endpoints.byID[forward.Endpoint].role == RolePrefill {
--- a/control/health.go
+++ b/control/health.go
@@ -70,13 +70,14 @@
 func (r *Router) recordSuccess(request *request, target *endpoint, event Outcome) {
 	target.failureRate *= 1 - failureAlpha
 	target.nextProbation = r.now
-	seconds := event.Elapsed.Seconds()
 	if event.Result == PrefillDone {
-		computed := max(request.PromptTokens-float64(event.CachedTokens), 0)
-		perToken := r.latency.observe(target.role, seconds, computed, r.now)
-		r.checkLatency(target, perToken/cmp.Or(r.latency.roles[RolePrefill].secondsPerToken.value, perToken))
+		computed := max(request.PromptTokens-Tokens(event.CachedTokens), 0)
+		perToken := r.latency.observe(target.role, event.Elapsed, computed, r.now)
+		mean := cmp.Or(r.latency.roles[RolePrefill].secondsPerToken.value, perToken)
+		r.checkLatency(target, float64(perToken/mean))
 		return
 	}
+	seconds := event.Elapsed.Seconds()
 	mean := &r.latency.answerSeconds[request.Class]
 	relative := seconds / cmp.Or(mean.value, seconds)
 	r.checkLatency(target, relative)
@@ -138,7 +139,7 @@
 // unresponsive tells that an endpoint has had an attempt without any progress for longer than its role needs
 // for all that we sent there. Any attempt will do: the first may be one whose client waits for longer.
 func (r *Router) unresponsive(target *endpoint) bool {
-	tokens := 0.0
+	tokens := Tokens(0)
 	for _, request := range target.attempts {
 		if !request.hasFirstToken {
 			tokens += request.latest.tokensToPrefill + overheadTokens
@@ -172,11 +173,11 @@
 
 // cancelAttempt cancels an attempt that may be made again.
 func (r *Router) cancelAttempt(request *request, target *endpoint) {
-	cancellable := r.settings.CanCancel && request.awaitsFirstToken() && !request.latest.cancelRequested
+	cancellable := r.settings.Caller.CanCancel && request.awaitsFirstToken() && !request.latest.cancelRequested
 	harmless := target.role == RolePrefill || request.class.Idempotency == Idempotent
 	if cancellable && harmless && request.attempts < request.maxAttempts {
 		request.latest.cancelRequested = true
-		r.do(CancelAttempt{ID: request.ID, Attempt: request.attempts - 1})
+		r.do(CancelAttempt{ID: request.ID, Attempt: AttemptNumber(request.attempts - 1)})
 	}
 }
 
@@ -189,7 +190,7 @@
 			next = e
 		}
 	}
-	if !r.settings.CanHealthCheck || r.healthCheckBudget < 1 || next == nil ||
+	if !r.settings.Caller.CanHealthCheck || r.healthCheckBudget < 1 || next == nil ||
 		r.now.Sub(next.healthCheckedAt) < healthCheckInterval {
 		return
 	}
--- a/control/health_test.go
+++ b/control/health_test.go
@@ -39,7 +39,7 @@
 	bad := map[EndpointID]int{}
 	for id := range RequestID(60) {
 		actions := s.handle(10*ms, s.request(id+1, 0))
-		for attempt := 0; ; attempt++ {
+		for attempt := AttemptNumber(0); ; attempt++ {
 			forward := s.onlyForward(actions)
 			if forward.Endpoint != 1 {
 				s.finishPrefill(forward, attempt)
@@ -92,7 +92,7 @@
 		for range n {
 			id++
 			forward := s.onlyForward(s.handle(10*ms, s.request(id, 0)))
-			attempt := 0
+			attempt := AttemptNumber(0)
 			if forward.Endpoint == 1 {
 				forwards++
 				if lost {
@@ -118,7 +118,7 @@
 	s := startRouter(t, testSettings(RolePrefill, RoleDecode), 0, 0, 1)
 	for id := RequestID(1); id < 30; id++ {
 		actions := s.handle(10*ms, s.request(id, 0))
-		for attempt := 0; len(actionsOf[Forward](actions)) == 1; attempt++ {
+		for attempt := AttemptNumber(0); len(actionsOf[Forward](actions)) == 1; attempt++ {
 			actions = s.handle(ms, Outcome{ID: id, Attempt: attempt, Endpoint: s.onlyForward(actions).Endpoint, Result: Failed})
 		}
 		if len(s.actions) == 0 || len(actionsOf[Reject](actions)) != 1 {
@@ -143,7 +143,7 @@
 
 func TestEndpointWithUnansweredHealthCheckIsEjected(t *testing.T) {
 	settings := testSettings(RolePrefill, RoleDecode)
-	settings.CanHealthCheck = true
+	settings.Caller.CanHealthCheck = true
 	s := startRouter(t, settings, 0, 0, 1)
 	checks := 0
 	for id := RequestID(20); id < 26; id++ {
@@ -197,7 +197,7 @@
 		s := startRouter(t, testSettings(RolePrefill, RoleDecode), 0, 0, 0, 0, 1)
 		ejected := 0
 		actions := s.handle(ms, s.request(1, 0))
-		for attempt := range 4 {
+		for attempt := range AttemptNumber(4) {
 			forward := s.onlyForward(actions)
 			actions = s.handle(ms, Outcome{ID: 1, Attempt: attempt, Endpoint: forward.Endpoint, Result: Reset, ReusedConnection: reused})
 		}
@@ -269,7 +269,7 @@
 
 func TestHealthChecksAreBoundedByRequests(t *testing.T) {
 	settings := testSettings(RolePrefill, RoleDecode)
-	settings.CanHealthCheck = true
+	settings.Caller.CanHealthCheck = true
 	s := startRouter(t, settings)
 	s.handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(50, 50)})
 	checks := len(actionsOf[HealthCheck](s.ticks(5 * time.Second)))
--- a/control/placement.go
+++ b/control/placement.go
@@ -48,7 +48,7 @@
 // mayPrefill tells whether an endpoint can take the prefill of a request and is not overloaded.
 func (r *Router) mayPrefill(e *endpoint, request *request, medians [roleCount]float64) bool {
 	overloaded := e.load()*e.Weight >= fewRequests && e.load() > overloadMedian*medians[e.role]
-	demand := e.demand / max(r.traffic.meanDemand.value, 1)
+	demand := float64(e.demand / max(r.traffic.meanDemand.value, 1))
 	hasCapacity := e.role == RolePrefill || demand < r.capacityShare(e.memoryTokens)
 	return hasCapacity && !overloaded && r.eligible(e, request)
 }
--- a/control/retention.go
+++ b/control/retention.go
@@ -42,7 +42,7 @@
 // releaseDeadline is when a release of a request's KV state has to be asked for, so that it reaches an engine
 // within the retention limit.
 func (r *Router) releaseDeadline(request *request) Time {
-	limit := r.settings.KVRetentionLimit
+	limit := r.settings.Limits.KVRetentionLimit
 	if limit <= 0 {
 		return math.MaxInt64
 	}
@@ -53,7 +53,7 @@
 // releaseUnproven releases the KV states whose age comes near the limit while nothing proves that the attempt
 // in flight has reached its engine.
 func (r *Router) releaseUnproven() {
-	if !r.settings.ReleaseSparesAttempts {
+	if !r.settings.Caller.ReleaseSparesAttempts {
 		return
 	}
 	for _, e := range r.endpoints.all {
@@ -70,7 +70,7 @@
 // sent just now waits a little longer: most prove to have arrived.
 func (r *Router) mustReleaseUnproven(request *request) bool {
 	retention := &request.retention
-	limit := r.settings.KVRetentionLimit
+	limit := r.settings.Limits.KVRetentionLimit
 	if limit <= 0 || !retention.mayRetain || retention.released || !request.awaitsFirstToken() {
 		return false
 	}
@@ -98,7 +98,7 @@
 // releaseBeforePrefill releases what an earlier prefill may have left before the prompt is computed again: a
 // release that comes while that goes on would take the new state too.
 func (r *Router) releaseBeforePrefill(request *request) {
-	if !r.settings.ReleaseSparesAttempts || !request.retention.mayRetain {
+	if !r.settings.Caller.ReleaseSparesAttempts || !request.retention.mayRetain {
 		return
 	}
 	r.do(ReleaseKV{ID: request.ID, Reason: ReleasedBeforeRetry})
--- a/control/retention_test.go
+++ b/control/retention_test.go
@@ -9,7 +9,7 @@
 // socketSettings are testSettings where a release may be asked for under an attempt.
 func socketSettings() Settings {
 	settings := testSettings(RolePrefill, RoleDecode)
-	settings.ReleaseSparesAttempts = true
+	settings.Caller.ReleaseSparesAttempts = true
 	return settings
 }
 
@@ -143,7 +143,7 @@
 	retainedSince := s.now
 	for attempt, after := range []time.Duration{1: 330 * ms, 2: 30 * ms} {
 		if after > 0 {
-			decode = s.onlyForward(s.handle(after, Outcome{ID: 1, Attempt: attempt, Endpoint: decode.Endpoint, Result: ConnectFailed}))
+			decode = s.onlyForward(s.handle(after, Outcome{ID: 1, Attempt: AttemptNumber(attempt), Endpoint: decode.Endpoint, Result: ConnectFailed}))
 		}
 	}
 	if releases := actionsOf[ReleaseKV](s.handle(20*ms, Timer{})); len(releases) != 1 {
--- a/control/retry.go
+++ b/control/retry.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"cmp"
 	"container/heap"
 	"math"
 	"time"
@@ -60,7 +59,7 @@
 		return
 	}
 	target.recordProgress(request, r.now)
-	r.latency.observe(target.role, event.Elapsed.Seconds(), request.latest.tokensToPrefill, r.now)
+	r.latency.observe(target.role, event.Elapsed, request.latest.tokensToPrefill, r.now)
 	request.hasFirstToken = true
 	request.kvHolder = nil
 }
@@ -111,7 +110,11 @@
 		request.excluded = append(request.excluded, target)
 	}
 	if r.forfeitKV(request, event.Result, wasReleased) && r.missesObjective(request) {
-		r.finishWithoutService(request, cmp.Or(r.retryObstacle(request), FinishedMissingObjective))
+		reason, blocked := r.retryObstacle(request)
+		if !blocked {
+			reason = FinishedMissingObjective
+		}
+		r.finishWithoutService(request, reason)
 		return
 	}
 	r.retry(request)
@@ -121,7 +124,7 @@
 // decode engine has failed it once, all may be tried again; a KV state that none takes now stays at its
 // prefill engine until its retention limit is near.
 func (r *Router) retry(request *request) {
-	if obstacle := r.retryObstacle(request); obstacle != FinishUnspecified {
+	if obstacle, blocked := r.retryObstacle(request); blocked {
 		r.finishWithoutService(request, obstacle)
 		return
 	}
@@ -159,21 +162,22 @@
 	}
 }
 
-// retryObstacle says why a request may not have another attempt; FinishUnspecified where it may. Two prefill
-// engines that rejected it are enough while many do: more attempts would load the others.
-func (r *Router) retryObstacle(request *request) FinishReason {
+// retryObstacle returns why a request may not have another attempt. It returns false if the request may.
+// While prefill engines reject many requests, two rejections of this one are enough: further attempts would
+// add load to the other engines.
+func (r *Router) retryObstacle(request *request) (reason FinishReason, blocked bool) {
 	rejecting := r.latency.roles[RolePrefill].rejectionRate.value > rejectionLimit
 	switch {
 	case !r.mayRepeat(request):
-		return FinishedNotRepeatable
+		return FinishedNotRepeatable, true
 	case request.attempts >= request.maxAttempts:
-		return FinishedOutOfAttempts
+		return FinishedOutOfAttempts, true
 	case r.now >= min(request.Deadline, r.sendDeadline(request)):
-		return FinishedAtDeadline
+		return FinishedAtDeadline, true
 	case rejecting && request.kvHolder == nil && len(request.excluded) > 1:
-		return FinishedWithPrefillFull
+		return FinishedWithPrefillFull, true
 	}
-	return FinishUnspecified
+	return 0, false
 }
 
 // mayRepeat keeps effects from happening twice.
@@ -195,7 +199,7 @@
 		r.do(Fail{ID: request.ID, Reason: reason})
 	} else {
 		after := max(r.estimateFirstToken(request), minRetryAfter)
-		r.do(Reject{ID: request.ID, RetryAfter: min(r.settings.MaxRetryAfter, after), Reason: reason})
+		r.do(Reject{ID: request.ID, RetryAfter: min(r.settings.Limits.MaxRetryAfter, after), Reason: reason})
 	}
 	r.finish(request)
 }
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -162,7 +162,7 @@
 		s.handle(0, s.request(1, class))
 		actions := s.handle(20*ms, Outcome{ID: 1, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
 		retainedSince := s.now
-		for attempt := 1; ; attempt++ {
+		for attempt := AttemptNumber(1); ; attempt++ {
 			forwards := actionsOf[Forward](actions)
 			if len(forwards) == 0 {
 				break
@@ -202,7 +202,7 @@
 	s := startRouter(t, testSettings(RolePrefill, RoleDecode))
 	s.handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(20, 20)})
 	actions := s.handle(0, s.request(1, 0))
-	for attempt := range 2 {
+	for attempt := range AttemptNumber(2) {
 		actions = s.handle(ms, Outcome{ID: 1, Attempt: attempt, Endpoint: s.onlyForward(actions).Endpoint, Result: Rejected})
 	}
 	if len(actionsOf[Reject](actions)) != 1 {
@@ -210,7 +210,7 @@
 	}
 	playRequests([]*script{s}, 30, func(s *script, id RequestID) Request { return s.request(id, 0) })
 	actions = s.handle(0, s.request(2, 0))
-	for attempt := range 2 { // now hardly any are: others may have capacity
+	for attempt := range AttemptNumber(2) { // now hardly any are: others may have capacity
 		actions = s.handle(ms, Outcome{ID: 2, Attempt: attempt, Endpoint: s.onlyForward(actions).Endpoint, Result: Rejected})
 		if len(actionsOf[Forward](actions)) != 1 && attempt == 0 {
 			t.Fatalf("given up at once: %v", actions)
--- a/control/router.go
+++ b/control/router.go
@@ -16,7 +16,7 @@
 	if !r.timerStarted {
 		r.timerStarted = true
 		r.do(SetTimer{After: tickInterval})
-		if r.settings.MustSubscribe {
+		if r.settings.Caller.MustSubscribe {
 			r.do(SubscribeEndpoints{})
 		}
 	}
@@ -55,12 +55,11 @@
 // enqueue takes in a new request.
 func (r *Router) enqueue(event Request) {
 	class := &r.settings.Classes[event.Class]
-	objective := class.TTFTObjective + time.Duration(float64(class.TTFTPer1000Tokens)*event.PromptTokens/1000)
-	maxAttempts := min(r.settings.MaxAttempts, cmp.Or(class.MaxAttempts, r.settings.MaxAttempts))
+	maxAttempts := min(r.settings.Limits.MaxAttempts, cmp.Or(class.MaxAttempts, r.settings.Limits.MaxAttempts))
 	r.lastSequence++
 	request := &request{
 		Request: event, class: class, session: r.openSession(event.SessionID),
-		arrivedAt: r.now, firstTokenDue: r.now.Add(objective), sequence: r.lastSequence,
+		arrivedAt: r.now, firstTokenDue: r.now.Add(class.FirstTokenObjective(event.PromptTokens)), sequence: r.lastSequence,
 		demand:      event.PromptTokens + outputShare*event.MaxTokens,
 		maxAttempts: maxAttempts - event.PriorAttempts, connectionsLost: event.PriorResets,
 	}
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -54,8 +54,8 @@
 		request.session.waitTime += r.now.Sub(request.arrivedAt)
 		r.forward(request, target)
 		r.traffic.released++
-		r.capacity.releaseThreshold = 1 - r.rng.Float64()*(1-1/float64(r.settings.Routers))
-		capacity -= request.demand / r.traffic.meanDemand.value
+		r.capacity.releaseThreshold = 1 - r.rng.Float64()*(1-1/float64(r.settings.Identity.Routers))
+		capacity -= float64(request.demand / r.traffic.meanDemand.value)
 	}
 }
 
@@ -91,16 +91,16 @@
 func (r *Router) estimateFirstToken(request *request) time.Duration {
 	uncached := request.uncachedTokens(request.session.lastPrefill)
 	seconds := 0.0
-	for role, tokens := range []float64{RolePrefill: uncached, RoleDecode: request.PromptTokens} {
+	for role, tokens := range []Tokens{RolePrefill: uncached, RoleDecode: request.PromptTokens} {
 		stats := &r.latency.roles[role]
 		age := r.now.Sub(stats.observedAt).Seconds() / estimateFadesIn.Seconds()
-		seconds += stats.bestSecondsPerToken.value * (tokens + overheadTokens) * math.Exp(-age)
+		seconds += stats.bestSecondsPerToken.value.times(tokens+overheadTokens) * math.Exp(-age)
 	}
 	return time.Duration(estimateMargin * min(seconds, estimateMax) * float64(time.Second))
 }
 
 // uncachedTokens is how much of a prompt an endpoint is thought to have to compute.
-func (q *request) uncachedTokens(target *endpoint) float64 {
+func (q *request) uncachedTokens(target *endpoint) Tokens {
 	cached := q.PrefixTokens
 	if q.session.lastPrefill == target {
 		cached = max(cached, q.session.cachedTokens)
@@ -110,8 +110,8 @@
 
 // observe takes in the time that an endpoint of a role took for a prefill, or to a first token, and returns
 // it in seconds per token.
-func (l *latencyEstimator) observe(role Role, seconds, tokens float64, now Time) float64 {
-	perToken := seconds / (tokens + overheadTokens)
+func (l *latencyEstimator) observe(role Role, elapsed time.Duration, tokens Tokens, now Time) secondsPerToken {
+	perToken := secondsPerToken(elapsed.Seconds() / float64(tokens+overheadTokens))
 	stats := &l.roles[role]
 	capped := min(perToken, sampleCap*cmp.Or(stats.secondsPerToken.value, perToken))
 	stats.secondsPerToken.observe(capped, latencyAlpha)
@@ -122,6 +122,13 @@
 }
 
 // expectedTime is so many times what an endpoint of a role takes for so many tokens.
-func (l *latencyEstimator) expectedTime(role Role, tokens, times float64) time.Duration {
-	return time.Duration(times * l.roles[role].secondsPerToken.value * tokens * float64(time.Second))
+func (l *latencyEstimator) expectedTime(role Role, tokens Tokens, multiple float64) time.Duration {
+	mean := secondsPerToken(multiple) * l.roles[role].secondsPerToken.value
+	return time.Duration(mean.times(tokens) * float64(time.Second))
 }
+
+// secondsPerToken is a time of prefill or fetch for each token.
+type secondsPerToken float64
+
+// times returns the seconds for a number of tokens.
+func (s secondsPerToken) times(tokens Tokens) float64 { return float64(s) * float64(tokens) }
--- a/control/scheduling_test.go
+++ b/control/scheduling_test.go
@@ -46,7 +46,7 @@
 
 func TestLongWaitingRequestIsPromoted(t *testing.T) {
 	settings := testSettings(RolePrefill, RoleDecode)
-	settings.MemoryTokensByKind = []float64{0, 1500} // capacity for one request
+	settings.Engines.Kinds[1].MemoryTokens = 1500 // capacity for one request
 	s := startRouter(t, settings, 0, 1)
 	turn := func(id RequestID, session uint64) Request {
 		request := s.request(id, 0)
@@ -67,7 +67,7 @@
 
 func TestRequestTooFarBackInQueueIsRejectedAtOnce(t *testing.T) {
 	settings := testSettings(RolePrefill, RoleDecode)
-	settings.MemoryTokensByKind = []float64{0, 1500} // capacity for one request
+	settings.Engines.Kinds[1].MemoryTokens = 1500 // capacity for one request
 	s := startRouter(t, settings, 0, 1)
 	s.handle(0, s.request(1, 0))
 	s.ticks(1100 * ms) // one release a second, as far as is known
@@ -104,7 +104,7 @@
 func TestPromptThatMissesItsDeadlineIsRejectedAtOnce(t *testing.T) {
 	settings := testSettings(RolePrefill, RoleDecode)
 	settings.Classes[0].TTFTPer1000Tokens = 200 * ms
-	for _, tokens := range []float64{100_000, 10_000} { // 12 s by what was seen, and 1.3 s
+	for _, tokens := range []Tokens{100_000, 10_000} { // 12 s by what was seen, and 1.3 s
 		s := startRouter(t, settings, 0, 1)
 		first := s.onlyForward(s.handle(0, s.request(1, 0)))
 		s.handle(150*ms, Outcome{ID: 1, Endpoint: first.Endpoint, Result: PrefillDone, Elapsed: 150 * ms})
--- a/control/service_test.go
+++ b/control/service_test.go
@@ -69,7 +69,7 @@
 func (f *simulatedService) restart(i int) {
 	f.starts[i]++
 	settings := f.settings
-	settings.Rank, settings.Seed = i, uint64(1000*f.starts[i]+i+1)
+	settings.Identity.Rank, settings.Identity.Seed = i, uint64(1000*f.starts[i]+i+1)
 	f.routers[i] = New(settings, f.now)
 	f.handle(i, EndpointUpdate{Endpoints: slices.Clone(f.endpoints), Full: true})
 }
@@ -94,8 +94,8 @@
 			e := f.engines[a.Endpoint]
 			e.arrivals = append(e.arrivals, f.now)
 			service := time.Duration(float64(e.serviceTime) * cmp.Or(f.relativeSize[a.ID], 1))
-			if f.now.Sub(e.StartedAt) < f.settings.SlowStartDuration && e.StartedAt != 0 {
-				service = time.Duration(float64(service) / f.settings.SlowStartShare)
+			if f.now.Sub(e.StartedAt) < f.settings.SlowStart.Duration && e.StartedAt != 0 {
+				service = time.Duration(float64(service) / f.settings.SlowStart.InitialShare)
 			}
 			out := Outcome{ID: a.ID, Endpoint: a.Endpoint}
 			if e.idleAt.Sub(f.now) > 40*service {
@@ -107,7 +107,7 @@
 			out.Elapsed = e.idleAt.Sub(f.now)
 			if out.Elapsed > a.Timeout {
 				out.Result, out.Elapsed = TimedOut, a.Timeout
-			} else if f.settings.RoleByKind[e.Kind] == RolePrefill {
+			} else if f.settings.Engines.Kinds[e.Kind].Role == RolePrefill {
 				out.Result = PrefillDone
 			} else {
 				out.Final = true
@@ -146,7 +146,7 @@
 			t.Run(fmt.Sprintf("%+v/%d", c, seed), func(t *testing.T) {
 				t.Parallel()
 				settings := testSettings(RolePrefill, RoleDecode)
-				settings.Routers, settings.CanHealthCheck, settings.SlowStartShare, settings.OverloadDuration, settings.SlowStartDuration = c.routers, true, 0.35, 3*time.Second, 10*time.Second
+				settings.Identity.Routers, settings.Caller.CanHealthCheck, settings.SlowStart.InitialShare, settings.SlowStart.OverloadDuration, settings.SlowStart.Duration = c.routers, true, 0.35, 3*time.Second, 10*time.Second
 				const prefillRate, decodeRate = 25.0, 20.0 // that one engine does in a second
 				f := &simulatedService{
 					settings: settings, rng: rand.New(rand.NewPCG(seed, 7)), now: Time(time.Hour.Microseconds()), engines: map[EndpointID]*simulatedEngine{},
@@ -215,11 +215,11 @@
 					if s.StartedAt == 0 {
 						continue
 					}
-					n := []float64{prefillRate, decodeRate}[s.Kind] * settings.SlowStartShare * settings.OverloadMultiple * settings.OverloadDuration.Seconds()
+					n := []float64{prefillRate, decodeRate}[s.Kind] * settings.SlowStart.InitialShare * settings.SlowStart.OverloadMultiple * settings.SlowStart.OverloadDuration.Seconds()
 					bound := n + 2*math.Sqrt(n) + 2
 					arrivals := f.engines[s.ID].arrivals
 					for from, to := 0, 0; to < len(arrivals); to++ {
-						for arrivals[to].Sub(arrivals[from]) > settings.OverloadDuration {
+						for arrivals[to].Sub(arrivals[from]) > settings.SlowStart.OverloadDuration {
 							from++
 						}
 						if arrivals[from] >= s.StartedAt {
@@ -245,7 +245,8 @@
 			t.Run(fmt.Sprintf("%+v/%d", c, seed), func(t *testing.T) {
 				t.Parallel()
 				settings := testSettings(RolePrefill, RoleDecode)
-				settings.Routers, settings.CanHealthCheck, settings.MemoryTokensByKind = c.routers, true, []float64{0, 60000}
+				settings.Identity.Routers, settings.Caller.CanHealthCheck = c.routers, true
+				settings.Engines.Kinds[1].MemoryTokens = 60000
 				f := &simulatedService{
 					settings: settings, rng: rand.New(rand.NewPCG(seed, 9)), now: Time(time.Hour.Microseconds()), engines: map[EndpointID]*simulatedEngine{},
 					routers: make([]*Router, c.routers), starts: make([]int, c.routers), relativeSize: map[RequestID]float64{}, answered: map[RequestID]bool{},
@@ -263,7 +264,7 @@
 					var arrive func()
 					arrive = func() {
 						f.lastID++
-						id, prompt := f.lastID, 1000.0
+						id, prompt := f.lastID, Tokens(1000)
 						if f.rng.IntN(10) == 0 {
 							prompt, large[id] = 6000, true
 							f.relativeSize[id] = 3
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -5,14 +5,14 @@
 
 // warmedUp tells that an endpoint does its full work.
 func (r *Router) warmedUp(e *endpoint) bool {
-	return e.slowStartSince == 0 || r.now.Sub(e.slowStartSince) >= r.settings.SlowStartDuration
+	return e.slowStartSince == 0 || r.now.Sub(e.slowStartSince) >= r.settings.SlowStart.Duration
 }
 
 // slowStartShare is what an endpoint in slow start may be sent of what others take: less where many attempts
 // are rejected.
 func (r *Router) slowStartShare(role Role) float64 {
 	accepted := 1 - r.latency.roles[role].rejectionRate.value
-	return r.settings.SlowStartShare * r.settings.OverloadMultiple * slowStartMargin * accepted
+	return r.settings.SlowStart.InitialShare * r.settings.SlowStart.OverloadMultiple * slowStartMargin * accepted
 }
 
 // admittedInSlowStart tells whether a request may go to endpoints in slow start at all. The danger is one
@@ -21,6 +21,6 @@
 // hurts where all of a role has just started: then few requests are taken.
 func (r *Router) admittedInSlowStart(e *endpoint, request *request) bool {
 	firstOfStage := request.attempts <= min(int(e.role), 1)
-	draw := hashFraction(uint64(request.ID)^r.settings.Seed, EndpointID(e.role))
+	draw := hashFraction(uint64(request.ID)^r.settings.Identity.Seed, EndpointID(e.role))
 	return firstOfStage && draw < r.slowStartShare(e.role)
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -34,7 +34,7 @@
 		all := startRouters(t, routers, testSettings(RolePrefill, RoleDecode), testEndpoints(4, 4))
 		for _, s := range all {
 			s.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Ready, Weight: 1, Cell: 1, StartedAt: s.now}}})
-			s.router.settings.SlowStartDuration = time.Hour
+			s.router.settings.SlowStart.Duration = time.Hour
 		}
 		forwards := playRequests(all, 1200/routers, func(s *script, id RequestID) Request { return s.request(id, 0) })
 		if forwards[1] == 0 || forwards[1] > forwards[2]/2 {
@@ -50,7 +50,7 @@
 		s.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Ready, Weight: 1, StartedAt: s.now}}})
 		id := RequestID(5000 + 97*i)
 		actions := s.handle(0, s.request(id, 0))
-		for attempt := 0; len(actionsOf[Forward](actions)) > 0; attempt++ {
+		for attempt := AttemptNumber(0); len(actionsOf[Forward](actions)) > 0; attempt++ {
 			forward := s.onlyForward(actions)
 			if forward.Endpoint == 1 {
 				slowStarting++
--- a/control/state.go
+++ b/control/state.go
@@ -37,18 +37,18 @@
 
 // New returns the router of one instance, which knows no endpoint yet.
 func New(settings Settings, now Time) *Router {
-	settings.Routers = max(settings.Routers, 1)
-	settings.MaxAttempts = max(settings.MaxAttempts, 1)
+	settings.Identity.Routers = max(settings.Identity.Routers, 1)
+	settings.Limits.MaxAttempts = max(settings.Limits.MaxAttempts, 1)
 	return &Router{
 		settings:  settings,
-		rng:       rand.New(rand.NewPCG(settings.Seed, settings.Seed>>32)),
+		rng:       rand.New(rand.NewPCG(settings.Identity.Seed, settings.Identity.Seed>>32)),
 		now:       now,
 		expiredAt: now,
 		endpoints: endpointTable{byID: map[EndpointID]*endpoint{}},
 		sessions:  map[uint64]*session{},
 		requests:  map[RequestID]*request{},
 		prefixes:  prefixPopularity{requests: map[uint64]float64{}},
-		latency:   latencyEstimator{answerSeconds: make([]ewma, len(settings.Classes))},
+		latency:   latencyEstimator{answerSeconds: make([]ewma[float64], len(settings.Classes))},
 	}
 }
 
@@ -72,11 +72,11 @@
 	session *session
 
 	arrivedAt     Time
-	firstTokenDue Time    // arrival plus the class's objective for the time to first token
-	sequence      uint64  // in order of arrival
-	heapIndex     int     // position in the queue; -1 outside it
-	promoted      bool    // has waited so long that it goes first
-	demand        float64 // KV memory at a decode engine, in tokens
+	firstTokenDue Time   // arrival plus the class's objective for the time to first token
+	sequence      uint64 // in order of arrival
+	heapIndex     int    // position in the queue; -1 outside it
+	promoted      bool   // has waited so long that it goes first
+	demand        Tokens // KV memory at a decode engine
 
 	attempts        int
 	maxAttempts     int
@@ -101,7 +101,7 @@
 	cancelRequested bool
 	overtakenBy     int // requests sent to the same endpoint later and answered first
 	sentAt          Time
-	tokensToPrefill float64 // prompt tokens to compute or to fetch, as far as is known
+	tokensToPrefill Tokens // of the prompt, to compute or to fetch, as far as is known
 }
 
 // execution is the earliest attempt that may have had the effect of its request.
@@ -115,7 +115,7 @@
 	serviceTime  time.Duration // accumulated over its requests
 	waitTime     time.Duration // accumulated in the queue
 	lastPrefill  *endpoint     // computed its latest prompt
-	cachedTokens float64       // of that prompt
+	cachedTokens Tokens        // of that prompt
 	seenAt       Time          // latest request
 }
 
@@ -136,19 +136,19 @@
 type endpoint struct {
 	Endpoint
 	role         Role
-	memoryTokens float64 // KV memory by the settings, in tokens; 0 for unknown
+	memoryTokens Tokens // KV memory by the settings; 0 for unknown
 
 	attempts      []*request // our attempts in flight
-	demand        float64    // KV memory that they need, in tokens
+	demand        Tokens     // KV memory that they need
 	trafficShare  float64    // of all requests that it should take
 	affinityScore float64    // for the prefix that is being placed
 
-	relativeLatency     ewma    // its better times over the mean of its role, or of the class of the answer
-	failureRate         float64 // share of recent attempts that failed
-	lastProgress        Time    // latest outcome or start of an answer
-	nextProbation       Time    // while ejected, nothing is sent before
-	rejectingUntil      Time    // it rejected an attempt: nothing is sent before
-	slowStartSince      Time    // latest start; 0 for long ago
+	relativeLatency     ewma[float64] // its better times over the mean of its role, or of the class of the answer
+	failureRate         float64       // share of recent attempts that failed
+	lastProgress        Time          // latest outcome or start of an answer
+	nextProbation       Time          // while ejected, nothing is sent before
+	rejectingUntil      Time          // it rejected an attempt: nothing is sent before
+	slowStartSince      Time          // latest start; 0 for long ago
 	healthCheckedAt     Time
 	healthCheckInFlight bool
 }
@@ -198,15 +198,15 @@
 
 // trafficCounters describe the requests that this router sees.
 type trafficCounters struct {
-	meanDemand  ewma    // KV memory of a request, in tokens
-	releaseRate ewma    // requests released from the queue a second
-	released    float64 // since the latest decay
+	meanDemand  ewma[Tokens]  // KV memory of a request
+	releaseRate ewma[float64] // requests released from the queue a second
+	released    float64       // since the latest decay
 }
 
 // latencyEstimator holds the times that attempts have taken.
 type latencyEstimator struct {
 	roles         [roleCount]roleStats
-	answerSeconds []ewma // by class
+	answerSeconds []ewma[float64] // by class
 }
 
 // roleCount is the number of roles.
@@ -214,23 +214,23 @@
 
 // roleStats are averages over all endpoints of one role.
 type roleStats struct {
-	secondsPerToken     ewma
-	bestSecondsPerToken ewma // of the better times
-	observedAt          Time // latest of these times
-	relativeLatency     ewma // time of its answers over the mean of their class
-	rejectionRate       ewma // share of recent attempts that were rejected
+	secondsPerToken     ewma[secondsPerToken]
+	bestSecondsPerToken ewma[secondsPerToken] // of the better times
+	observedAt          Time                  // latest of these times
+	relativeLatency     ewma[float64]         // time of its answers over the mean of their class
+	rejectionRate       ewma[float64]         // share of recent attempts that were rejected
 }
 
 // capacityView is what is known of the memory of all decode and colocated engines together, in tokens.
 type capacityView struct {
-	memoryTokens     float64 // by the settings
-	endpoints        float64 // number of these engines
-	reportedFree     ewma    // free memory of one of them, by load reports
-	reportedAt       Time    // latest load report; 0 for never
-	sentSinceReport  float64 // demand that reports do not show yet
-	demand           float64 // of our attempts in flight
-	prefillsInFlight float64 // our attempts at prefill engines
-	releaseThreshold float64 // part of a request for which there must be capacity
+	memoryTokens     Tokens       // by the settings
+	endpoints        float64      // number of these engines
+	reportedFree     ewma[Tokens] // free memory of one of them, by load reports
+	reportedAt       Time         // latest load report; 0 for never
+	sentSinceReport  Tokens       // demand that reports do not show yet
+	demand           Tokens       // of our attempts in flight
+	prefillsInFlight float64      // our attempts at prefill engines
+	releaseThreshold float64      // part of a request for which there must be capacity
 }
 
 // add counts the demand of an attempt that is sent, for attempts 1, or that has ended, for -1.
@@ -239,9 +239,9 @@
 		v.prefillsInFlight += attempts
 		return
 	}
-	target.demand += attempts * request.demand
-	v.demand += attempts * request.demand
-	v.sentSinceReport += max(attempts, 0) * request.demand
+	target.demand += Tokens(attempts) * request.demand
+	v.demand += Tokens(attempts) * request.demand
+	v.sentSinceReport += Tokens(max(attempts, 0)) * request.demand
 }
 
 // loadReport is a load report by field.
--- a/control/walk_test.go
+++ b/control/walk_test.go
@@ -51,6 +51,11 @@
 	releaseAskedAt control.Time // of that state; 0 for never
 }
 
+// latestAttempt returns the number of the latest attempt.
+func (r *walkedRequest) latestAttempt() control.AttemptNumber {
+	return control.AttemptNumber(r.attempts - 1)
+}
+
 // retainKV takes in that an engine retains KV state from now on, or goes on doing so after the attempt that had
 // reached its engine.
 func (r *walkedRequest) retainKV(now control.Time) {
@@ -89,7 +94,7 @@
 				}
 			}
 		case control.CancelAttempt:
-			if request := w.requests[a.ID]; request.attemptInFlight && !request.hasFirstToken && request.attempts-1 == a.Attempt {
+			if request := w.requests[a.ID]; request.attemptInFlight && !request.hasFirstToken && request.latestAttempt() == a.Attempt {
 				w.endAttempt(request, control.Cancelled)
 			}
 		}
@@ -102,7 +107,7 @@
 	if request == nil || request.answered || request.clientGone || request.attemptInFlight {
 		w.t.Fatalf("an answer for request %d: %+v", id, request)
 	}
-	if w.now > request.Deadline.Add(w.settings.AnswerGrace+50*time.Millisecond) {
+	if w.now > request.Deadline.Add(w.settings.Limits.AnswerGrace+50*time.Millisecond) {
 		w.t.Fatalf("request %d answered %v late", id, w.now.Sub(request.Deadline))
 	}
 	request.answered = true
@@ -120,19 +125,19 @@
 		w.t.Fatalf("request %d has two attempts in flight", a.ID)
 	case w.known[a.Endpoint] != control.Ready:
 		w.t.Fatalf("request %d forwarded to endpoint %d, which is not ready", a.ID, a.Endpoint)
-	case request.attempts >= w.settings.MaxAttempts:
+	case request.attempts >= w.settings.Limits.MaxAttempts:
 		w.t.Fatalf("request %d: attempt %d", a.ID, request.attempts)
 	case w.now >= request.Deadline:
 		w.t.Fatalf("request %d forwarded after its deadline", a.ID)
 	}
-	if c := w.class(request); request.executedAt != 0 && w.settings.RoleByKind[s.Kind] != control.RolePrefill {
+	if c := w.class(request); request.executedAt != 0 && w.settings.Engines.Kinds[s.Kind].Role != control.RolePrefill {
 		scope := c.DedupScope == control.DedupScopeAll || c.DedupScope == control.DedupScopeZone && known.Zone == request.executedOn.Zone || c.DedupScope == control.DedupScopeCell && known.Cell == request.executedOn.Cell
 		if c.Idempotency == control.NotIdempotent || c.Idempotency == control.IdempotentWithKey && (!scope || w.now.Sub(request.executedAt) >= c.DedupWindow) {
 			w.t.Fatalf("request %d, %v, forwarded again", a.ID, c.Idempotency)
 		}
 	}
 	request.attemptInFlight, request.endpoint, request.sentAt = true, a.Endpoint, w.now
-	if w.settings.RoleByKind[s.Kind] == control.RoleDecode && w.releases.Withdraw(fmt.Sprint(a.ID)) {
+	if w.settings.Engines.Kinds[s.Kind].Role == control.RoleDecode && w.releases.Withdraw(fmt.Sprint(a.ID)) {
 		request.retained = true
 		request.releaseAskedAt = 0
 	}
@@ -143,7 +148,7 @@
 
 // endAttempt ends an attempt, and tells the module.
 func (w *walker) endAttempt(request *walkedRequest, result control.Result) {
-	role := w.settings.RoleByKind[w.listed[request.endpoint].Kind]
+	role := w.settings.Engines.Kinds[w.listed[request.endpoint].Kind].Role
 	final := request.hasFirstToken || request.clientGone
 	switch {
 	case !request.arrived && result != control.TimedOut && result != control.Cancelled && result != control.ConnectFailed:
@@ -170,7 +175,7 @@
 	if request.hasFirstToken {
 		request.answered = true
 	}
-	w.handle(control.Outcome{ID: request.ID, Attempt: request.attempts - 1, Endpoint: request.endpoint, Result: result, Elapsed: w.now.Sub(request.sentAt), Final: final})
+	w.handle(control.Outcome{ID: request.ID, Attempt: request.latestAttempt(), Endpoint: request.endpoint, Result: result, Elapsed: w.now.Sub(request.sentAt), Final: final})
 	if final && request.retained {
 		w.releases.Enqueue(w.now, fmt.Sprint(request.ID))
 	}
@@ -193,8 +198,8 @@
 
 // checkRetention checks that the release of each KV state was asked for within the retention limit.
 func (w *walker) checkRetention() {
-	limit := w.settings.KVRetentionLimit
-	if !w.settings.ReleaseSparesAttempts || limit <= 0 {
+	limit := w.settings.Limits.KVRetentionLimit
+	if !w.settings.Caller.ReleaseSparesAttempts || limit <= 0 {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.requests)) {
@@ -273,7 +278,7 @@
 		listed: map[control.EndpointID]membership.Endpoint{},
 	}
 	w.settings = walkedSettings(t)
-	w.router, w.releases = control.New(w.settings, w.now), kvrelease.New(w.settings.KVRetentionLimit)
+	w.router, w.releases = control.New(w.settings, w.now), kvrelease.New(w.settings.Limits.KVRetentionLimit)
 	for id := control.EndpointID(1); id <= walkedEngines; id++ {
 		w.listed[id] = w.endpoint(id)
 	}
@@ -286,9 +291,19 @@
 func walkedSettings(t *rapid.T) control.Settings {
 	const ms = time.Millisecond
 	settings := control.Settings{
-		Seed: uint64(rapid.IntRange(1, 1000).Draw(t, "seed")), Routers: 1, RoleByKind: []control.Role{control.RolePrefill, control.RoleDecode, control.RoleColocated}, MemoryTokensByKind: make([]float64, 3),
-		CanCancel: true, CanHealthCheck: rapid.Bool().Draw(t, "probes"), MaxAttempts: rapid.IntRange(1, 6).Draw(t, "attempts"), ReleaseSparesAttempts: rapid.Bool().Draw(t, "spares"), KVRetentionLimit: time.Duration(rapid.SampledFrom([]int{0, 200, 500}).Draw(t, "pin")) * ms, ConnectTimeout: 250 * ms,
-		AnswerGrace: 8 * ms, SlowStartShare: 0.35, SlowStartDuration: 3 * time.Second, OverloadMultiple: 2.5, OverloadDuration: time.Second, MaxRetryAfter: time.Second,
+		Identity: control.RouterIdentity{Seed: uint64(rapid.IntRange(1, 1000).Draw(t, "seed")), Routers: 1},
+		Engines: control.EngineSettings{
+			Kinds: []control.EngineKind{{Role: control.RolePrefill}, {Role: control.RoleDecode}, {Role: control.RoleColocated}},
+		},
+	}
+	settings.Caller = control.Capabilities{CanCancel: true, CanHealthCheck: rapid.Bool().Draw(t, "probes")}
+	settings.Limits = control.Limits{
+		MaxAttempts: rapid.IntRange(1, 6).Draw(t, "attempts"), MaxRetryAfter: time.Second, ConnectTimeout: 250 * ms, AnswerGrace: 8 * ms,
+	}
+	settings.Caller.ReleaseSparesAttempts = rapid.Bool().Draw(t, "spares")
+	settings.Limits.KVRetentionLimit = time.Duration(rapid.SampledFrom([]int{0, 200, 500}).Draw(t, "pin")) * ms
+	settings.SlowStart = control.SlowStart{
+		InitialShare: 0.35, Duration: 3 * time.Second, OverloadMultiple: 2.5, OverloadDuration: time.Second,
 	}
 	for _, effect := range []control.Idempotency{control.Idempotent, control.NotIdempotent, control.IdempotentWithKey, control.IdempotentWithKey, control.IdempotentWithKey} {
 		c := control.Class{TTFTObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: effect, DedupWindow: 400 * ms}
@@ -354,7 +369,7 @@
 			w.step(time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * ms)
 			for _, id := range slices.Sorted(maps.Keys(w.requests)) {
 				request := w.requests[id]
-				isPrefill := request.attemptInFlight && w.settings.RoleByKind[w.listed[request.endpoint].Kind] == control.RolePrefill
+				isPrefill := request.attemptInFlight && w.settings.Engines.Kinds[w.listed[request.endpoint].Kind].Role == control.RolePrefill
 				isDue := rapid.IntRange(0, 9).Draw(t, "due") == 0 || isPrefill && rapid.Bool().Draw(t, "prefilled")
 				if !request.attemptInFlight || !isDue {
 					continue
@@ -393,10 +408,10 @@
 			},
 			"starts": func(t *rapid.T) {
 				request := w.pick(func(request *walkedRequest) bool {
-					return request.attemptInFlight && request.arrived && !request.hasFirstToken && !request.clientGone && w.settings.RoleByKind[w.listed[request.endpoint].Kind] != control.RolePrefill
+					return request.attemptInFlight && request.arrived && !request.hasFirstToken && !request.clientGone && w.settings.Engines.Kinds[w.listed[request.endpoint].Kind].Role != control.RolePrefill
 				})
 				request.hasFirstToken = true
-				w.handle(control.AnswerStarted{ID: request.ID, Endpoint: request.endpoint, Attempt: request.attempts - 1, Elapsed: w.now.Sub(request.sentAt)})
+				w.handle(control.AnswerStarted{ID: request.ID, Endpoint: request.endpoint, Attempt: request.latestAttempt(), Elapsed: w.now.Sub(request.sentAt)})
 			},
 			"leaves": func(t *rapid.T) {
 				request := w.pick(func(request *walkedRequest) bool { return !request.answered && !request.clientGone })
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -28,7 +28,7 @@
 	Limits  Limits
 	Request RequestRules
 	Control control.Settings // without what belongs to a pool
-	Kinds   []string         // names of the kinds of engine, as numbered in Control.RoleByKind
+	Kinds   []string         // names of the kinds of engine, as numbered in Control.Engines.Kinds
 	Classes []Class
 	Tenants []string
 	Pools   []Pool
@@ -118,10 +118,10 @@
 	c.LogPath = s.Text("log", "")
 	c.LogLevel = logLevels[s.Choice("log_level", "info", logLevels...)]
 	c.MaxConnections = s.Int("max_connections", 12000, 1, maxConnsLimit)
-	c.Control.Routers = s.Int("routers", 1, 1, maxRouters)
-	c.Control.Rank = s.Int("rank", 0, 0, maxRouters)
-	if c.Control.Rank >= c.Control.Routers {
-		s.AddError("rank", "%d is not below routers, %d", c.Control.Rank, c.Control.Routers)
+	c.Control.Identity.Routers = s.Int("routers", 1, 1, maxRouters)
+	c.Control.Identity.Rank = s.Int("rank", 0, 0, maxRouters)
+	if c.Control.Identity.Rank >= c.Control.Identity.Routers {
+		s.AddError("rank", "%d is not below routers, %d", c.Control.Identity.Rank, c.Control.Identity.Routers)
 	}
 }
 
@@ -131,10 +131,10 @@
 		return
 	}
 	role := control.Role(s.Choice("role", "", "reader", "writer", "mixed")) // in the order of control.Role
-	memoryTokens := s.Float("memory_tokens", 0, 0, 1e12)
+	memoryTokens := control.Tokens(s.Float("memory_tokens", 0, 0, 1e12))
 	c.Kinds = append(c.Kinds, s.Name)
-	c.Control.RoleByKind = append(c.Control.RoleByKind, role)
-	c.Control.MemoryTokensByKind = append(c.Control.MemoryTokensByKind, memoryTokens)
+	kind := control.EngineKind{Role: role, MemoryTokens: memoryTokens}
+	c.Control.Engines.Kinds = append(c.Control.Engines.Kinds, kind)
 }
 
 // parseTenant reads what one tenant may use.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -50,15 +50,15 @@
 // parseRules reads how the decision module attempts, retries and ejects.
 func (c *Config) parseRules(s *inifile.Section) {
 	settings := &c.Control
-	settings.MaxAttempts = s.Int("max_attempts", 5, 1, 100)
-	settings.MaxRetryAfter = s.Duration("max_retry_after", 5*time.Second, 50*time.Millisecond, time.Hour)
-	settings.ConnectTimeout = s.Duration("connect_timeout", 500*time.Millisecond, time.Millisecond, time.Minute)
-	settings.KVRetentionLimit = s.Duration("pin_limit", time.Second, 100*time.Millisecond, time.Minute)
-	settings.DrainGrace = s.Duration("drain_grace", 250*time.Millisecond, 0, time.Minute)
-	settings.SlowStartShare = s.Float("cold_from", 0.3, 0.01, 1)
-	settings.SlowStartDuration = s.Duration("cold_for", 10*time.Second, 0, time.Hour)
-	settings.OverloadMultiple = s.Float("fall_multiple", 2.5, 1, 100)
-	settings.OverloadDuration = s.Duration("fall_after", time.Second, time.Millisecond, time.Minute)
-	settings.CanHealthCheck = s.Bool("probe", true)
-	settings.CanCancel = s.Bool("cancel", true)
+	settings.Limits.MaxAttempts = s.Int("max_attempts", 5, 1, 100)
+	settings.Limits.MaxRetryAfter = s.Duration("max_retry_after", 5*time.Second, 50*time.Millisecond, time.Hour)
+	settings.Limits.ConnectTimeout = s.Duration("connect_timeout", 500*time.Millisecond, time.Millisecond, time.Minute)
+	settings.Limits.KVRetentionLimit = s.Duration("pin_limit", time.Second, 100*time.Millisecond, time.Minute)
+	settings.Limits.DrainGrace = s.Duration("drain_grace", 250*time.Millisecond, 0, time.Minute)
+	settings.SlowStart.InitialShare = s.Float("cold_from", 0.3, 0.01, 1)
+	settings.SlowStart.Duration = s.Duration("cold_for", 10*time.Second, 0, time.Hour)
+	settings.SlowStart.OverloadMultiple = s.Float("fall_multiple", 2.5, 1, 100)
+	settings.SlowStart.OverloadDuration = s.Duration("fall_after", time.Second, time.Millisecond, time.Minute)
+	settings.Caller.CanHealthCheck = s.Bool("probe", true)
+	settings.Caller.CanCancel = s.Bool("cancel", true)
 }
--- a/internal/decisionloop/example_test.go
+++ b/internal/decisionloop/example_test.go
@@ -15,10 +15,10 @@
 func (printedExchange) Forward(action control.Forward) {
 	fmt.Printf("forward request %d to endpoint %d\n", action.ID, action.Endpoint)
 }
-func (printedExchange) Reject(control.Reject)       { fmt.Println("reject") }
-func (printedExchange) Fail(control.Fail)           { fmt.Println("fail") }
-func (printedExchange) ReleaseKV(control.ReleaseKV) { fmt.Println("release KV") }
-func (printedExchange) CancelAttempt(int)           { fmt.Println("cancel attempt") }
+func (printedExchange) Reject(control.Reject)               { fmt.Println("reject") }
+func (printedExchange) Fail(control.Fail)                   { fmt.Println("fail") }
+func (printedExchange) ReleaseKV(control.ReleaseKV)         { fmt.Println("release KV") }
+func (printedExchange) CancelAttempt(control.AttemptNumber) { fmt.Println("cancel attempt") }
 
 // Both events reach the module at the end of the iteration, and its action the exchange.
 func ExampleMailbox() {
@@ -28,11 +28,10 @@
 		return
 	}
 	settings := control.Settings{
-		Routers:            1,
-		RoleByKind:         []control.Role{control.RoleColocated},
-		MemoryTokensByKind: []float64{0},
-		MaxAttempts:        1,
-		Classes:            []control.Class{{TTFTObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
+		Identity: control.RouterIdentity{Routers: 1},
+		Engines:  control.EngineSettings{Kinds: []control.EngineKind{{Role: control.RoleColocated}}},
+		Limits:   control.Limits{MaxAttempts: 1},
+		Classes:  []control.Class{{TTFTObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
 	}
 	mailbox := decisionloop.Mailbox[printedExchange]{
 		Loop:      loop,
--- a/internal/decisionloop/mailbox.go
+++ b/internal/decisionloop/mailbox.go
@@ -24,7 +24,7 @@
 	// ReleaseKV has engines release whatever KV state they may retain for the request.
 	ReleaseKV(action control.ReleaseKV)
 	// CancelAttempt ends the attempt of a number, unless its answer has begun.
-	CancelAttempt(number int)
+	CancelAttempt(number control.AttemptNumber)
 }
 
 // Mailbox gathers the events of one iteration of the event loop for a decision module, hands them
--- a/internal/decisionloop/mailbox_test.go
+++ b/internal/decisionloop/mailbox_test.go
@@ -34,7 +34,7 @@
 func (x *recordedExchange) Reject(action control.Reject)       { x.mailbox.record(action) }
 func (x *recordedExchange) Fail(action control.Fail)           { x.mailbox.record(action) }
 func (x *recordedExchange) ReleaseKV(action control.ReleaseKV) { x.mailbox.record(action) }
-func (x *recordedExchange) CancelAttempt(number int) {
+func (x *recordedExchange) CancelAttempt(number control.AttemptNumber) {
 	x.mailbox.record(control.CancelAttempt{ID: x.id, Attempt: number})
 }
 
@@ -56,11 +56,10 @@
 // newRouter returns a module with one class, for engines that do both stages.
 func newRouter() *control.Router {
 	return control.New(control.Settings{
-		Routers:            1,
-		RoleByKind:         []control.Role{control.RoleColocated},
-		MemoryTokensByKind: []float64{0},
-		MaxAttempts:        3,
-		Classes:            []control.Class{{TTFTObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}},
+		Identity: control.RouterIdentity{Routers: 1},
+		Engines:  control.EngineSettings{Kinds: []control.EngineKind{{Role: control.RoleColocated}}},
+		Limits:   control.Limits{MaxAttempts: 3},
+		Classes:  []control.Class{{TTFTObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}},
 	}, moduleStart)
 }
 
--- a/internal/nodes/nodes.go
+++ b/internal/nodes/nodes.go
@@ -139,7 +139,7 @@
 		return
 	}
 	node.Kind = kind
-	node.Role = p.config.Control.RoleByKind[i]
+	node.Role = p.config.Control.Engines.Kinds[i].Role
 	if pool != nil && node.Role != control.RoleColocated && slices.ContainsFunc(pool.APIs, hasOneStage) {
 		s.AddError("kind", "%s is no kind of role mixed: [pool %s] serves embeddings or rerank, which have one stage", kind, node.Pool)
 	}
--- a/internal/openaiserver/admissionqueue.go
+++ b/internal/openaiserver/admissionqueue.go
@@ -21,7 +21,7 @@
 	settings := admission.Settings{
 		LargeTokens:     p.settings.LargeTokens,
 		OutstandingWork: p.settings.LargeWait,
-		Routers:         p.config.Control.Routers,
+		Routers:         p.config.Control.Identity.Routers,
 	}
 	q := &admissionQueue{
 		pool:     p,
--- a/internal/openaiserver/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -41,8 +41,8 @@
 // response: the connection calls Connected, Head, Data, Complete and Failed.
 type attempt struct {
 	exchange   *exchange
-	number     int     // among the exchange's attempts, from 0
-	engine     *engine // nil where it is not listed
+	number     control.AttemptNumber // among the exchange's attempts, from 0
+	engine     *engine               // nil where it is not listed
 	endpointID control.EndpointID
 	role       control.Role
 	conn       *upstream.Conn // nil before it is had, and after the response
--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -4,6 +4,7 @@
 	"crypto/sha256"
 	"net/http"
 
+	"martenlock/control"
 	"martenlock/control/batching"
 	"martenlock/control/outcome"
 	"martenlock/internal/openai"
@@ -49,7 +50,7 @@
 // newBatchScheduler returns one without members by the pool's settings.
 func newBatchScheduler(p *pool) *batchScheduler {
 	settings := p.settings.Batching
-	settings.Routers = p.config.Control.Routers
+	settings.Routers = p.config.Control.Identity.Routers
 	b := &batchScheduler{
 		pool:     p,
 		batcher:  batching.NewBatcher(settings),
@@ -188,7 +189,7 @@
 	started.call = request.call.Batch(inputs, prompt)
 	request.call = started.call
 	request.headers = commonHeaders(headers)
-	request.moduleRequest.PromptTokens = prompt
+	request.moduleRequest.PromptTokens = control.Tokens(prompt)
 	request.moduleRequest.SessionID = 0 // members are of several sessions
 	request.moduleRequest.Deadline = due.Deadline
 }
--- a/internal/openaiserver/dispatch.go
+++ b/internal/openaiserver/dispatch.go
@@ -165,9 +165,9 @@
 	}
 	event := &request.moduleRequest
 	event.PrefixHash = call.PrefixHash
-	event.PrefixTokens = call.PrefixTokens * correction
-	event.PromptTokens = call.PromptTokens * correction
-	event.MaxTokens = float64(call.MaxTokens)
+	event.PrefixTokens = control.Tokens(call.PrefixTokens * correction)
+	event.PromptTokens = control.Tokens(call.PromptTokens * correction)
+	event.MaxTokens = control.Tokens(call.MaxTokens)
 	event.Deadline = s.now().Add(max(request.timeBudget-s.config.Limits.DeadlineMargin, 0))
 	event.SessionID = sessionID(c.request.tenant, c.request.session, call.CacheKey, call.User)
 	return request
--- a/internal/openaiserver/embeddingrequest.go
+++ b/internal/openaiserver/embeddingrequest.go
@@ -7,6 +7,7 @@
 
 	"github.com/tidwall/gjson"
 
+	"martenlock/control"
 	"martenlock/control/coalesce"
 	"martenlock/control/outcome"
 	"martenlock/internal/openai"
@@ -139,7 +140,7 @@
 		prompt += e.inputTokens[i]
 	}
 	request.call = request.call.Shard(inputs, prompt)
-	request.moduleRequest.PromptTokens = prompt
+	request.moduleRequest.PromptTokens = control.Tokens(prompt)
 	request.prompt = prompt
 	request.inputs = inputs
 	request.inputTokens = inputTokens
--- a/internal/openaiserver/exchange.go
+++ b/internal/openaiserver/exchange.go
@@ -73,7 +73,7 @@
 	s := x.pool.server
 	a := &attempt{
 		exchange:   x,
-		number:     x.attemptCount,
+		number:     control.AttemptNumber(x.attemptCount),
 		engine:     s.engines.byID[action.Endpoint],
 		endpointID: action.Endpoint,
 		startedAt:  s.loop.Now(),
@@ -109,7 +109,7 @@
 }
 
 // CancelAttempt ends the attempt of a number, unless its answer has begun.
-func (x *exchange) CancelAttempt(number int) {
+func (x *exchange) CancelAttempt(number control.AttemptNumber) {
 	a := x.attempt
 	if a != nil && a.number == number && a.state == attemptWaiting {
 		a.finish(control.Cancelled, false)
--- a/internal/openaiserver/httpexchange.go
+++ b/internal/openaiserver/httpexchange.go
@@ -2,7 +2,6 @@
 
 import (
 	"strconv"
-	"time"
 
 	"martenlock/control"
 	"martenlock/control/admission"
@@ -133,7 +132,7 @@
 	x.latencyObserved = true
 	now := request.pool.server.now()
 	class := request.class()
-	objective := class.TTFTObjective + time.Duration(float64(class.TTFTPer1000Tokens)*request.moduleRequest.PromptTokens/1000)
+	objective := class.FirstTokenObjective(request.moduleRequest.PromptTokens)
 	elapsed := now.Sub(x.startedAt)
 	if result == outcome.Rejected {
 		elapsed = max(elapsed, objective)
--- a/internal/openaiserver/pool.go
+++ b/internal/openaiserver/pool.go
@@ -86,9 +86,9 @@
 func newPool(s *Server, settings *config.Pool, index uint64) *pool {
 	controlSettings := s.config.Control
 	p := &pool{server: s, settings: settings, config: s.config, exchanges: newExchangeTable()}
-	controlSettings.ReportFields = settings.ReportFields
-	controlSettings.Zone = s.topology.zone(s.config.Zone)
-	controlSettings.Seed = s.seed + index*seedStep
+	controlSettings.Engines.ReportFields = settings.ReportFields
+	controlSettings.Identity.Zone = s.topology.zone(s.config.Zone)
+	controlSettings.Identity.Seed = s.seed + index*seedStep
 	p.mailbox = decisionloop.Mailbox[*exchange]{
 		Loop:        s.loop,
 		Router:      control.New(controlSettings, s.now()),
@@ -154,8 +154,8 @@
 		}
 		if node.State != control.Gone {
 			capacities = append(capacities, admission.Endpoint{
-				Role:         p.config.Control.RoleByKind[kind],
-				MemoryTokens: p.config.Control.MemoryTokensByKind[kind],
+				Role:         p.config.Control.Engines.Kinds[kind].Role,
+				MemoryTokens: float64(p.config.Control.Engines.Kinds[kind].MemoryTokens),
 			})
 		}
 		if node.State == control.Ready {
@@ -187,7 +187,7 @@
 // maxAttempts is how many attempts a class has.
 func (p *pool) maxAttempts(class *control.Class) int {
 	if class.MaxAttempts > 0 {
-		return min(class.MaxAttempts, p.config.Control.MaxAttempts)
+		return min(class.MaxAttempts, p.config.Control.Limits.MaxAttempts)
 	}
-	return p.config.Control.MaxAttempts
+	return p.config.Control.Limits.MaxAttempts
 }
--- a/internal/openaiserver/reload.go
+++ b/internal/openaiserver/reload.go
@@ -65,7 +65,7 @@
 func (s *Server) applyLimits() {
 	limits := &s.config.Limits
 	s.engines.connOptions = upstream.Options{
-		ConnectTimeout: s.config.Control.ConnectTimeout,
+		ConnectTimeout: s.config.Control.Limits.ConnectTimeout,
 		IdleTimeout:    limits.EngineIdleTimeout,
 		MaxPerEngine:   limits.MaxEngineConns,
 		Limits:         http1.Limits{Line: limits.HTTP.Line, Headers: limits.HTTP.Headers, Fields: limits.HTTP.Fields, Body: limits.MaxResponseBytes},
--- a/internal/openaiserver/scatter.go
+++ b/internal/openaiserver/scatter.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"martenlock/control"
 	"martenlock/control/admission"
 	"martenlock/control/outcome"
 	"martenlock/control/scatter"
@@ -75,7 +76,7 @@
 // shardTokens returns the tokens of a shard.
 func (r *scatterRequest) shardTokens(index int) float64 {
 	if r.inputs == nil {
-		return r.request.moduleRequest.PromptTokens
+		return float64(r.request.moduleRequest.PromptTokens)
 	}
 	sum := 0.0
 	for _, tokens := range r.inputTokens[r.plan[index].From:r.plan[index].To] {
@@ -100,7 +101,7 @@
 		started.copiedBytes += int64(len(input)) + 1
 	}
 	request.pool.server.bufferedBytes += started.copiedBytes
-	request.moduleRequest.PromptTokens = tokens
+	request.moduleRequest.PromptTokens = control.Tokens(tokens)
 	request.moduleRequest.SessionID = 0 // a session's engine would get all shards
 	request.partMark += fmt.Sprintf("%d/%d", index+1, len(r.plan))
 	started.exchange = request.startExchange(started, fmt.Sprintf("%s-%d", r.requestID, index))
@@ -169,7 +170,7 @@
 // retryAfter returns when a rejected request may be retried. The admission queue says it for the
 // whole request, the module for a shard.
 func (r *scatterRequest) retryAfter(after time.Duration) time.Duration {
-	longest := r.request.pool.config.Control.MaxRetryAfter
+	longest := r.request.pool.config.Control.Limits.MaxRetryAfter
 	if r.needsAdmission {
 		return min(after, longest)
 	}
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -38,8 +38,8 @@
 // response and builds its head: the connection calls RequestHead, Connected, Head, Data, Complete and Failed.
 type attempt struct {
 	exchange   *exchange
-	number     int       // among the exchange's attempts, from 0
-	endpoint   *endpoint // nil where it is not listed
+	number     control.AttemptNumber // among the exchange's attempts, from 0
+	endpoint   *endpoint             // nil where it is not listed
 	endpointID control.EndpointID
 	role       control.Role
 	conn       *upstream.Conn // nil before it is had, and after the response
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -208,11 +208,11 @@
 	if err != nil {
 		return platformsettings.Settings{}, configFileError(path, "", err) // it names the key
 	}
-	if len(settings.ClassNames) == 0 || len(settings.KindNames) != len(settings.Control.RoleByKind) {
+	if len(settings.ClassNames) == 0 || len(settings.KindNames) != len(settings.Control.Engines.Kinds) {
 		return platformsettings.Settings{}, configFileError(path, "settings", errSettingsMismatch)
 	}
 	// DELETE at a room leaves alone what an attempt waits for, and a request written counts only once it has
 	// arrived. The simulator counts an attempt from its send, and leaves this off.
-	settings.Control.ReleaseSparesAttempts = true
+	settings.Control.Caller.ReleaseSparesAttempts = true
 	return settings, nil
 }
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -45,7 +45,7 @@
 		byID: map[control.EndpointID]*endpoint{},
 		connOptions: upstream.Options{
 			Limits:         http1.Limits{Line: maxLineBytes, Headers: maxHeadBytes, Fields: maxHeaderFields, Body: maxResponseBodyBytes},
-			ConnectTimeout: settings.Control.ConnectTimeout,
+			ConnectTimeout: settings.Control.Limits.ConnectTimeout,
 			IdleTimeout:    connlimit.EngineIdleTimeout(settings.EngineIdleTimeout),
 			MaxPerEngine:   s.limits.maxEngineConns,
 			MaxTotal:       s.limits.maxEngineConns,
@@ -125,7 +125,7 @@
 // limitPendingSends ends, as not sent, the requests to a draining engine that have not been
 // written whole by the end of its grace period.
 func (e *endpoint) limitPendingSends() {
-	grace := max(e.server.config.Settings.Control.DrainGrace, time.Millisecond)
+	grace := max(e.server.config.Settings.Control.Limits.DrainGrace, time.Millisecond)
 	for a := range e.attempts {
 		if a.conn != nil {
 			a.conn.SendWithin(grace)
--- a/internal/platform/endpointcall.go
+++ b/internal/platform/endpointcall.go
@@ -59,7 +59,7 @@
 		return
 	}
 	startedAt := s.loop.Now()
-	e.startCall("GET", healthPath, s.config.Settings.Control.ConnectTimeout, func(result control.Result, status int) {
+	e.startCall("GET", healthPath, s.config.Settings.Control.Limits.ConnectTimeout, func(result control.Result, status int) {
 		if result == control.OK && status != 200 {
 			result = control.Failed
 		}
--- a/internal/platform/eventlog.go
+++ b/internal/platform/eventlog.go
@@ -78,7 +78,7 @@
 	s := a.exchange.server
 	s.events.request().
 		Str("request_id", a.exchange.meta.callID).
-		Int("attempt", a.number).
+		Int("attempt", int(a.number)).
 		Str("endpoint_name", s.endpointName(a.endpointID)).
 		Stringer("role", a.role).
 		Stringer("result", result).
@@ -96,7 +96,7 @@
 	s := a.exchange.server
 	s.events.request().
 		Str("request_id", a.exchange.meta.callID).
-		Int("attempt", a.number).
+		Int("attempt", int(a.number)).
 		Str("endpoint_name", s.endpointName(a.endpointID)).
 		Stringer("reason", previous).
 		Dur("remaining_ms", a.deadline-s.loop.Now()).
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -119,7 +119,7 @@
 	now := s.loop.Now()
 	a := &attempt{
 		exchange:   x,
-		number:     x.attemptCount,
+		number:     control.AttemptNumber(x.attemptCount),
 		endpoint:   s.endpoints.byID[action.Endpoint],
 		endpointID: action.Endpoint,
 		startedAt:  now,
@@ -134,7 +134,7 @@
 		a.finish(control.NotSent, false)
 		return
 	}
-	a.role = s.config.Settings.Control.RoleByKind[a.endpoint.kind]
+	a.role = s.config.Settings.Control.Engines.Kinds[a.endpoint.kind].Role
 	releases := s.kvReleases.scheduler
 	if a.role == control.RoleDecode {
 		releases.Withdraw(x.meta.callID) // or it would take the KV state from this attempt
@@ -147,7 +147,7 @@
 }
 
 // CancelAttempt ends the attempt of a number, unless its answer has begun.
-func (x *exchange) CancelAttempt(number int) {
+func (x *exchange) CancelAttempt(number control.AttemptNumber) {
 	a := x.attempt
 	if a != nil && a.number == number && a.state == attemptWaiting {
 		a.finish(control.Cancelled, false)
--- a/internal/platform/golden_sites_test.go
+++ b/internal/platform/golden_sites_test.go
@@ -335,13 +335,13 @@
 	t.Helper()
 	set, ctl := &cfg.Settings, &cfg.Settings.Control
 	out := goldenConfig{
-		Seed: fmt.Sprintf("%016x", ctl.Seed), Name: cfg.Name, Cores: cfg.Limits.Cores, MemoryMB: cfg.Limits.MemoryMB, Sockets: cfg.Limits.Sockets,
-		Routers: ctl.Routers, Rank: ctl.Rank, Zone: ctl.Zone, Zones: set.ZoneNames, Classes: dumpClasses(set), Kinds: dumpKinds(set),
-		ReportFields: len(ctl.ReportFields), Tenants: len(ctl.Tenants), Probes: ctl.CanHealthCheck, Cancel: ctl.CanCancel, AskFleet: ctl.MustSubscribe,
-		DecodePrefills: ctl.DecodeCanPrefill, Resume: set.ResumesStreams, MaxAttempts: ctl.MaxAttempts, MaxHeld: set.MaxRequests,
-		MaxRetryAfter: ctl.MaxRetryAfter.String(), ConnectTimeout: ctl.ConnectTimeout.String(), ConnIdle: set.EngineIdleTimeout.String(),
-		PinLimit: ctl.KVRetentionLimit.String(), DrainGrace: ctl.DrainGrace.String(), AnswerGrace: ctl.AnswerGrace.String(),
-		ColdFrom: ctl.SlowStartShare, ColdFor: ctl.SlowStartDuration.String(), FallMultiple: ctl.OverloadMultiple, FallAfter: ctl.OverloadDuration.String(),
+		Seed: fmt.Sprintf("%016x", ctl.Identity.Seed), Name: cfg.Name, Cores: cfg.Limits.Cores, MemoryMB: cfg.Limits.MemoryMB, Sockets: cfg.Limits.Sockets,
+		Routers: ctl.Identity.Routers, Rank: ctl.Identity.Rank, Zone: ctl.Identity.Zone, Zones: set.ZoneNames, Classes: dumpClasses(set), Kinds: dumpKinds(set),
+		ReportFields: len(ctl.Engines.ReportFields), Tenants: len(ctl.Tenants), Probes: ctl.Caller.CanHealthCheck, Cancel: ctl.Caller.CanCancel, AskFleet: ctl.Caller.MustSubscribe,
+		DecodePrefills: ctl.Engines.DecodeCanPrefill, Resume: set.ResumesStreams, MaxAttempts: ctl.Limits.MaxAttempts, MaxHeld: set.MaxRequests,
+		MaxRetryAfter: ctl.Limits.MaxRetryAfter.String(), ConnectTimeout: ctl.Limits.ConnectTimeout.String(), ConnIdle: set.EngineIdleTimeout.String(),
+		PinLimit: ctl.Limits.KVRetentionLimit.String(), DrainGrace: ctl.Limits.DrainGrace.String(), AnswerGrace: ctl.Limits.AnswerGrace.String(),
+		ColdFrom: ctl.SlowStart.InitialShare, ColdFor: ctl.SlowStart.Duration.String(), FallMultiple: ctl.SlowStart.OverloadMultiple, FallAfter: ctl.SlowStart.OverloadDuration.String(),
 	}
 	text, err := json.MarshalIndent(out, "", "  ")
 	if err != nil {
@@ -361,8 +361,8 @@
 }
 
 func dumpKinds(set *platformsettings.Settings) (out []goldenKind) {
-	for i, role := range set.Control.RoleByKind {
-		out = append(out, goldenKind{Name: set.KindNames[i], Role: goldenRoles[role], Memory: set.Control.MemoryTokensByKind[i]})
+	for i, kind := range set.Control.Engines.Kinds {
+		out = append(out, goldenKind{Name: set.KindNames[i], Role: goldenRoles[kind.Role], Memory: float64(kind.MemoryTokens)})
 	}
 	return out
 }
--- a/internal/platform/kvrelease.go
+++ b/internal/platform/kvrelease.go
@@ -14,7 +14,7 @@
 
 func newKVReleases(s *Server) kvReleases {
 	return kvReleases{
-		scheduler: kvrelease.New(s.config.Settings.Control.KVRetentionLimit),
+		scheduler: kvrelease.New(s.config.Settings.Control.Limits.KVRetentionLimit),
 		pollTimer: timerwheel.Timer{Fire: s.schedulePoll},
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -568,10 +568,10 @@
 	w := startHarness(t, "r1", "w1", "w1")
 	w.engines[1].listedAddress = unreachable(t)
 	w.runOnLoop(func() {
-		w.server.endpoints.connOptions.ConnectTimeout, w.server.config.Settings.Control.DrainGrace = 5*time.Second, 100*time.Millisecond
+		w.server.endpoints.connOptions.ConnectTimeout, w.server.config.Settings.Control.Limits.DrainGrace = 5*time.Second, 100*time.Millisecond
 		w.server.mailbox.Router = control.New(func() control.Settings {
 			s := w.server.config.Settings.Control
-			s.KVRetentionLimit = 10 * time.Second
+			s.Limits.KVRetentionLimit = 10 * time.Second
 			return s
 		}(), w.server.now())
 	})
--- a/internal/platform/race_test.go
+++ b/internal/platform/race_test.go
@@ -700,7 +700,7 @@
 	})
 	w.runOnLoop(func() { // room for one request
 		set := w.server.config.Settings.Control
-		set.MemoryTokensByKind = []float64{0, 700}
+		set.Engines.Kinds = []control.EngineKind{{Role: control.RolePrefill}, {Role: control.RoleDecode, MemoryTokens: 700}}
 		w.server.mailbox.Router = control.New(set, w.server.now())
 		ev := control.EndpointUpdate{Full: true}
 		for _, e := range w.engines {
--- a/internal/platform/requestmeta.go
+++ b/internal/platform/requestmeta.go
@@ -156,12 +156,12 @@
 }
 
 // parseTokens decodes a number of tokens.
-func parseTokens(text string) (float64, error) {
+func parseTokens(text string) (control.Tokens, error) {
 	tokens, isDecimal := parseDecimal(text)
 	if !isDecimal || tokens > maxTokens {
 		return 0, fmt.Errorf("%.40q is no number of tokens", text)
 	}
-	return tokens, nil
+	return control.Tokens(tokens), nil
 }
 
 // isCallID tells whether an id can stand in a path as it is.
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -124,8 +124,7 @@
 	}
 	request := &x.meta.request
 	class := &x.server.config.Settings.Control.Classes[request.Class]
-	promptObjective := time.Duration(float64(class.TTFTPer1000Tokens) * request.PromptTokens / 1000)
-	isInTime := x.timeToFirstEvent <= class.TTFTObjective+promptObjective
+	isInTime := x.timeToFirstEvent <= class.FirstTokenObjective(request.PromptTokens)
 	if outcome == "served" && x.attemptCount <= smoothAttempts && isInTime {
 		return
 	}
@@ -134,7 +133,7 @@
 		Int("class", request.Class).
 		Str("outcome", outcome).
 		Int("attempts", x.attemptCount).
-		Float64("prompt_tokens", request.PromptTokens).
+		Float64("prompt_tokens", float64(request.PromptTokens)).
 		Dur("ttft_ms", x.timeToFirstEvent).
 		Dur("duration_ms", x.server.loop.Now()-x.startedAt).
 		Str("attempt_history", x.attemptHistory).
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -67,57 +67,60 @@
 
 // controlSettings returns the part of the settings that the decision module needs.
 func (o *object) controlSettings(seed uint64) (control.Settings, error) {
+	kinds, err := o.engineKinds()
+	if err != nil {
+		return control.Settings{}, err
+	}
 	settings := control.Settings{
-		Seed:               seed,
-		Routers:            o.Routers,
-		Rank:               o.Rank,
-		Zone:               o.Zone,
-		MemoryTokensByKind: o.Family.MemoryTokensByKind,
-		CanHealthCheck:     o.Limits.CanHealthCheck,
-		CanCancel:          o.Limits.CanCancel,
-		MustSubscribe:      o.MembershipMode == membershipModeSubscribe,
-		DecodeCanPrefill:   o.Family.DecodeCanPrefill,
-		MaxAttempts:        o.Limits.MaxAttempts,
-		MaxRetryAfter:      microseconds(o.Limits.MaxRetryAfterUs),
-		ConnectTimeout:     microseconds(o.Limits.ConnectTimeoutUs),
-		KVRetentionLimit:   microseconds(o.Family.KVRetentionLimitUs),
-		DrainGrace:         microseconds(o.Rules.DrainGraceUs),
-		AnswerGrace:        microseconds(o.Rules.AnswerGraceUs),
-		SlowStartShare:     o.Rules.SlowStartShare,
-		SlowStartDuration:  microseconds(o.Rules.SlowStartUs),
-		OverloadMultiple:   o.Rules.OverloadMultiple,
-		OverloadDuration:   microseconds(o.Rules.OverloadUs),
-		ReportFields:       o.reportFields(),
+		Identity: control.RouterIdentity{Seed: seed, Routers: o.Routers, Rank: o.Rank, Zone: o.Zone},
+		Engines: control.EngineSettings{
+			Kinds:            kinds,
+			ReportFields:     o.reportFields(),
+			DecodeCanPrefill: o.Family.DecodeCanPrefill,
+		},
+		Caller: control.Capabilities{
+			CanHealthCheck: o.Limits.CanHealthCheck,
+			CanCancel:      o.Limits.CanCancel,
+			MustSubscribe:  o.MembershipMode == membershipModeSubscribe,
+		},
+		Limits: control.Limits{
+			MaxAttempts:      o.Limits.MaxAttempts,
+			MaxRetryAfter:    microseconds(o.Limits.MaxRetryAfterUs),
+			ConnectTimeout:   microseconds(o.Limits.ConnectTimeoutUs),
+			KVRetentionLimit: microseconds(o.Family.KVRetentionLimitUs),
+			DrainGrace:       microseconds(o.Rules.DrainGraceUs),
+			AnswerGrace:      microseconds(o.Rules.AnswerGraceUs),
+		},
+		SlowStart: control.SlowStart{
+			InitialShare:     o.Rules.SlowStartShare,
+			Duration:         microseconds(o.Rules.SlowStartUs),
+			OverloadMultiple: o.Rules.OverloadMultiple,
+			OverloadDuration: microseconds(o.Rules.OverloadUs),
+		},
 	}
 	if !o.Limits.SendsRetryAfter {
-		settings.MaxRetryAfter = 0
-	}
-	for len(settings.MemoryTokensByKind) < len(o.Family.RoleByKind) {
-		settings.MemoryTokensByKind = append(settings.MemoryTokensByKind, 0)
+		settings.Limits.MaxRetryAfter = 0
 	}
 	for _, tenant := range o.Tenants {
 		settings.Tenants = append(settings.Tenants, control.Tenant{RateLimit: tenant.RateLimitPerSecond, Share: tenant.Share})
 	}
-	var err error
-	settings.RoleByKind, err = o.roles()
-	if err != nil {
-		return control.Settings{}, err
-	}
 	settings.Classes, err = o.controlClasses()
 	return settings, err
 }
 
-// roles returns the role of each kind of engine.
-func (o *object) roles() ([]control.Role, error) {
-	var roles []control.Role
-	for _, name := range o.Family.RoleByKind {
+// engineKinds returns the role and memory of each kind of engine. The memory of a kind is unknown if the
+// list of memories ends before it.
+func (o *object) engineKinds() ([]control.EngineKind, error) {
+	var kinds []control.EngineKind
+	for i, name := range o.Family.RoleByKind {
 		role, known := roleByName[name]
 		if !known {
 			return nil, &Error{Key: "FamilyInfo.KindRole", Err: fmt.Errorf("unknown role %q", name)}
 		}
-		roles = append(roles, role)
+		memory := control.Tokens(elementOrZero(o.Family.MemoryTokensByKind, i))
+		kinds = append(kinds, control.EngineKind{Role: role, MemoryTokens: memory})
 	}
-	return roles, nil
+	return kinds, nil
 }
 
 // controlClasses returns the request classes in the decision module's terms.
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -24,10 +24,12 @@
 		t.Fatal(err)
 	}
 	got := settings.Control
-	if got.Routers != 2 || got.Seed != 4 || got.MaxRetryAfter != 0 ||
-		!reflect.DeepEqual(got.RoleByKind, []control.Role{control.RolePrefill, control.RoleColocated}) ||
-		!reflect.DeepEqual(got.MemoryTokensByKind, []float64{5, 0}) ||
-		!reflect.DeepEqual(got.ReportFields, []control.ReportField{
+	if got.Identity.Routers != 2 || got.Identity.Seed != 4 || got.Limits.MaxRetryAfter != 0 ||
+		!reflect.DeepEqual(got.Engines.Kinds, []control.EngineKind{
+			{Role: control.RolePrefill, MemoryTokens: 5},
+			{Role: control.RoleColocated, MemoryTokens: 0},
+		}) ||
+		!reflect.DeepEqual(got.Engines.ReportFields, []control.ReportField{
 			control.ReportInFlight, control.ReportOther, control.ReportBacklog,
 			control.ReportMemory,
 		}) ||
--- a/internal/simwire/coder.go
+++ b/internal/simwire/coder.go
@@ -70,20 +70,21 @@
 }
 
 // index codes a position in a list, in the width of W.
-func index[W unsigned](c *coder, value *int) {
+func index[W unsigned, T ~int](c *coder, value *T) {
 	wire := W(*value)
 	integer(c, &wire)
-	*value = int(wire)
+	*value = T(wire)
 }
 
 // float codes a number in 32 bits. One that is not finite is read as 0.
-func float(c *coder, value *float64) {
+func float[T ~float64](c *coder, value *T) {
 	bits := math.Float32bits(float32(*value))
 	integer(c, &bits)
-	*value = float64(math.Float32frombits(bits))
-	if !c.isWriting && (math.IsNaN(*value) || math.IsInf(*value, 0)) {
-		*value = 0
+	number := float64(math.Float32frombits(bits))
+	if !c.isWriting && (math.IsNaN(number) || math.IsInf(number, 0)) {
+		number = 0
 	}
+	*value = T(number)
 }
 
 // duration codes a duration in microseconds, cut to what 32 bits hold.
