--- a/internal/enginecall/call_test.go
+++ b/internal/enginecall/call_test.go
@@ -9,8 +9,7 @@
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
-
+	"martenlock/internal/enginetest"
 	"martenlock/internal/eventloop/eventlooptest"
 	"martenlock/internal/http1"
 	"martenlock/internal/upstream"
@@ -19,7 +18,7 @@
 // never is a time-out that no test reaches.
 const never = time.Hour
 
-// callFixture is a pool of connections on a loop, to an engine that the test plays.
+// callFixture is a pool of connections on a loop, to an engine of the test.
 type callFixture struct {
 	t       *testing.T
 	loop    eventlooptest.Loop
@@ -41,46 +40,6 @@
 	return &callFixture{t: t, loop: loop, pool: pool, results: make(chan Result, 10)}
 }
 
-// startEngine listens on loopback and hands the first connection to serve.
-func startEngine(t *testing.T, serve func(*net.TCPConn)) netip.AddrPort {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	served := make(chan struct{})
-	go func() {
-		defer close(served)
-		if conn, err := listener.Accept(); err == nil {
-			serve(conn.(*net.TCPConn))
-		}
-	}()
-	t.Cleanup(func() {
-		listener.Close()
-		<-served
-	})
-	return netip.MustParseAddrPort(listener.Addr().String())
-}
-
-// refusingAddress returns an address of this machine that refuses connections until the test ends.
-func refusingAddress(t *testing.T) netip.AddrPort {
-	t.Helper()
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { unix.Close(fd) })
-	loopback := [4]byte{127, 0, 0, 1}
-	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: loopback}); err != nil { // bound, so no one else listens there
-		t.Fatal(err)
-	}
-	name, err := unix.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return netip.AddrPortFrom(netip.AddrFrom4(loopback), uint16(name.(*unix.SockaddrInet4).Port))
-}
-
 // call makes a call and returns its result, having checked that no second one came with it.
 func (f *callFixture) call(timeout time.Duration, body []byte) Result {
 	f.t.Helper()
@@ -113,6 +72,7 @@
 
 // readRequest reads a request with its body.
 func readRequest(t *testing.T, reader *bufio.Reader) {
+	t.Helper()
 	request, err := http.ReadRequest(reader)
 	if err != nil {
 		t.Error(err)
@@ -129,15 +89,14 @@
 // TestCallEndsWithWholeResponse: the status comes with the result, the head with OnHead, and the
 // connection is kept for the next call.
 func TestCallEndsWithWholeResponse(t *testing.T) {
-	f := newCallFixture(t, startEngine(t, func(conn *net.TCPConn) {
-		defer conn.Close()
+	f := newCallFixture(t, enginetest.Listen(t, func(conn *net.TCPConn) {
 		reader := bufio.NewReader(conn)
 		for range 2 {
 			readRequest(t, reader)
 			io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nLoad: 3\r\nContent-Length: 4\r\n\r\nbusy")
 		}
-		io.Copy(io.Discard, conn) // until the test ends the connection
-	}))
+		enginetest.AwaitClose(conn)
+	}).Addr())
 	want := Result{Outcome: Responded, Status: http.StatusServiceUnavailable}
 	if got := f.call(never, []byte("ids")); got != want {
 		t.Errorf("%+v, want %+v", got, want)
@@ -181,8 +140,7 @@
 				if _, err := conn.Read(make([]byte, 1)); err != nil {
 					t.Error(err)
 				}
-				conn.SetLinger(0)
-				conn.Close()
+				enginetest.Reset(conn)
 			},
 			want: Result{Outcome: Broken, ConnError: upstream.ConnError{Established: true}},
 		},
@@ -190,7 +148,6 @@
 			name: "closed after it was written",
 			engine: func(conn *net.TCPConn) {
 				readRequest(t, bufio.NewReader(conn))
-				conn.Close()
 			},
 			want: Result{Outcome: Broken, ConnError: upstream.ConnError{Established: true, RequestWritten: true}},
 		},
@@ -199,7 +156,6 @@
 			engine: func(conn *net.TCPConn) {
 				readRequest(t, bufio.NewReader(conn))
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nok")
-				conn.Close()
 			},
 			want: Result{
 				Outcome:   Broken,
@@ -209,9 +165,9 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			addr := refusingAddress(t)
+			addr := enginetest.RefusingAddress(t)
 			if c.engine != nil {
-				addr = startEngine(t, c.engine)
+				addr = enginetest.Listen(t, c.engine).Addr()
 			}
 			f := newCallFixture(t, addr)
 			if got := f.call(never, c.body); got != c.want {
@@ -225,12 +181,9 @@
 // TestCallTimesOutBeforeItWasWritten: the engine reads nothing, so the body's end never leaves.
 func TestCallTimesOutBeforeItWasWritten(t *testing.T) {
 	testEnds := make(chan struct{})
-	addr := startEngine(t, func(conn *net.TCPConn) {
-		<-testEnds
-		conn.Close()
-	})
+	engine := enginetest.Listen(t, func(*net.TCPConn) { <-testEnds })
 	defer close(testEnds)
-	f := newCallFixture(t, addr)
+	f := newCallFixture(t, engine.Addr())
 	want := Result{Outcome: TimedOut}
 	if got := f.call(time.Millisecond, unsendableBody()); got != want {
 		t.Errorf("%+v, want %+v", got, want)
@@ -241,12 +194,11 @@
 // TestCallTimesOutAfterItWasWritten: on a connection from an earlier call, the request leaves in
 // the iteration that starts the timer, so that the time-out comes after it on any machine.
 func TestCallTimesOutAfterItWasWritten(t *testing.T) {
-	f := newCallFixture(t, startEngine(t, func(conn *net.TCPConn) {
-		defer conn.Close()
+	f := newCallFixture(t, enginetest.Listen(t, func(conn *net.TCPConn) {
 		readRequest(t, bufio.NewReader(conn))
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		io.Copy(io.Discard, conn) // the next request, without a response
-	}))
+		enginetest.AwaitClose(conn) // the next request gets no response
+	}).Addr())
 	want := Result{Outcome: Responded, Status: http.StatusOK}
 	if got := f.call(never, nil); got != want {
 		t.Fatalf("%+v, want %+v", got, want)
@@ -260,7 +212,7 @@
 
 // TestCallWithoutConnectionEndsWithinStart: the pool may make none.
 func TestCallWithoutConnectionEndsWithinStart(t *testing.T) {
-	f := newCallFixture(t, refusingAddress(t))
+	f := newCallFixture(t, enginetest.RefusingAddress(t))
 	f.pool.Options.MaxPerEngine = 0
 	f.loop.Do(func() {
 		Call{Timeout: never, OnDone: func(result Result) { f.results <- result }}.Start(f.pool)
@@ -283,7 +235,7 @@
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
-			f := newCallFixture(t, refusingAddress(t))
+			f := newCallFixture(t, enginetest.RefusingAddress(t))
 			f.loop.Do(func() {
 				call := &runningCall{pool: f.pool}
 				call.OnDone = func(result Result) { f.results <- result }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -5,93 +5,63 @@
 	"io"
 	"net"
 	"net/http"
-	"net/netip"
 	"slices"
 	"testing"
 	"time"
 
-	"martenlock/internal/eventloop"
+	"martenlock/internal/enginetest"
+	"martenlock/internal/eventloop/eventlooptest"
 	"martenlock/internal/http1"
 	"martenlock/internal/timerwheel"
 )
 
-// outcomeSink reports how a request ended.
-type outcomeSink struct {
-	ended chan ConnError // the zero Break for a complete response
+// recordedResponse is a ResponseHandler that reports how the response ended.
+type recordedResponse struct {
+	ended chan ConnError // the zero ConnError for a complete response
 }
 
-func newOutcomeSink() *outcomeSink { return &outcomeSink{make(chan ConnError, 1)} }
+func newRecordedResponse() *recordedResponse { return &recordedResponse{make(chan ConnError, 1)} }
 
-func (s *outcomeSink) Connected()       {}
-func (s *outcomeSink) Head(*http1.Head) {}
-func (s *outcomeSink) Data([]byte)      {}
-func (s *outcomeSink) Complete()        { s.ended <- ConnError{} }
-func (s *outcomeSink) Failed(how ConnError) {
+func (r *recordedResponse) Connected()       {}
+func (r *recordedResponse) Head(*http1.Head) {}
+func (r *recordedResponse) Data([]byte)      {}
+func (r *recordedResponse) Complete()        { r.ended <- ConnError{} }
+func (r *recordedResponse) Failed(err ConnError) {
 	select {
-	case s.ended <- how:
-	default:
+	case r.ended <- err:
+	default: // it has ended already
 	}
 }
 
+// getRequest is the head of a request without a body.
+var getRequest = []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+
 // fixture is a pool on a loop, beside an engine that answers every request.
 type fixture struct {
 	*testing.T
-	loop        *eventloop.Loop
+	loop        eventlooptest.Loop
 	pool        *Pool
 	afterAnswer chan func(net.Conn) // what the engine does after its next answer, if anything waits here
 	engineSaw   chan string         // "connection", "request" and, at a connection's end, "gone"
 }
 
-func newFixture(t *testing.T, opts Options) *fixture {
-	loop, err := eventloop.New(eventloop.Options{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	opts.Limits = http1.Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1 << 20}
-	opts.ConnectTimeout = 5 * time.Second
-	pool := &Pool{Loop: loop, Options: &opts, Budget: &Budget{}, Addr: netip.MustParseAddrPort(ln.Addr().String())}
-	f := &fixture{
-		T:           t,
-		loop:        loop,
-		pool:        pool,
-		afterAnswer: make(chan func(net.Conn), 1),
-		engineSaw:   make(chan string, 100),
-	}
-	go f.acceptAsEngine(ln)
-	ended := make(chan error, 1)
-	go func() { ended <- loop.Run() }()
-	t.Cleanup(func() {
-		loop.Post(loop.Stop)
-		ln.Close()
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-	})
+func newFixture(t *testing.T, options Options) *fixture {
+	t.Helper()
+	f := &fixture{T: t, afterAnswer: make(chan func(net.Conn), 1), engineSaw: make(chan string, 100)}
+	engine := enginetest.Listen(t, f.serveAsEngine)
+	f.loop = eventlooptest.Start(t)
+	options.Limits = http1.Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1 << 20}
+	options.ConnectTimeout = 5 * time.Second
+	f.pool = &Pool{Loop: f.loop.Loop, Options: &options, Budget: &Budget{}, Addr: engine.Addr()}
 	return f
 }
 
-// acceptAsEngine is the engine's listener.
-func (f *fixture) acceptAsEngine(ln net.Listener) {
-	for {
-		c, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		f.engineSaw <- "connection"
-		go f.answerAsEngine(c)
-	}
-}
-
-// answerAsEngine answers the requests on one connection.
-func (f *fixture) answerAsEngine(c net.Conn) {
-	for reader := bufio.NewReader(c); ; {
+// serveAsEngine answers the requests on one connection.
+func (f *fixture) serveAsEngine(conn *net.TCPConn) {
+	f.engineSaw <- "connection"
+	for reader := bufio.NewReader(conn); ; {
 		if _, err := http.ReadRequest(reader); err != nil {
 			f.engineSaw <- "gone"
-			c.Close()
 			return
 		}
 		f.engineSaw <- "request"
@@ -100,31 +70,26 @@
 		case after = <-f.afterAnswer:
 		default:
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		if after != nil {
-			after(c)
+			after(conn)
 		}
 	}
 }
 
-// onLoop runs a function on the loop and waits for it.
-func (f *fixture) onLoop(fn func()) {
-	done := make(chan struct{})
-	f.loop.Post(func() { fn(); close(done) })
-	<-done
-}
-
-// request sends a request to the engine and returns how it ended.
-func (f *fixture) request(once bool) ConnError {
+// expectComplete sends a request to the engine, and fails the test unless its response is complete.
+func (f *fixture) expectComplete(mustNotRepeat bool) {
 	f.Helper()
-	s := newOutcomeSink()
-	f.onLoop(func() {
-		if _, err := f.pool.Start(s, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), nil, once); err != nil {
+	response := newRecordedResponse()
+	f.loop.Do(func() {
+		if _, err := f.pool.Start(response, getRequest, nil, mustNotRepeat); err != nil {
 			f.Error(err)
-			s.ended <- ConnError{Malformed: err.Error()}
+			response.Failed(ConnError{Malformed: err.Error()})
 		}
 	})
-	return <-s.ended
+	if err := <-response.ended; err != (ConnError{}) {
+		f.Fatal(err)
+	}
 }
 
 // expectEngineSaw checks what the engine saw next.
@@ -137,7 +102,7 @@
 				f.Errorf("the engine saw %q, not %q", got, want)
 			}
 		case <-time.After(5 * time.Second):
-			f.Fatalf("no %q", want)
+			f.Fatalf("the engine saw no %q", want)
 		}
 	}
 }
@@ -148,9 +113,7 @@
 func TestConnectionReusedUnlessEndedOrStrayBytesCame(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4})
 	for range 3 {
-		if how := f.request(false); how != (ConnError{}) {
-			t.Fatal(how)
-		}
+		f.expectComplete(false)
 	}
 	f.expectEngineSaw("connection", "request", "request", "request")
 	for _, after := range []func(net.Conn){
@@ -159,13 +122,9 @@
 	} {
 		done := make(chan struct{})
 		f.afterAnswer <- func(c net.Conn) { after(c); close(done) }
-		if how := f.request(false); how != (ConnError{}) {
-			t.Fatal(how)
-		}
+		f.expectComplete(false)
 		<-done
-		if how := f.request(false); how != (ConnError{}) {
-			t.Fatal(how)
-		}
+		f.expectComplete(false)
 		// The next request comes on a new connection. The engine may see the old one's end at any point.
 		var seen []string
 		for len(seen) < 3 {
@@ -179,24 +138,26 @@
 	}
 }
 
-// trustFunc decides on reuse by a function and observes nothing.
-type trustFunc func(rested time.Duration, once bool) bool
+// reusePolicyFunc decides on reuse by a function and observes nothing.
+type reusePolicyFunc func(idle time.Duration, mustNotRepeat bool) bool
 
-func (t trustFunc) MayReuse(rested time.Duration, once bool) bool { return t(rested, once) }
-func (t trustFunc) Observe(time.Duration, time.Duration, bool)    {}
+func (p reusePolicyFunc) MayReuse(idle time.Duration, mustNotRepeat bool) bool {
+	return p(idle, mustNotRepeat)
+}
+func (p reusePolicyFunc) Observe(time.Duration, time.Duration, bool) {}
 
 // TestUntrustedConnectionWaitsOrCloses: a connection that is not trusted for a request that must
 // not be repeated waits for another; one that is trusted for none is closed.
 func TestUntrustedConnectionWaitsOrCloses(t *testing.T) {
 	trusted := true
-	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4, ReusePolicy: trustFunc(func(_ time.Duration, once bool) bool { return trusted && !once })})
-	f.request(false)
-	f.request(true)
+	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4, ReusePolicy: reusePolicyFunc(func(_ time.Duration, mustNotRepeat bool) bool { return trusted && !mustNotRepeat })})
+	f.expectComplete(false)
+	f.expectComplete(true)
 	f.expectEngineSaw("connection", "request", "connection", "request")
-	f.request(false)
+	f.expectComplete(false)
 	f.expectEngineSaw("request")
-	f.onLoop(func() { trusted = false })
-	f.request(false)
+	f.loop.Do(func() { trusted = false })
+	f.expectComplete(false)
 	seen := map[string]int{}
 	for range 4 {
 		seen[<-f.engineSaw]++
@@ -210,11 +171,11 @@
 // idle one makes room.
 func TestIdleConnectionClosedWhereBudgetIsSpent(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 9, MaxTotal: 1})
-	f.request(false)
-	other := &Pool{Loop: f.loop, Options: f.pool.Options, Budget: f.pool.Budget, Addr: f.pool.Addr}
-	s, overBudget := newOutcomeSink(), newOutcomeSink()
-	f.onLoop(func() {
-		if _, err := other.Start(s, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), nil, false); err != nil {
+	f.expectComplete(false)
+	other := &Pool{Loop: f.loop.Loop, Options: f.pool.Options, Budget: f.pool.Budget, Addr: f.pool.Addr}
+	response, overBudget := newRecordedResponse(), newRecordedResponse()
+	f.loop.Do(func() {
+		if _, err := other.Start(response, getRequest, nil, false); err != nil {
 			t.Error(err)
 		}
 		if _, err := f.pool.Start(overBudget, nil, nil, false); err == nil {
@@ -224,8 +185,8 @@
 			t.Errorf("%d and %d open", f.pool.Open(), f.pool.Budget.Open())
 		}
 	})
-	if how := <-s.ended; how != (ConnError{}) {
-		t.Error(how)
+	if err := <-response.ended; err != (ConnError{}) {
+		t.Error(err)
 	}
 }
 
@@ -233,41 +194,40 @@
 // sent, however long a connection may take; one that has left does not.
 func TestRequestNotSentWithinDeadlineBreaks(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 9})
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // takes the connection and reads nothing of it
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	unreadPool := &Pool{Loop: f.loop, Options: f.pool.Options, Budget: f.pool.Budget, Addr: netip.MustParseAddrPort(ln.Addr().String())}
+	testEnds := make(chan struct{})
+	defer close(testEnds)
+	engine := enginetest.Listen(t, func(*net.TCPConn) { <-testEnds }) // accepts the connection and reads nothing of it
+	unreadPool := &Pool{Loop: f.loop.Loop, Options: f.pool.Options, Budget: f.pool.Budget, Addr: engine.Addr()}
 	for _, c := range []struct {
 		body int
 		want ConnError
 	}{{0, ConnError{Malformed: "not ended"}}, {32 << 20, ConnError{Established: true}}} { // more than the system's buffers hold
-		s := newOutcomeSink()
-		f.onLoop(func() {
-			k, err := unreadPool.Start(s, []byte("POST / HTTP/1.1\r\n\r\n"), make([]byte, c.body), false)
+		response := newRecordedResponse()
+		f.loop.Do(func() {
+			conn, err := unreadPool.Start(response, []byte("POST / HTTP/1.1\r\n\r\n"), make([]byte, c.body), false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			k.SendWithin(150 * time.Millisecond)
+			conn.SendWithin(150 * time.Millisecond)
 			var later timerwheel.Timer
-			later.Fire = func() { s.Failed(ConnError{Malformed: "not ended"}) }
+			later.Fire = func() { response.Failed(ConnError{Malformed: "not ended"}) }
 			f.loop.StartTimer(&later, 300*time.Millisecond)
 		})
-		if how := <-s.ended; how != c.want {
-			t.Errorf("body of %d: %+v", c.body, how)
+		if err := <-response.ended; err != c.want {
+			t.Errorf("body of %d: %+v", c.body, err)
 		}
 	}
 }
 
-// lateSink makes its head when the connection is established, and counts how often.
-type lateSink struct {
-	*outcomeSink
-	headsMade int
+// headBuildingResponse builds the request's head when the connection is established, and counts how often.
+type headBuildingResponse struct {
+	*recordedResponse
+	headsBuilt int
 }
 
-func (s *lateSink) RequestHead() []byte {
-	s.headsMade++
+// RequestHead implements HeadBuilder.
+func (r *headBuildingResponse) RequestHead() []byte {
+	r.headsBuilt++
 	return []byte("GET /late HTTP/1.1\r\nHost: x\r\n\r\n")
 }
 
@@ -276,17 +236,17 @@
 func TestLateHeadMadeOnceWhenConnectionEstablished(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4})
 	for i := range 2 { // over a new connection, then over an idle one
-		s := &lateSink{outcomeSink: newOutcomeSink()}
-		f.onLoop(func() {
-			if _, err := f.pool.Start(s, []byte("not this"), nil, false); err != nil {
+		response := &headBuildingResponse{recordedResponse: newRecordedResponse()}
+		f.loop.Do(func() {
+			if _, err := f.pool.Start(response, []byte("not this"), nil, false); err != nil {
 				t.Error(err)
 			}
-			if s.headsMade != i {
-				t.Errorf("made %d times before the connection was established", s.headsMade)
+			if response.headsBuilt != i {
+				t.Errorf("built %d times before the connection was established", response.headsBuilt)
 			}
 		})
-		if how := <-s.ended; how != (ConnError{}) || s.headsMade != 1 {
-			t.Error(how, s.headsMade)
+		if err := <-response.ended; err != (ConnError{}) || response.headsBuilt != 1 {
+			t.Error(err, response.headsBuilt)
 		}
 	}
 	f.expectEngineSaw("connection", "request", "request")
@@ -296,15 +256,17 @@
 // kept for the next request.
 func TestConnectionToFormerAddressNotKept(t *testing.T) {
 	f, other := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4}), newFixture(t, Options{})
-	s := newOutcomeSink()
-	f.onLoop(func() {
-		if _, err := f.pool.Start(s, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), nil, false); err != nil {
+	response := newRecordedResponse()
+	f.loop.Do(func() {
+		if _, err := f.pool.Start(response, getRequest, nil, false); err != nil {
 			t.Error(err)
 		}
 		f.pool.Addr = other.pool.Addr
 	})
-	<-s.ended
+	if err := <-response.ended; err != (ConnError{}) {
+		t.Error(err)
+	}
 	f.expectEngineSaw("connection", "request", "gone")
-	f.request(false)
+	f.expectComplete(false)
 	other.expectEngineSaw("connection", "request")
 }
