--- a/internal/eventloop/echo_bench_test.go
+++ b/internal/eventloop/echo_bench_test.go
@@ -7,13 +7,13 @@
 )
 
 // BenchmarkEcho measures a round trip of 512 bytes over an open connection: one read, one buffered
-// write and one flush of the loop. It allocates a list of segments and one of pending connections.
+// write and one flush. Its two allocations are a list of segments and one of pending connections.
 func BenchmarkEcho(b *testing.B) {
 	l, err := New(Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	ln, err := l.Listen(local, func(*Conn) Handler { return &echo{events: make(chan string, 4)} })
+	ln, err := l.Listen(local, func(*Conn) Handler { return newEcho() })
 	if err != nil {
 		b.Fatal(err)
 	}
--- /dev/null
+++ b/internal/eventloop/input_test.go
@@ -0,0 +1,169 @@
+package eventloop
+
+import (
+	"errors"
+	"os"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// neverRead handles a connection whose reading is paused, and reports how it ends.
+type neverRead struct{ echo }
+
+func (h *neverRead) Data(*Conn, []byte) int { panic("data on a paused connection") }
+
+func (h *neverRead) Closed(_ *Conn, err error) {
+	switch {
+	case errors.Is(err, ErrOverflow):
+		h.events <- "overflow"
+	case errors.Is(err, unix.ECONNREFUSED):
+		h.events <- "refused"
+	default:
+		h.events <- "closed"
+	}
+}
+
+// TestEndOfPausedConnectionNoticed: a peer's close or reset is reported at once although reading is
+// paused and bytes are unread. So is the overflow of output to a peer that takes none.
+func TestEndOfPausedConnectionNoticed(t *testing.T) {
+	l, do := start(t, Options{MaxUnsentBytes: 1 << 20})
+	h := &neverRead{echo{events: make(chan string, 4)}}
+	var served *Conn
+	ln := listen(t, l, do, func(c *Conn) Handler {
+		c.Pause()
+		served = c
+		return h
+	})
+	for _, want := range []string{"eof", "closed", "overflow"} {
+		c := dial(t, ln)
+		send(t, c, "unread")
+		switch want {
+		case "eof":
+			c.Close()
+		case "closed":
+			c.SetLinger(0)
+			c.Close()
+		case "overflow":
+			for isServed := false; !isServed; {
+				do(func() {
+					if isServed = served != nil && !served.IsClosed(); isServed {
+						served.Write(make([]byte, 32<<20))
+					}
+				})
+			}
+		}
+		if event := <-h.events; event != want {
+			t.Errorf("event %q, want %q", event, want)
+		}
+		do(func() { served = nil })
+	}
+}
+
+// TestRefusedDialClosesWithError: the handler gets ECONNREFUSED if nobody listens.
+func TestRefusedDialClosesWithError(t *testing.T) {
+	l, do := start(t, Options{})
+	h := &neverRead{echo{events: make(chan string, 4)}}
+	do(func() {
+		free, err := l.Listen(local, func(*Conn) Handler { return nil })
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		free.Close()
+		if _, err := l.Dial(free.Addr(), h); err != nil {
+			t.Error(err)
+		}
+	})
+	if event := <-h.events; event != "refused" {
+		t.Errorf("event %q, want refused", event)
+	}
+}
+
+// TestHandlerMayCloseWhileUnconsumedBytesAreDelivered: a handler may close its connection in a call of
+// Data with bytes that it did not consume before. This once ended the whole program.
+func TestHandlerMayCloseWhileUnconsumedBytesAreDelivered(t *testing.T) {
+	l, do := start(t, Options{})
+	for name, end := range map[string]func(*Conn){
+		"close":  (*Conn).Close,
+		"linger": (*Conn).CloseLingering,
+		"abort":  (*Conn).Abort,
+		"reset":  (*Conn).Reset,
+	} {
+		data := make(chan string, 4)
+		var served *Conn
+		ln := listen(t, l, do, func(c *Conn) Handler {
+			served = c
+			return onData{do: func(c *Conn, b []byte) int {
+				if len(b) < 4 {
+					return 0
+				}
+				data <- string(b)
+				end(c)
+				return len(b)
+			}}
+		})
+		c := dial(t, ln)
+		send(t, c, "ab")
+		for unconsumed := 0; unconsumed == 0; {
+			do(func() {
+				if served != nil {
+					unconsumed = len(served.in.unconsumed)
+				}
+			})
+		}
+
+		send(t, c, "cd")
+
+		if got := <-data; got != "abcd" {
+			t.Errorf("%s: %q", name, got)
+		}
+		_ = c.CloseWrite() // it fails after a reset
+		c.SetDeadline(time.Now().Add(10 * time.Second))
+		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+// TestBytesBeforeResetDeliveredAfterPause: with DeliverBeforeReset, bytes that a peer sent before its
+// reset are delivered after Resume, and Closed follows. The loop does not spin meanwhile.
+func TestBytesBeforeResetDeliveredAfterPause(t *testing.T) {
+	l, do := start(t, Options{})
+	r := &recorder{events: make(chan string, 8)}
+	var served *Conn
+	ln := listen(t, l, do, func(c *Conn) Handler {
+		served = c
+		c.DeliverBeforeReset()
+		c.Pause()
+		return r
+	})
+	expect := func(want string) {
+		t.Helper()
+		select {
+		case got := <-r.events:
+			if got != want {
+				t.Fatalf("event %q, want %q", got, want)
+			}
+		case <-time.After(5 * time.Second):
+			t.Fatalf("no event %q", want)
+		}
+	}
+	c := dial(t, ln)
+	send(t, c, "the end of it")
+	if err := c.SetLinger(0); err != nil {
+		t.Fatal(err)
+	}
+	c.Close()
+	expect("eof")
+
+	iterations := countIterations(l, do, func() { time.Sleep(20 * time.Millisecond) })
+	if iterations > 10 {
+		t.Errorf("%d iterations in 20 ms", iterations)
+	}
+
+	do(func() { served.Resume() })
+	expect("the end of it")
+	expect("closed")
+}
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -1,6 +1,7 @@
 package eventloop
 
 import (
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -10,67 +11,74 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestAcceptResumesAfterDescriptorsRunOut takes all descriptors, so that accept fails with EMFILE, and gives
-// them back: the client that waited in the backlog is served, and the loop did not
-// spin meanwhile.
+// TestAcceptResumesAfterDescriptorsRunOut: while accept fails with EMFILE a client waits in the backlog
+// and the loop does not spin. The client is served once descriptors are free.
 func TestAcceptResumesAfterDescriptorsRunOut(t *testing.T) {
 	l, do := start(t, Options{})
-	ln := listen(t, l, do, func(*Conn) Handler { return &echo{events: make(chan string, 4)} })
-	var was unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
-		t.Fatal(err)
-	}
-	low := unix.Rlimit{Cur: 200, Max: was.Max}
-	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &low); err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = unix.Setrlimit(unix.RLIMIT_NOFILE, &was) }()
-	var taken []*os.File
-	for {
-		f, err := os.Open(os.DevNull)
-		if err != nil {
-			break
-		}
-		taken = append(taken, f)
-	}
+	ln := listen(t, l, do, func(*Conn) Handler { return newEcho() })
+	taken := takeAllDescriptors(t)
 	taken[0].Close()
-	c, err := net.Dial("tcp", ln.Addr().String()) // takes the last one
+	c, err := net.Dial("tcp", ln.Addr().String()) // takes the last descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	for paused := false; !paused; {
-		do(func() { paused = len(l.starved) == 1 })
+	for starved := false; !starved; {
+		do(func() { starved = len(l.starved) == 1 })
 	}
-	var before, after uint64
-	do(func() { before = l.Iterations() })
-	time.Sleep(2 * starvedRetryDelay)
-	do(func() { after = l.Iterations() })
-	if after-before > 20 {
-		t.Errorf("%d iterations while there was nothing to do but wait", after-before)
+
+	iterations := countIterations(l, do, func() { time.Sleep(2 * starvedRetryDelay) })
+	if iterations > 20 {
+		t.Errorf("%d iterations while no descriptor was free", iterations)
 	}
+
 	for _, f := range taken[1:] {
 		f.Close()
 	}
-	if _, err := c.Write([]byte("x")); err != nil {
+	send(t, c, "x")
+	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
+}
+
+// takeAllDescriptors lowers the process's limit of descriptors for the test and opens files up to it.
+func takeAllDescriptors(t *testing.T) []*os.File {
+	t.Helper()
+	var limit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
+	low := unix.Rlimit{Cur: 200, Max: limit.Max}
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &low); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
+			t.Error(err)
+		}
+	})
+	var taken []*os.File
+	for {
+		f, err := os.Open(os.DevNull)
+		if err != nil {
+			return taken
+		}
+		taken = append(taken, f)
+	}
 }
 
-// TestConnectionsAboveMaxWait: above Listener.Max connections wait in the backlog for one to end.
-func TestConnectionsAboveMaxWait(t *testing.T) {
+// TestConnectionsAboveMaxOpenWait: above Listener.MaxOpen connections wait in the backlog for one to
+// close.
+func TestConnectionsAboveMaxOpenWait(t *testing.T) {
 	l, do := start(t, Options{})
-	e := &echo{events: make(chan string, 8)}
+	e := newEcho()
 	ln := listen(t, l, do, func(*Conn) Handler { return e })
 	do(func() { ln.MaxOpen = 1 })
 	first, second := dial(t, ln), dial(t, ln)
+	send(t, first, "x")
+	send(t, second, "x")
+
 	b := make([]byte, 1)
-	for _, c := range []net.Conn{first, second} {
-		_, _ = c.Write([]byte("x"))
-	}
 	if _, err := io.ReadFull(first, b); err != nil {
 		t.Fatal(err)
 	}
@@ -79,8 +87,48 @@
 			t.Errorf("%d open, want 1", ln.Open())
 		}
 	})
-	_ = first.Close()
+	first.Close()
 	if _, err := io.ReadFull(second, b); err != nil {
 		t.Fatal(err)
 	}
 }
+
+// TestAcceptErrorsOfOneConnectionDoNotStopAccepting follows accept(2): errors of the network belong to one
+// connection, and lack of resources pauses the listener.
+func TestAcceptErrorsOfOneConnectionDoNotStopAccepting(t *testing.T) {
+	for _, errno := range []unix.Errno{
+		unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
+		unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ECONNABORTED, unix.EINTR, unix.ETIMEDOUT,
+	} {
+		if !isTransient(errno) || isResourceShortage(errno) {
+			t.Errorf("%v stops accepting", errno)
+		}
+	}
+	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM} {
+		if !isResourceShortage(errno) || isTransient(errno) {
+			t.Errorf("%v does not pause the listener", errno)
+		}
+	}
+	if isTransient(unix.EAGAIN) || isTransient(errors.New("x")) {
+		t.Error("an empty backlog counts as a transient error")
+	}
+}
+
+// TestUnwatchableConnectionGetsNoHandler: a descriptor that epoll rejects, here a directory, is closed
+// before accept is called. A handler would get no call of Closed.
+func TestUnwatchableConnectionGetsNoHandler(t *testing.T) {
+	l, do := start(t, Options{})
+	accepted := 0
+	ln := listen(t, l, do, func(*Conn) Handler { accepted++; return discard{} })
+	fd, err := unix.Open(t.TempDir(), unix.O_RDONLY|unix.O_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	do(func() {
+		ln.admit(fd)
+		_, err := unix.FcntlInt(uintptr(fd), unix.F_GETFD, 0)
+		if accepted != 0 || ln.Open() != 0 || !errors.Is(err, unix.EBADF) {
+			t.Errorf("accepted %d times, %d open, descriptor: %v", accepted, ln.Open(), err)
+		}
+	})
+}
