--- a/internal/eventloop/eventlooptest/eventlooptest.go
+++ b/internal/eventloop/eventlooptest/eventlooptest.go
@@ -1,4 +1,5 @@
-// Package eventlooptest runs event loops for tests.
+// Package eventlooptest runs event loops for the tests of other packages. The tests of eventloop itself
+// cannot import it.
 package eventlooptest
 
 import (
@@ -10,7 +11,7 @@
 // Loop is an event loop that runs until its test ends.
 type Loop struct{ *eventloop.Loop }
 
-// Start runs a loop in the background until the test ends. The test fails if the loop returns an error.
+// Start runs a loop in the background until the test ends. If the loop returns an error, the test fails.
 func Start(t *testing.T) Loop {
 	t.Helper()
 	loop, err := eventloop.New(eventloop.Options{})
@@ -28,7 +29,8 @@
 	return Loop{loop}
 }
 
-// Do runs a function on the loop and waits until it has returned.
+// Do runs fn on the loop and returns after it. fn must not call t.FailNow or t.Fatal: it runs on another
+// goroutine.
 func (l Loop) Do(fn func()) {
 	done := make(chan struct{})
 	l.Post(func() {
@@ -38,8 +40,8 @@
 	<-done
 }
 
-// DoIteration runs a function on the loop and waits for the end of its iteration.
+// DoIteration runs fn on the loop and returns after the end of that iteration.
 func (l Loop) DoIteration(fn func()) {
 	l.Do(fn)
-	l.Do(func() {}) // runs in a later iteration, as the first one was waited for
+	l.Do(func() {}) // posted after fn has returned, so it runs in a later iteration
 }
