--- a/internal/bench/backend.go
+++ b/internal/bench/backend.go
@@ -11,20 +11,19 @@
 	"martenlock/internal/timerwheel"
 )
 
-// What the backend answers.
+// The backend's answers.
 const (
-	streamTokens    = 500 // of an answer to chat
+	streamTokens    = 500 // tokens of an answer to chat
 	tokenInterval   = 2 * time.Millisecond
 	embeddingAnswer = `{"object":"list","data":[{"object":"embedding","index":0,"embedding":"zczMPc3MTD6amZk+zczMPs3MTD8="}],"model":"m","usage":{"prompt_tokens":4,"total_tokens":4}}`
 	tokenEvent      = `data: {"id":"c","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{"content":"snow "},"finish_reason":null}]}` + "\n\n"
 	doneEvent       = "data: [DONE]\n\n"
 )
 
-// backendMaxOutput bounds what waits on the backend's connections to be sent, far above what
-// all streams of the load have waiting.
+// backendMaxOutput bounds the unsent bytes of a backend connection. No stream of the load comes near it.
 const backendMaxOutput = 64 << 20
 
-// requestLimits bound what the backend takes; requests of the load are far below.
+// requestLimits bound the requests that the backend accepts. Requests of the load are far smaller.
 var requestLimits = http1.Limits{Line: 8000, Headers: 64000, Fields: 100, Body: 1 << 20}
 
 // startBackend starts the backend in this process and returns its address.
@@ -43,11 +42,11 @@
 	return listener.Addr().String(), nil
 }
 
-// backendConn is a connection of the backend. It answers embeddings at once and streams
-// tokens at a fixed pace. It implements eventloop.Handler.
+// backendConn is a connection of the backend. It answers embeddings at once and streams tokens at a fixed rate. It
+// implements eventloop.Handler.
 type backendConn struct {
 	parser     *http1.Parser
-	wantsChat  bool // the request at hand
+	wantsChat  bool // by the current request
 	tokensLeft int
 	tokenTimer timerwheel.Timer
 }
@@ -58,16 +57,16 @@
 // Writable implements eventloop.Handler.
 func (b *backendConn) Writable(*eventloop.Conn) {}
 
-// Closed implements eventloop.Handler: it ends the stream at hand.
+// Closed implements eventloop.Handler. It stops the current stream.
 func (b *backendConn) Closed(conn *eventloop.Conn, _ error) { conn.Loop().StopTimer(&b.tokenTimer) }
 
-// EOF implements eventloop.Handler: it ends the stream at hand and closes.
+// EOF implements eventloop.Handler. It stops the current stream and closes the connection.
 func (b *backendConn) EOF(conn *eventloop.Conn) {
 	conn.Loop().StopTimer(&b.tokenTimer)
 	conn.Close()
 }
 
-// Data implements eventloop.Handler: it parses requests and answers each that has ended.
+// Data implements eventloop.Handler. It parses requests and answers each complete one.
 func (b *backendConn) Data(conn *eventloop.Conn, data []byte) int {
 	total := 0
 	for {
@@ -82,13 +81,15 @@
 			return total
 		case http1.HeadDone:
 			b.wantsChat = strings.Contains(string(b.parser.Head.Target), "chat")
+		case http1.Data:
+			// The content of a request changes nothing.
 		case http1.End:
 			b.answer(conn)
 		}
 	}
 }
 
-// answer answers the request that has ended.
+// answer answers the current request.
 func (b *backendConn) answer(conn *eventloop.Conn) {
 	if !b.wantsChat {
 		conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(embeddingAnswer)) + "\r\n\r\n" + embeddingAnswer))
@@ -100,7 +101,7 @@
 	b.tokenTimer.Fire()
 }
 
-// streamToken sends the next token, or the stream's end after the last one.
+// streamToken sends the next token, or the end of the stream after the last one.
 func (b *backendConn) streamToken(conn *eventloop.Conn) {
 	if b.tokensLeft == 0 {
 		conn.Write(append(http1.AppendChunk(nil, []byte(doneEvent)), http1.LastChunk...))
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -1,10 +1,9 @@
-// Package bench measures what the router costs beside net/http/httputil.ReverseProxy: each is
-// a process of its own on one core, before the same backend, under the same load.
+// Package bench compares the cost of the router with that of net/http/httputil.ReverseProxy. Each runs as a process on one
+// core, with the same backend and under the same load.
 //
-// It is no model of serving: its backend answers at once or streams at a fixed pace, every
-// request is the same, and clients, backend and what is measured share one machine and its
-// loopback interface. The figures are of forwarding alone, on the machine at hand; they say
-// nothing of scheduling, of engines or of a network.
+// It does not model serving. Its backend answers at once or streams at a fixed rate, all requests are equal, and clients,
+// backend and both subjects share one machine and its loopback interface. The figures are of forwarding alone, on this
+// machine. They say nothing about scheduling, engines or a network.
 package bench
 
 import (
@@ -14,31 +13,33 @@
 	"net"
 	"runtime"
 	"time"
+
+	"martenlock/internal/printer"
 )
 
 const (
-	// rounds of each measurement. Both subjects are measured in each round, so that what else
-	// the machine does affects both.
+	// rounds is the number of rounds of each measurement. Each round measures both subjects, so that other load of the
+	// machine affects both.
 	rounds = 5
 
-	embeddingClients = 32   // enough to keep one core busy
-	idleConnections  = 4000 // enough that a connection's memory stands out from the process's
+	embeddingClients = 32   // keeps one core busy
+	idleConnections  = 4000 // together they need far more memory than the process without them
 
-	// settleDelay passes before memory is read, so that accepting and allocating have ended.
+	// settleDelay is the wait before memory is read. Accepting and allocating have ended by then.
 	settleDelay = 300 * time.Millisecond
 
-	minCPUTime = time.Millisecond // what a measurement counts at least: the clock's ticks are coarse
+	minCPUTime = time.Millisecond // least CPU time of a measurement, since the clock ticks every 10 ms
 )
 
-// The cores of the measurement. The load keeps off them where there are more.
+// The cores of the measurement. The load runs on other cores if there are any.
 const (
-	backendCore = 0
-	subjectCore = 1 // of both subjects: one has nothing to do while the other is measured
-	firstFree   = 2
+	backendCore   = 0
+	subjectCore   = 1 // of both subjects; one is idle while the other is measured
+	firstFreeCore = 2
 )
 
-// errTooFewCores says that the machine can't run the measurement.
-var errTooFewCores = errors.New("needs two cores: one for what is measured")
+// errTooFewCores is returned if the machine can't run the measurement.
+var errTooFewCores = errors.New("the benchmark needs two cores")
 
 // streamCounts are the numbers of concurrent streams that are measured.
 var streamCounts = []int{32, 256}
@@ -50,14 +51,14 @@
 type benchmark struct {
 	backend   *process
 	subjects  subjects
-	roundSpan time.Duration // of one measurement of one subject
-	out       io.Writer
+	roundSpan time.Duration // time for one measurement of one subject
+	out       *printer.Printer
 }
 
-// Run measures and prints a table. span is how long each measurement takes, all of its rounds
-// together. The program must run Child for the arguments bench-process, kind and backend.
+// Run takes all measurements and prints a table. Each measurement takes span, over all of its rounds. The calling program
+// must run Child for the arguments bench-process, kind and backend.
 func Run(span time.Duration, out io.Writer) error {
-	if runtime.NumCPU() < firstFree {
+	if runtime.NumCPU() < firstFreeCore {
 		return errTooFewCores
 	}
 	backend, err := startProcess(backendCore, backendProcess, "-")
@@ -83,7 +84,7 @@
 		backend:   backend,
 		subjects:  subjects{router: router, proxy: proxy},
 		roundSpan: span / rounds,
-		out:       out,
+		out:       printer.New(out),
 	}
 	return b.run()
 }
@@ -113,10 +114,14 @@
 	if err != nil {
 		return err
 	}
-	return b.measureIdleMemory()
+	err = b.measureIdleMemory()
+	if err != nil {
+		return err
+	}
+	return b.out.Err()
 }
 
-// warmUp has both subjects open their connections and grow their heaps.
+// warmUp lets both subjects open their connections and grow their heaps.
 func (b *benchmark) warmUp() error {
 	for _, subject := range []*process{b.subjects.router, b.subjects.proxy} {
 		_, err := runLoad(loadOptions{address: subject.address, clients: embeddingClients, span: b.roundSpan, request: embeddingRequest})
@@ -127,13 +132,13 @@
 	return nil
 }
 
-// throughput is what a subject forwarded.
+// throughput is the rate at which a subject forwards.
 type throughput struct {
-	perCPUSecond float64 // for each second of its processor time
+	perCPUSecond float64 // per second of its processor time
 	perSecond    float64
 }
 
-// measureThroughput puts a subject under full load. Each request counts as so many units.
+// measureThroughput measures a subject under full load. Each request counts as the given number of units.
 func (b *benchmark) measureThroughput(subject *process, clients int, request []byte, units float64) (throughput, error) {
 	cpuBefore := subject.cpuTime()
 	startedAt := time.Now()
@@ -149,8 +154,7 @@
 	}, nil
 }
 
-// measureEmbeddings measures short requests with short answers, and returns how many each
-// subject serves a second at most.
+// measureEmbeddings measures short requests with short answers. It returns the most requests a second of each subject.
 func (b *benchmark) measureEmbeddings() (capacity comparison, err error) {
 	samples, err := inTurns(b.subjects, func(subject *process) (throughput, error) {
 		return b.measureThroughput(subject, embeddingClients, embeddingRequest, 1)
@@ -177,10 +181,10 @@
 	return nil
 }
 
-// latency is quantiles of the time to the whole answer, in microseconds.
+// latency holds quantiles of the time to a complete answer, in microseconds.
 type latency struct{ p50, p99 float64 }
 
-// latencySample is a subject's latency at a fixed rate, beside the backend's own.
+// latencySample is the latency of a subject at a fixed rate, and that of the backend alone.
 type latencySample struct {
 	direct latency // of the backend without a subject
 	added  latency // by the subject
@@ -200,11 +204,11 @@
 	b.printRow(fmt.Sprintf("p99 us added at %.0f/s, %s", requestsPerSecond, label), p99)
 	directP50 := samples.median(func(s latencySample) float64 { return s.direct.p50 })
 	directP99 := samples.median(func(s latencySample) float64 { return s.direct.p99 })
-	fmt.Fprintf(b.out, "  without either: p50 %.0f us, p99 %.0f us\n", directP50, directP99)
+	b.out.Printf("  without either: p50 %.0f us, p99 %.0f us\n", directP50, directP99)
 	return nil
 }
 
-// sampleLatency measures the backend, then the subject before it.
+// sampleLatency measures the backend alone, then through the subject.
 func (b *benchmark) sampleLatency(subject *process, requestsPerSecond float64) (latencySample, error) {
 	direct, err := b.latencyOf(b.backend, requestsPerSecond)
 	if err != nil {
@@ -233,7 +237,7 @@
 	return latency{p50: float64(latencies.ValueAtQuantile(50)), p99: float64(latencies.ValueAtQuantile(99))}, nil
 }
 
-// measureIdleMemory measures what idle connections cost in processes that have had no load.
+// measureIdleMemory measures the memory of idle connections, in new processes without any load.
 func (b *benchmark) measureIdleMemory() error {
 	router, err := idleConnectionBytes(routerProcess, b.backend.address)
 	if err != nil {
@@ -247,14 +251,19 @@
 	return nil
 }
 
-// idleConnectionBytes starts a subject and returns by how much its resident set grows with
-// each idle connection.
-func idleConnectionBytes(kind processKind, backend string) (float64, error) {
+// idleConnectionBytes starts a subject and returns the growth of its resident set by each idle connection.
+func idleConnectionBytes(kind processKind, backend string) (bytes float64, err error) {
 	subject, err := startProcess(subjectCore, kind, backend)
 	if err != nil {
 		return 0, err
 	}
 	defer subject.stop()
+	var connections []net.Conn
+	defer func() {
+		for _, conn := range connections {
+			err = errors.Join(err, conn.Close())
+		}
+	}()
 	time.Sleep(settleDelay)
 	before := subject.residentBytes()
 	for range idleConnections {
@@ -262,7 +271,7 @@
 		if err != nil {
 			return 0, err
 		}
-		defer conn.Close()
+		connections = append(connections, conn)
 	}
 	time.Sleep(settleDelay)
 	return float64(subject.residentBytes()-before) / idleConnections, nil
--- a/internal/bench/child.go
+++ b/internal/bench/child.go
@@ -1,6 +1,7 @@
 package bench
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -25,16 +26,16 @@
 	proxyProcess   processKind = "proxy"
 )
 
-// anyLoopbackPort is an address to listen on whose port the kernel picks.
+// anyLoopbackPort is an address to listen on. The kernel chooses the port.
 const anyLoopbackPort = "127.0.0.1:0"
 
-// profileVariable is an environment variable with a path: each process writes a CPU profile
-// to it, with its kind added. MARTENLOCK_PROFILE=/tmp/p martenlock bench
+// profileVariable names an environment variable with a path. Each process writes a CPU profile to that path with its kind
+// appended: MARTENLOCK_PROFILE=/tmp/p martenlock bench
 const profileVariable = "MARTENLOCK_PROFILE"
 
-// Child runs one of the processes that Run starts, of a kind (backend, router or proxy) and
-// before a backend's address. It prints where it listens and ends with its standard input.
-func Child(kind, backend string) error {
+// Child runs one of the processes that Run starts. kind is backend, router or proxy; backend is the address that the
+// latter two forward to. Child prints its own address and returns at the end of its standard input.
+func Child(kind, backend string) (err error) {
 	address, cleanUp, err := startChild(processKind(kind), backend)
 	if err != nil {
 		return err
@@ -44,13 +45,13 @@
 	if err != nil {
 		return err
 	}
-	defer stopProfile()
+	defer func() { err = errors.Join(err, stopProfile()) }()
 	fmt.Println(address)
 	_, err = io.Copy(io.Discard, os.Stdin)
 	return err
 }
 
-// startChild starts what a process runs, and returns its address and what to do at its end.
+// startChild starts a process's server. It returns the address and a function to call at the process's end.
 func startChild(kind processKind, backend string) (address string, cleanUp func(), err error) {
 	cleanUp = func() {}
 	switch kind {
@@ -61,13 +62,13 @@
 	case proxyProcess:
 		address, err = startProxy(backend)
 	default:
-		err = fmt.Errorf("no such process: %q", kind)
+		err = fmt.Errorf("unknown process kind %q", kind)
 	}
 	return address, cleanUp, err
 }
 
-// routerSettings are the router's settings. Coalescing is off: the load is one request over
-// and over, and each is to be forwarded.
+// routerSettings are the router's settings. Coalescing is off, since the load repeats one request and each is to be
+// forwarded.
 const routerSettings = `[router]
 listen = 127.0.0.1:0
 nodes = n.ini
@@ -88,10 +89,10 @@
 single_flight = false
 `
 
-// filePermissions are those of the router's files.
+// filePermissions are the permissions of the router's files.
 const filePermissions = 0o644
 
-// startRouter starts the router in this process. cleanUp removes its files.
+// startRouter starts the router in this process. cleanUp removes the router's files.
 func startRouter(backend string) (address string, cleanUp func(), err error) {
 	serve.TuneCollector()
 	dir, err := os.MkdirTemp("", "martenlock-bench-")
@@ -121,12 +122,12 @@
 	return running.Router.Addr(), cleanUp, nil
 }
 
-// maxProxyIdleConnections are kept by ReverseProxy, so that it opens no connection for each
-// request; above the clients of any measurement.
+// maxProxyIdleConnections is above the clients of any measurement, so that ReverseProxy does not open a connection for
+// each request.
 const maxProxyIdleConnections = 4096
 
-// startProxy starts net/http/httputil.ReverseProxy in this process, set up as its users do
-// for speed: connections are kept, buffers reused, streams flushed at once.
+// startProxy starts net/http/httputil.ReverseProxy in this process, configured for speed: it keeps connections, reuses
+// buffers and flushes streams at once.
 func startProxy(backend string) (address string, err error) {
 	serve.TuneCollector()
 	target, err := url.Parse("http://" + backend)
@@ -149,7 +150,7 @@
 	return listener.Addr().String(), nil
 }
 
-// proxyBufferBytes is the size of ReverseProxy's own buffers.
+// proxyBufferBytes is the size of the buffers that ReverseProxy allocates without a pool.
 const proxyBufferBytes = 32 << 10
 
 // bufferPool reuses ReverseProxy's buffers. It implements httputil.BufferPool.
@@ -167,11 +168,11 @@
 // Put implements httputil.BufferPool.
 func (b *bufferPool) Put(buffer []byte) { b.pool.Put(&buffer) }
 
-// startProfile starts a CPU profile where profileVariable asks for one.
-func startProfile(kind string) (stop func(), err error) {
+// startProfile starts a CPU profile if profileVariable is set. stop ends the profile and closes its file.
+func startProfile(kind string) (stop func() error, err error) {
 	path := os.Getenv(profileVariable)
 	if path == "" {
-		return func() {}, nil
+		return func() error { return nil }, nil
 	}
 	file, err := os.Create(path + "." + kind)
 	if err != nil {
@@ -179,11 +180,10 @@
 	}
 	err = pprof.StartCPUProfile(file)
 	if err != nil {
-		file.Close()
-		return nil, err
+		return nil, errors.Join(err, file.Close())
 	}
-	return func() {
+	return func() error {
 		pprof.StopCPUProfile()
-		file.Close()
+		return file.Close()
 	}, nil
 }
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -1,6 +1,7 @@
 package bench
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -18,18 +19,18 @@
 	chatRequest      = newRequest("/v1/chat/completions", `{"model":"m","stream":true,"messages":[{"role":"user","content":"my pipe is frozen"}]}`)
 )
 
-// newRequest is the bytes of a request with the header fields that public clients send.
+// newRequest returns a request with the header fields that public clients send.
 func newRequest(path, body string) []byte {
 	return fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: x\r\nUser-Agent: bench\r\nAccept: application/json\r\nContent-Type: application/json\r\nAuthorization: Bearer none\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// responseLimits bound what a client of the load takes; a stream of the backend is far below.
+// responseLimits bound the responses that a client accepts. Streams of the backend are far shorter.
 var responseLimits = http1.Limits{Line: 8000, Headers: 64000, Fields: 100, Body: 1 << 30}
 
-// readBufferBytes is the size of a client's buffer: the largest head and more.
+// readBufferBytes is the size of a client's buffer. It is larger than any head.
 const readBufferBytes = 64 << 10
 
-// The histograms of latencies: 1 us to one minute, three significant digits.
+// Latencies are recorded from 1 us to one minute with three significant digits.
 const (
 	maxLatencyMicros = 60_000_000
 	latencyPrecision = 3
@@ -40,17 +41,17 @@
 	return hdrhistogram.New(1, maxLatencyMicros, latencyPrecision)
 }
 
-// loadOptions are a load of clients, each of which sends one request after another.
+// loadOptions describe a load. Each client sends one request after another.
 type loadOptions struct {
 	address  string
 	clients  int
-	span     time.Duration // the clients stop after it
-	interval time.Duration // between two requests of a client, at least; 0 for none
+	span     time.Duration // time after which the clients stop
+	interval time.Duration // least time between two requests of a client; 0 for none
 	request  []byte
 }
 
-// runLoad runs the clients and returns the latencies of all answers, in microseconds. Its
-// error is the last of the clients'.
+// runLoad runs the clients and returns the latencies of all answers, in microseconds. It returns the error of the client
+// that failed last.
 func runLoad(options loadOptions) (*hdrhistogram.Histogram, error) {
 	all := newHistogram()
 	end := time.Now().Add(options.span)
@@ -60,7 +61,7 @@
 	for i := range options.clients {
 		clients.Go(func() {
 			latencies := newHistogram()
-			// Clients begin spread over the interval.
+			// The clients' first requests are spread over the interval.
 			firstSend := time.Now().Add(options.interval * time.Duration(i) / time.Duration(options.clients))
 			err := runClient(options, firstSend, end, latencies)
 			mu.Lock()
@@ -76,12 +77,12 @@
 }
 
 // runClient sends requests on one connection until the end and records their latencies.
-func runClient(options loadOptions, nextSend, end time.Time, latencies *hdrhistogram.Histogram) error {
+func runClient(options loadOptions, nextSend, end time.Time, latencies *hdrhistogram.Histogram) (err error) {
 	conn, err := net.Dial("tcp", options.address)
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
+	defer func() { err = errors.Join(err, conn.Close()) }()
 	parser := http1.NewResponses(&responseLimits)
 	buffer := make([]byte, readBufferBytes)
 	for time.Now().Before(end) {
@@ -94,33 +95,34 @@
 		if err != nil {
 			return err
 		}
-		_ = latencies.RecordValue(time.Since(sentAt).Microseconds()) // one past the histogram's end is left out
+		// The only error is a latency beyond the histogram, which is left out.
+		_ = latencies.RecordValue(time.Since(sentAt).Microseconds())
 	}
 	return nil
 }
 
-// exchange sends a request and reads its response to the end.
+// exchange sends a request and reads the whole response.
 func exchange(conn net.Conn, parser *http1.Parser, request, buffer []byte) error {
 	_, err := conn.Write(request)
 	if err != nil {
 		return err
 	}
-	unparsed := 0 // bytes at the buffer's beginning
+	unparsed := 0 // bytes at the start of the buffer
 	for {
 		n, err := conn.Read(buffer[unparsed:])
 		if err != nil {
 			return err
 		}
-		used, hasEnded, err := parse(parser, buffer[:unparsed+n])
-		if err != nil || hasEnded {
+		used, isComplete, err := parse(parser, buffer[:unparsed+n])
+		if err != nil || isComplete {
 			return err
 		}
 		unparsed = copy(buffer, buffer[used:unparsed+n])
 	}
 }
 
-// parse parses what has come of a response, and returns how much of it is done with.
-func parse(parser *http1.Parser, data []byte) (used int, hasEnded bool, err error) {
+// parse parses a part of a response. It returns how many bytes it consumed and whether the response is complete.
+func parse(parser *http1.Parser, data []byte) (used int, isComplete bool, err error) {
 	for {
 		n, kind, _, parseError := parser.Next(data[used:])
 		used += n
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -14,15 +14,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// process is a child process on one core.
+// process is a child process that runs on one core.
 type process struct {
 	command *exec.Cmd
-	stdin   io.Closer // the process ends when it is closed
+	stdin   io.Closer // closing it ends the process
 	address string
 }
 
-// startProcess starts this program as a process of the benchmark on one core, and waits until
-// it listens.
+// startProcess starts this program as a process of the benchmark on one core. It returns when the process listens.
 func startProcess(core int, kind processKind, backend string) (*process, error) {
 	command := exec.Command(os.Args[0], "bench-process", string(kind), backend)
 	command.Env = append(os.Environ(), "GOMAXPROCS=1")
@@ -43,8 +42,7 @@
 	return &process{command: command, stdin: stdin, address: strings.TrimSpace(line)}, err
 }
 
-// startOnCore starts a command that runs on one core alone. A child process inherits the cores
-// of the thread that starts it.
+// startOnCore starts a command on one core. A child process inherits the cores of the thread that starts it.
 func startOnCore(command *exec.Cmd, core int) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -63,11 +61,11 @@
 	return command.Start()
 }
 
-// avoidMeasuredCores keeps this process, which is the load, off the cores of the backend and
-// the subjects, where there are more.
+// avoidMeasuredCores moves this process, which runs the load, to cores without backend and subjects. On a machine without
+// further cores it does nothing.
 func avoidMeasuredCores() error {
 	var free unix.CPUSet
-	for core := firstFree; core < runtime.NumCPU(); core++ {
+	for core := firstFreeCore; core < runtime.NumCPU(); core++ {
 		free.Set(core)
 	}
 	if free.Count() == 0 {
@@ -90,26 +88,26 @@
 	return nil
 }
 
-// stop ends the process and waits for its end.
+// stop ends the process and waits for it. Its measurements are complete then, so errors are ignored.
 func (p *process) stop() {
-	p.stdin.Close()
+	_ = p.stdin.Close()
 	_ = p.command.Wait()
 }
 
-// The fields of /proc/PID/stat after the command's name, and the clock's tick: proc(5).
+// The fields of /proc/PID/stat after the command's name, and the clock's tick; see proc(5).
 const (
 	statUserTime   = 11
 	statSystemTime = 12
 	clockTick      = 10 * time.Millisecond
 )
 
-// cpuTime is the processor time that the process has used.
+// cpuTime returns the processor time that the process has used.
 func (p *process) cpuTime() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.command.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	// The command's name stands in brackets and may hold spaces.
+	// The command's name is in brackets and may contain spaces.
 	afterName := string(text[strings.LastIndexByte(string(text), ')')+1:])
 	fields := strings.Fields(afterName)
 	user, _ := strconv.Atoi(fields[statUserTime])
@@ -117,7 +115,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// residentBytes is the size of the process's resident set.
+// residentBytes returns the size of the process's resident set, 0 if it is unknown.
 func (p *process) residentBytes() int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), "VmRSS:")
--- a/internal/bench/table.go
+++ b/internal/bench/table.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// comparison is one figure of both subjects.
+// comparison is a figure of both subjects.
 type comparison struct{ router, proxy float64 }
 
 // printHeader prints the table's column titles.
 func (b *benchmark) printHeader() {
 	title := fmt.Sprintf("medians of %d rounds, taken in turns", rounds)
-	fmt.Fprintf(b.out, "%-58s %12s %12s %7s\n", title, "martenlock", "ReverseProxy", "ratio")
+	b.out.Printf("%-58s %12s %12s %7s\n", title, "martenlock", "ReverseProxy", "ratio")
 }
 
 // printRow prints one row of the table.
 func (b *benchmark) printRow(name string, figures comparison) {
-	fmt.Fprintf(b.out, "%-58s %12.0f %12.0f %7.2f\n", name, figures.router, figures.proxy, figures.router/figures.proxy)
+	b.out.Printf("%-58s %12.0f %12.0f %7.2f\n", name, figures.router, figures.proxy, figures.router/figures.proxy)
 }
 
 // samples are the results of a measurement, one a round.
 type samples[T any] struct{ router, proxy []T }
 
-// inTurns measures one subject after the other, in rounds.
+// inTurns measures the subjects in turns, for all rounds.
 func inTurns[T any](measured subjects, measure func(subject *process) (T, error)) (samples[T], error) {
 	var all samples[T]
 	for range rounds {
--- a/internal/clienttest/clienttest_test.go
+++ b/internal/clienttest/clienttest_test.go
@@ -32,7 +32,7 @@
 
 // startWorld starts a router and fake engines, closes them when the test ends, and returns
 // them with the router's URL.
-func startWorld(t *testing.T) (world *demo.World, baseURL string) {
+func startWorld(t *testing.T) (world *demo.Cluster, baseURL string) {
 	t.Helper()
 	world, err := demo.Start(demo.Options{Listen: "127.0.0.1:0", Seed: 1, LogLevel: "error", Log: io.Discard})
 	if err != nil {
@@ -48,7 +48,7 @@
 }
 
 // setFault sets what is wrong with all engines that chat.
-func setFault(world *demo.World, fault fakeengine.Fault) {
+func setFault(world *demo.Cluster, fault fakeengine.Fault) {
 	for _, engine := range world.Find(chatEngines) {
 		engine.SetFault(fault)
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -35,8 +35,8 @@
 	start  time.Time // of its process; zero where it has run for long
 }
 
-// World is a router, its fleet of fake engines, and the endpoint list between them.
-type World struct {
+// Cluster is a router, its fleet of fake engines, and the endpoint list between them.
+type Cluster struct {
 	Service *serve.Service
 	Fleet   *fakeengine.Cluster
 	Rec     *invariant.Recording // what engines and clients see; may be nil
@@ -69,12 +69,12 @@
 )
 
 // Start starts the fleet and the router. The caller closes the World.
-func Start(options Options) (*World, error) {
+func Start(options Options) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "martenlock-")
 	if err != nil {
 		return nil, err
 	}
-	w := &World{Rec: options.Rec, startedAt: time.Now(), dir: dir, nextAddress: 1}
+	w := &Cluster{Rec: options.Rec, startedAt: time.Now(), dir: dir, nextAddress: 1}
 	err = w.start(options)
 	if err != nil {
 		return w, errors.Join(err, w.Close())
@@ -83,7 +83,7 @@
 }
 
 // start starts the engines, publishes them and starts the router.
-func (w *World) start(options Options) error {
+func (w *Cluster) start(options Options) error {
 	var err error
 	w.Fleet, err = fakeengine.NewCluster(options.Rec, w.Clock)
 	if err != nil {
@@ -117,15 +117,15 @@
 }
 
 // Dir is the directory of the settings and the endpoint list.
-func (w *World) Dir() string { return w.dir }
+func (w *Cluster) Dir() string { return w.dir }
 
 // Clock is the time since the World was started. All who record use it.
-func (w *World) Clock() time.Duration { return time.Since(w.startedAt) }
+func (w *Cluster) Clock() time.Duration { return time.Since(w.startedAt) }
 
 // Add starts an engine, which the next Publish makes known to the router; a cold one is in
 // slow start. Each has an address of its own, so that no outgoing connection takes its port
 // while it is down.
-func (w *World) Add(spec fakeengine.Spec, cold bool) error {
+func (w *Cluster) Add(spec fakeengine.Spec, cold bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	spec.Listen = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, w.nextAddress}), 0)
@@ -143,12 +143,12 @@
 }
 
 // Find returns the engines that a target selects, as ParseTarget reads it.
-func (w *World) Find(target string) []*fakeengine.Engine {
+func (w *Cluster) Find(target string) []*fakeengine.Engine {
 	return w.find(ParseTarget(target))
 }
 
 // find returns the engines that a target selects.
-func (w *World) find(target Target) []*fakeengine.Engine {
+func (w *Cluster) find(target Target) []*fakeengine.Engine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var engines []*fakeengine.Engine
@@ -162,7 +162,7 @@
 
 // Say sets the state of engines in the endpoint list, publishes it and records the change for
 // the checker of the rules. Processes that started anew are listed with their start.
-func (w *World) Say(state string, fresh bool, engines ...*fakeengine.Engine) error {
+func (w *Cluster) Say(state string, fresh bool, engines ...*fakeengine.Engine) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.setState(state, fresh, engines)
@@ -178,7 +178,7 @@
 }
 
 // setState sets the state of engines for the next list. The caller holds the lock.
-func (w *World) setState(state string, fresh bool, engines []*fakeengine.Engine) {
+func (w *Cluster) setState(state string, fresh bool, engines []*fakeengine.Engine) {
 	for _, n := range w.nodes {
 		if !slices.Contains(engines, n.engine) {
 			continue
@@ -191,7 +191,7 @@
 }
 
 // record records what the list says of engines since a time.
-func (w *World) record(kind invariant.Kind, at time.Duration, engines []*fakeengine.Engine) {
+func (w *Cluster) record(kind invariant.Kind, at time.Duration, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
 		w.Rec.Add(invariant.Event{At: at, Kind: kind, Engine: engine.Spec.Name})
 	}
@@ -199,7 +199,7 @@
 
 // Publish writes the endpoint list. The router never sees half of it: it is written under
 // another name and moved into place.
-func (w *World) Publish() error {
+func (w *Cluster) Publish() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	_, err := w.publish()
@@ -210,7 +210,7 @@
 type publication struct{ startedAt, endedAt time.Duration }
 
 // publish is Publish for a caller that holds the lock.
-func (w *World) publish() (publication, error) {
+func (w *Cluster) publish() (publication, error) {
 	path := filepath.Join(w.dir, endpointListFile)
 	err := os.WriteFile(path+".new", []byte(w.endpointList()), filePermissions)
 	startedAt := w.Clock()
@@ -221,7 +221,7 @@
 }
 
 // endpointList is the text of the endpoint list. The caller holds the lock.
-func (w *World) endpointList() string {
+func (w *Cluster) endpointList() string {
 	var text strings.Builder
 	text.WriteString("# Nodes of a martenlock router: docs/operating.md.\n")
 	for _, n := range w.nodes {
@@ -236,7 +236,7 @@
 }
 
 // Close stops the router, then the fleet, and removes the files.
-func (w *World) Close() error {
+func (w *Cluster) Close() error {
 	var err error
 	if w.Service != nil {
 		err = w.Service.Stop()
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -21,7 +21,7 @@
 }
 
 // readList reads the node list of a world with one engine until it is told to stop.
-func readList(t *testing.T, w *World, stop *atomic.Bool) (readings []reading) {
+func readList(t *testing.T, w *Cluster, stop *atomic.Bool) (readings []reading) {
 	for !stop.Load() {
 		began := w.Clock()
 		text, err := os.ReadFile(filepath.Join(w.Dir(), "nodes.ini"))
@@ -41,7 +41,7 @@
 func TestReadyIsRecordedBeforeAndDrainAfterReadersSeeIt(t *testing.T) {
 	const rounds = 200
 	recording := invariant.NewRecording(4 * rounds)
-	w := &World{Rec: recording, startedAt: time.Now(), dir: t.TempDir()}
+	w := &Cluster{Rec: recording, startedAt: time.Now(), dir: t.TempDir()}
 	engine := &fakeengine.Engine{Spec: fakeengine.Spec{Name: "e1", Role: control.RoleColocated}}
 	w.nodes = []*node{{engine: engine, state: stateReady}}
 	if err := w.Publish(); err != nil {
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -35,7 +35,7 @@
 // scenarioRun is a scenario that is being run.
 type scenarioRun struct {
 	scenario  *Scenario
-	world     *World
+	world     *Cluster
 	recording *invariant.Recording
 	out       io.Writer
 	baseURL   string // of the router
--- a/internal/experiment/batching.go
+++ b/internal/experiment/batching.go
@@ -16,21 +16,20 @@
 	batchingSettings = "join_wait = 5ms\n"
 )
 
-// searchRate is what a pool served of searches.
+// searchRate is the rate and the latency of served searches.
 type searchRate struct {
 	perSecond float64
 	p50, p99  float64 // milliseconds
 }
 
-// compareBatching measures small requests a second by the number of clients, each request
-// alone and with batching.
-func compareBatching(options Options) error {
-	fmt.Fprintf(options.Out, "\nsearches a second (%d tokens; a call costs as much as 100), %d fake engines of 20,000 tokens a second\n%8s %10s %8s %8s %10s %8s %8s\n",
+// compareBatching measures small requests a second by the number of clients, without and with batching.
+func (r *run) compareBatching() error {
+	r.out.Printf("\nsearches a second (%d tokens; a call costs as much as 100), %d fake engines of 20,000 tokens a second\n%8s %10s %8s %8s %10s %8s %8s\n",
 		searchTokens, batchingEngines, "clients", "alone", "p50 ms", "p99 ms", "batched", "p50 ms", "p99 ms")
 	alone := series{name: "each alone"}
 	batched := series{name: "batched"}
 	for _, clients := range []int{1, 4, 16, 64, 256} {
-		fmt.Fprintf(options.Out, "%8d", clients)
+		r.out.Printf("%8d", clients)
 		for _, compared := range []struct {
 			poolSettings string
 			line         *series
@@ -38,16 +37,16 @@
 			{"", &alone},
 			{batchingSettings, &batched},
 		} {
-			rate, err := measureSearches(options.Span, clients, compared.poolSettings)
+			rate, err := measureSearches(r.span, clients, compared.poolSettings)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(options.Out, " %10.0f %8.1f %8.1f", rate.perSecond, rate.p50, rate.p99)
+			r.out.Printf(" %10.0f %8.1f %8.1f", rate.perSecond, rate.p50, rate.p99)
 			compared.line.points = append(compared.line.points, plotter.XY{X: float64(clients), Y: rate.perSecond})
 		}
-		fmt.Fprintln(options.Out)
+		r.out.Printf("\n")
 	}
-	return options.drawLines("embeddings-joins.svg", linePlot{
+	return r.drawLines("embeddings-joins.svg", linePlot{
 		title:  "Searches a second",
 		xLabel: "clients",
 		yLabel: "a second",
@@ -59,11 +58,11 @@
 func measureSearches(span time.Duration, clients int, poolSettings string) (searchRate, error) {
 	engine := fastEngine
 	engine.PrefillTokensPerSecond = batchingEngineRate
-	world, err := startWorld(batchingEngines, engine, poolSettings)
+	cluster, err := startCluster(batchingEngines, engine, poolSettings)
 	if err != nil {
 		return searchRate{}, err
 	}
-	searches := newLoad(world)
+	searches := newLoad(cluster)
 	runClosedLoop(span, clients, func(number int) bool {
 		return searches.sendEmbeddings(searchClass, fmt.Sprint(number), 1, searchTokens, time.Now())
 	})
@@ -72,5 +71,5 @@
 		p50:       searches.milliseconds(50),
 		p99:       searches.milliseconds(99),
 	}
-	return rate, world.Close()
+	return rate, cluster.Close()
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,9 +1,9 @@
-// Package experiment compares settings of the router on fake engines: one after another in
-// the same minutes, with a table and a plot of each comparison.
+// Package experiment compares settings of the router on fake engines. It measures them one after another and prints a
+// table and draws a plot of each comparison.
 //
-// It is no model of real engines: a fake engine's time is a formula of its tokens, and
-// clients, router and engines share one machine and its loopback interface. The figures
-// compare settings with each other; they say nothing of what an engine or a network does.
+// It does not model real engines. The time of a fake engine is a formula of its tokens, and clients, router and engines
+// share one machine and its loopback interface. The figures compare settings with each other. They say nothing about an
+// engine or a network.
 package experiment
 
 import (
@@ -14,29 +14,36 @@
 	"martenlock/control"
 	"martenlock/internal/demo"
 	"martenlock/internal/fakeengine"
+	"martenlock/internal/printer"
 )
 
-// Options say how an experiment is run.
+// Options configure an experiment.
 type Options struct {
-	Out  io.Writer     // takes the tables
-	Dir  string        // the directory of plots; "" for none
-	Span time.Duration // of one measurement
+	Out  io.Writer     // for the tables
+	Dir  string        // directory of the plots; "" for no plots
+	Span time.Duration // time for one measurement
 }
 
-// Embeddings measures what shards, batching and the fair queue of large requests bring.
+// run is an experiment under way.
+type run struct {
+	out     *printer.Printer
+	plotDir string        // "" for no plots
+	span    time.Duration // of one measurement
+}
+
+// Embeddings measures the effect of shards, of batching and of the fair queue of large requests.
 func Embeddings(options Options) error {
-	err := compareShards(options)
-	if err != nil {
-		return err
-	}
-	err = compareBatching(options)
-	if err != nil {
-		return err
+	r := &run{out: printer.New(options.Out), plotDir: options.Dir, span: options.Span}
+	for _, compare := range []func() error{r.compareShards, r.compareBatching, r.compareInterference} {
+		err := compare()
+		if err != nil {
+			return err
+		}
 	}
-	return compareInterference(options)
+	return r.out.Err()
 }
 
-// settings are the router's settings, up to the lines of its pool that are compared.
+// settings are the router's settings without the lines of its pool that are compared.
 const settings = `[router]
 listen = 127.0.0.1:0
 nodes = nodes.ini
@@ -70,9 +77,8 @@
 	bulkClass   = "bulk"
 )
 
-// startWorld starts a router with further lines for its pool, before so many colocated
-// engines. The caller closes it.
-func startWorld(engines int, spec fakeengine.Spec, poolSettings string) (*demo.World, error) {
+// startCluster starts a router with further lines for its pool, and a number of colocated engines. The caller closes it.
+func startCluster(engines int, spec fakeengine.Spec, poolSettings string) (*demo.Cluster, error) {
 	spec.Kind = "both"
 	spec.Pool = "both"
 	spec.Role = control.RoleColocated
@@ -86,8 +92,8 @@
 	return demo.Start(demo.Options{Specs: specs, Settings: settings + poolSettings, Log: io.Discard})
 }
 
-// fastEngine is an engine whose time for embeddings is its tokens' alone, 100 of them for
-// each call.
+// fastEngine is an engine whose time for an embeddings call depends on the tokens alone. A call costs as much as 100
+// tokens.
 var fastEngine = fakeengine.Spec{
 	PrefillTokensPerSecond: 400_000,
 	DecodeSlots:            64,
--- a/internal/experiment/interference.go
+++ b/internal/experiment/interference.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"slices"
 	"sync"
 	"time"
@@ -12,15 +11,15 @@
 
 // The comparison of interference.
 const (
-	interferenceRounds  = 3 // of all variants, so that what else the machine does affects all
+	interferenceRounds  = 3 // each round measures all variants, so that other load of the machine affects all
 	interferenceEngines = 4
 	chatsPerSecond      = 80
 	searchesPerSecond   = 40
 	bulkClients         = 6
-	bulkInputs          = 512 // of a bulk request
+	bulkInputs          = 512 // inputs of a bulk request
 	bulkInputTokens     = 100
 
-	searchSeedOffset = 100 // searches arrive independently of chats
+	searchSeedOffset = 100 // makes the arrivals of searches independent of those of chats
 )
 
 // interferenceEngine serves chat and embeddings.
@@ -33,7 +32,7 @@
 	AnswerTokens:           20,
 }
 
-// variant is a load and the settings that it is measured with.
+// variant is a load and the settings of the pool.
 type variant struct {
 	name           string
 	poolSettings   string
@@ -41,7 +40,7 @@
 	hasBulk        bool
 }
 
-// variants are what is compared.
+// variants are the compared variants.
 var variants = []variant{
 	{name: "no bulk", poolSettings: "part_tokens = 2000\n", hasInteractive: true},
 	{name: "bulk, whole", hasInteractive: true, hasBulk: true},
@@ -51,28 +50,28 @@
 	{name: "bulk alone, queue", poolSettings: "part_tokens = 2000\n", hasBulk: true},
 }
 
-// interactiveResult is how chats or searches fared.
+// interactiveResult is the result of the load of chats or searches.
 type interactiveResult struct {
 	p50, p99  float64 // milliseconds
 	notServed float64
 }
 
-// interferenceResult is how the load of a variant fared.
+// interferenceResult is the result of measuring a variant.
 type interferenceResult struct {
-	chat                interactiveResult // to the first token
+	chat                interactiveResult // latency to the first token
 	search              interactiveResult
 	bulkInputsPerSecond float64
 	bulkNotServed       float64
 }
 
-// compareInterference measures chats and searches with and without bulk requests on the same
-// engines, and with and without the fair queue of large requests.
-func compareInterference(options Options) error {
-	printInterferenceHeader(options.Out)
+// compareInterference measures chats and searches with and without bulk requests on the same engines, and with and without
+// the fair queue of large requests.
+func (r *run) compareInterference() error {
+	r.printInterferenceHeader()
 	results := make([][]interferenceResult, len(variants))
 	for round := range interferenceRounds {
 		for i, measured := range variants {
-			result, err := measured.measure(options.Span, uint64(round))
+			result, err := measured.measure(r.span, uint64(round))
 			if err != nil {
 				return err
 			}
@@ -84,29 +83,29 @@
 	var names []string
 	for i, measured := range variants {
 		result := medianResult(results[i])
-		printInterferenceRow(options.Out, measured.name, result)
+		r.printInterferenceRow(measured.name, result)
 		if measured.hasInteractive {
 			names = append(names, measured.name)
 			chat.heights = append(chat.heights, result.chat.p99)
 			search.heights = append(search.heights, result.search.p99)
 		}
 	}
-	return options.drawBars("embeddings-beside.svg", barPlot{
+	return r.drawBars("embeddings-beside.svg", barPlot{
 		title:  "p99 beside bulk embeddings, ms",
 		names:  names,
 		groups: []bars{chat, search},
 	})
 }
 
-// measure runs the variant's load for a span.
+// measure runs the load of the variant for the given time.
 func (v *variant) measure(span time.Duration, seed uint64) (interferenceResult, error) {
-	world, err := startWorld(interferenceEngines, interferenceEngine, v.poolSettings)
+	cluster, err := startCluster(interferenceEngines, interferenceEngine, v.poolSettings)
 	if err != nil {
 		return interferenceResult{}, err
 	}
-	chats := newLoad(world)
-	searches := newLoad(world)
-	bulk := newLoad(world)
+	chats := newLoad(cluster)
+	searches := newLoad(cluster)
+	bulk := newLoad(cluster)
 	var loads sync.WaitGroup
 	if v.hasInteractive {
 		loads.Go(func() {
@@ -133,15 +132,15 @@
 		bulkInputsPerSecond: bulkInputs * float64(bulk.served.Load()) / time.Since(startedAt).Seconds(),
 		bulkNotServed:       float64(bulk.notServed()),
 	}
-	return result, world.Close()
+	return result, cluster.Close()
 }
 
-// interactiveResult is how the load's requests fared.
+// interactiveResult returns the result of the load's requests.
 func (l *load) interactiveResult() interactiveResult {
 	return interactiveResult{p50: l.milliseconds(50), p99: l.milliseconds(99), notServed: float64(l.notServed())}
 }
 
-// medianResult is the median of each figure by itself.
+// medianResult returns the median of each figure, independently of the other figures.
 func medianResult(results []interferenceResult) interferenceResult {
 	median := func(figure func(*interferenceResult) float64) float64 {
 		var values []float64
@@ -167,17 +166,17 @@
 	}
 }
 
-// printInterferenceHeader prints what is measured and the titles of the columns.
-func printInterferenceHeader(out io.Writer) {
-	fmt.Fprintf(out, "\n%d colocated fake engines (30,000 tokens a second); %d chats and %d searches a second; bulk: %d clients, %d inputs of %d tokens; medians of %d rounds in turns\n",
+// printInterferenceHeader prints the load and the titles of the columns.
+func (r *run) printInterferenceHeader() {
+	r.out.Printf("\n%d colocated fake engines (30,000 tokens a second); %d chats and %d searches a second; bulk: %d clients, %d inputs of %d tokens; medians of %d rounds in turns\n",
 		interferenceEngines, chatsPerSecond, searchesPerSecond, bulkClients, bulkInputs, bulkInputTokens, interferenceRounds)
-	fmt.Fprintf(out, "%-24s %22s %22s %16s\n", "", "chat, first token ms", "search ms", "bulk")
-	fmt.Fprintf(out, "%-24s %7s %7s %7s %7s %7s %7s %7s %8s\n", "", "p50", "p99", "not ok", "p50", "p99", "not ok", "inputs/s", "not ok")
+	r.out.Printf("%-24s %22s %22s %16s\n", "", "chat, first token ms", "search ms", "bulk")
+	r.out.Printf("%-24s %7s %7s %7s %7s %7s %7s %7s %8s\n", "", "p50", "p99", "not ok", "p50", "p99", "not ok", "inputs/s", "not ok")
 }
 
 // printInterferenceRow prints the figures of a variant.
-func printInterferenceRow(out io.Writer, name string, result interferenceResult) {
-	fmt.Fprintf(out, "%-24s %7.0f %7.0f %7.0f %7.0f %7.0f %7.0f %7.0f %7.0f\n", name,
+func (r *run) printInterferenceRow(name string, result interferenceResult) {
+	r.out.Printf("%-24s %7.0f %7.0f %7.0f %7.0f %7.0f %7.0f %7.0f %7.0f\n", name,
 		result.chat.p50, result.chat.p99, result.chat.notServed,
 		result.search.p50, result.search.p99, result.search.notServed,
 		result.bulkInputsPerSecond, result.bulkNotServed)
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// The histogram of latencies: 1 us to one minute, three significant digits.
+	// Latencies are recorded from 1 us to one minute with three significant digits.
 	maxLatencyMicros = 60_000_000
 	latencyPrecision = 3
 	microsPerMilli   = 1000
 
-	maxIdleConnections = 4096 // that a load keeps, above what it has in flight
+	maxIdleConnections = 4096 // above the requests that a load has in flight
 
-	retryDelay = 50 * time.Millisecond // a client of a closed loop waits so long after a request that was not served
+	retryDelay = 50 * time.Millisecond // wait of a client of a closed loop after a request that was not served
 )
 
 // load sends requests to a router and counts how they ended.
@@ -41,17 +41,17 @@
 	failed   atomic.Int64
 }
 
-// newLoad returns a load on a world's router.
-func newLoad(world *demo.World) *load {
+// newLoad returns a load on a cluster's router.
+func newLoad(cluster *demo.Cluster) *load {
 	return &load{
-		baseURL:   "http://" + world.Service.Router.Addr(),
+		baseURL:   "http://" + cluster.Service.Router.Addr(),
 		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}},
 		latencies: hdrhistogram.New(1, maxLatencyMicros, latencyPrecision),
 	}
 }
 
-// send sends a request and tells whether it was served. Its latency is measured from a time
-// that may be before it is sent, to the first byte of the answer's body.
+// send sends a request and reports whether it was served. Its latency is the time from due, which may be before it is sent,
+// to the first byte of the answer's body.
 func (l *load) send(path, class string, body []byte, due time.Time) bool {
 	request, err := http.NewRequest(http.MethodPost, l.baseURL+path, bytes.NewReader(body))
 	if err != nil {
@@ -63,7 +63,7 @@
 		l.failed.Add(1)
 		return false
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // the body was read to its end or failed
 	if response.StatusCode == http.StatusOK {
 		_, _ = io.ReadFull(response.Body, make([]byte, 1))
 		l.recordLatency(time.Since(due))
@@ -81,23 +81,23 @@
 	return false
 }
 
-// recordLatency adds a latency to the histogram; one past its end is left out.
+// recordLatency adds a latency to the histogram. A latency beyond its end is left out.
 func (l *load) recordLatency(latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_ = l.latencies.RecordValue(latency.Microseconds())
 }
 
-// milliseconds is a quantile of the latencies, in percent.
+// milliseconds returns a quantile of the latencies. The quantile is in percent.
 func (l *load) milliseconds(quantile float64) float64 {
 	return float64(l.latencies.ValueAtQuantile(quantile)) / microsPerMilli
 }
 
-// notServed is how many requests were rejected or failed.
+// notServed returns how many requests were rejected or failed.
 func (l *load) notServed() int64 { return l.rejected.Load() + l.failed.Load() }
 
-// runOpenLoop sends at a rate whatever comes back (Poisson arrivals), and returns when all is
-// answered. send is called with the request's number and when it was due.
+// runOpenLoop sends requests at a rate that does not depend on the answers (Poisson arrivals). It returns when all are
+// answered. send gets the number of the request and the time when it was due.
 func runOpenLoop(span time.Duration, requestsPerSecond float64, seed uint64, send func(number int, due time.Time)) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var requests sync.WaitGroup
@@ -112,9 +112,8 @@
 	requests.Wait()
 }
 
-// runClosedLoop has each client send its next request when it has its answer. send is called
-// with the request's number and tells whether it was served; a client waits a little after
-// one that was not.
+// runClosedLoop runs clients that send their next request after the answer to the last one. send gets the number of the
+// request and reports whether it was served. After a request that was not served the client waits for retryDelay.
 func runClosedLoop(span time.Duration, clients int, send func(number int) bool) {
 	var running sync.WaitGroup
 	var lastNumber atomic.Int64
@@ -139,12 +138,14 @@
 	Model          string   `json:"model"`
 }
 
-// sendEmbeddings sends inputs of about so many tokens each; no two inputs of a load are alike.
+// inputTagTokens is about the number of tokens of the tag that makes an input unique.
+const inputTagTokens = 3
+
+// sendEmbeddings sends a request of several inputs of about the given number of tokens. All inputs of a load differ.
 func (l *load) sendEmbeddings(class, id string, inputs, tokens int, due time.Time) bool {
 	list := make([]string, inputs)
 	for i := range list {
-		// The tag counts as some three tokens.
-		list[i] = fmt.Sprintf("%s/%d ", id, i) + strings.Repeat("ice ", max(tokens-3, 0))
+		list[i] = fmt.Sprintf("%s/%d ", id, i) + strings.Repeat("ice ", max(tokens-inputTagTokens, 0))
 	}
 	body, err := json.Marshal(embeddingsBody{EncodingFormat: "base64", Input: list, Model: "m"})
 	if err != nil {
@@ -168,14 +169,14 @@
 	}
 )
 
-// What a chat request asks for.
+// The sizes of chat requests.
 const (
 	chatSessions     = 100
 	chatPromptTokens = 200
 	chatAnswerTokens = 20
 )
 
-// sendChat sends a chat request that wants a stream.
+// sendChat sends a chat request with a streamed answer.
 func (l *load) sendChat(number int, due time.Time) bool {
 	prompt := fmt.Sprint(number) + strings.Repeat(" ice", chatPromptTokens)
 	body, err := json.Marshal(chatBody{
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -17,6 +17,9 @@
 	barWidth   = vg.Length(18) // points
 )
 
+// plotDirPermissions are the permissions of the directory of plots, if it is created.
+const plotDirPermissions = 0o755
+
 // series is one line of a plot.
 type series struct {
 	name   string
@@ -29,20 +32,20 @@
 	lines                 []series
 }
 
-// bars are the bars of one color, one for each name of the plot.
+// bars are the bars of one color. There is one for each name of the plot.
 type bars struct {
 	name    string
 	heights plotter.Values
 }
 
-// barPlot is a plot of bars in groups beside each other.
+// barPlot is a plot of groups of bars.
 type barPlot struct {
 	title  string
 	names  []string // below the groups
 	groups []bars
 }
 
-// newPlot returns an empty plot whose values begin at zero.
+// newPlot returns an empty plot whose vertical axis starts at zero.
 func newPlot(title string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
@@ -52,15 +55,15 @@
 	return p
 }
 
-// drawLines draws to a file in the directory of plots, where there is one.
-func (o Options) drawLines(file string, drawn linePlot) error {
-	if o.Dir == "" {
+// drawLines draws a line plot to a file, if plots are wanted.
+func (r *run) drawLines(file string, drawn linePlot) error {
+	if r.plotDir == "" {
 		return nil
 	}
 	p := newPlot(drawn.title)
 	p.X.Label.Text = drawn.xLabel
 	p.Y.Label.Text = drawn.yLabel
-	var arguments []any // names and points by turns, as plotutil takes them
+	var arguments []any // names and points in turns, as plotutil expects
 	for _, line := range drawn.lines {
 		arguments = append(arguments, line.name, line.points)
 	}
@@ -68,12 +71,12 @@
 	if err != nil {
 		return err
 	}
-	return o.save(p, file)
+	return r.save(p, file)
 }
 
-// drawBars draws to a file in the directory of plots, where there is one.
-func (o Options) drawBars(file string, drawn barPlot) error {
-	if o.Dir == "" {
+// drawBars draws a bar plot to a file, if plots are wanted.
+func (r *run) drawBars(file string, drawn barPlot) error {
+	if r.plotDir == "" {
 		return nil
 	}
 	p := newPlot(drawn.title)
@@ -88,14 +91,14 @@
 		p.Legend.Add(group.name, chart)
 	}
 	p.NominalX(drawn.names...)
-	return o.save(p, file)
+	return r.save(p, file)
 }
 
 // save writes a plot to a file in the directory of plots.
-func (o Options) save(p *plot.Plot, file string) error {
-	err := os.MkdirAll(o.Dir, 0o755)
+func (r *run) save(p *plot.Plot, file string) error {
+	err := os.MkdirAll(r.plotDir, plotDirPermissions)
 	if err != nil {
 		return err
 	}
-	return p.Save(plotWidth, plotHeight, filepath.Join(o.Dir, file))
+	return p.Save(plotWidth, plotHeight, filepath.Join(r.plotDir, file))
 }
--- a/internal/experiment/shards.go
+++ b/internal/experiment/shards.go
@@ -7,37 +7,37 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-const shardInputTokens = 20 // of each input in the comparison of shards
+const shardInputTokens = 20 // tokens of each input
 
-// The settings of the pool that the comparison of shards is of.
+// The compared settings of the pool.
 const (
 	wholeSettings   = "parts = 1\n"
 	shardedSettings = "part_items = 128\nlarge_tokens = 4000\n"
 )
 
-// compareShards measures one large request after another, whole and in shards, by the number
-// of engines and the size of the request.
-func compareShards(options Options) error {
-	fmt.Fprintf(options.Out, "inputs a second, one request at a time, fake engines of 400,000 tokens a second, inputs of %d tokens\n%8s %8s %10s %10s\n",
+// compareShards measures large requests, one at a time, by the number of engines and the size of the request. Each is
+// measured whole and in shards.
+func (r *run) compareShards() error {
+	r.out.Printf("inputs a second, one request at a time, fake engines of 400,000 tokens a second, inputs of %d tokens\n%8s %8s %10s %10s\n",
 		shardInputTokens, "engines", "inputs", "whole", "in shards")
 	var lines []series
 	for _, engines := range []int{1, 2, 4, 8} {
 		line := series{name: fmt.Sprintf("%d engines", engines)}
 		for _, inputs := range []int{64, 256, 1024, 2048} {
-			whole, err := inputsPerSecond(options.Span, engines, inputs, wholeSettings)
+			whole, err := inputsPerSecond(r.span, engines, inputs, wholeSettings)
 			if err != nil {
 				return err
 			}
-			sharded, err := inputsPerSecond(options.Span, engines, inputs, shardedSettings)
+			sharded, err := inputsPerSecond(r.span, engines, inputs, shardedSettings)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(options.Out, "%8d %8d %10.0f %10.0f\n", engines, inputs, whole, sharded)
+			r.out.Printf("%8d %8d %10.0f %10.0f\n", engines, inputs, whole, sharded)
 			line.points = append(line.points, plotter.XY{X: float64(inputs), Y: sharded / whole})
 		}
 		lines = append(lines, line)
 	}
-	return options.drawLines("embeddings-parts.svg", linePlot{
+	return r.drawLines("embeddings-parts.svg", linePlot{
 		title:  "Inputs a second in shards, over the same request whole",
 		xLabel: "inputs of a request",
 		yLabel: "times",
@@ -45,16 +45,16 @@
 	})
 }
 
-// inputsPerSecond measures one request of so many inputs after another.
+// inputsPerSecond measures requests of a number of inputs, one after another.
 func inputsPerSecond(span time.Duration, engines, inputs int, poolSettings string) (float64, error) {
-	world, err := startWorld(engines, fastEngine, poolSettings)
+	cluster, err := startCluster(engines, fastEngine, poolSettings)
 	if err != nil {
 		return 0, err
 	}
-	bulk := newLoad(world)
+	bulk := newLoad(cluster)
 	runClosedLoop(span, 1, func(number int) bool {
 		return bulk.sendEmbeddings(bulkClass, fmt.Sprint(number), inputs, shardInputTokens, time.Now())
 	})
 	rate := float64(bulk.served.Load()) * float64(inputs) / span.Seconds()
-	return rate, world.Close()
+	return rate, cluster.Close()
 }
--- a/internal/openaiserver/router_test.go
+++ b/internal/openaiserver/router_test.go
@@ -34,7 +34,7 @@
 
 // world is a router with engines of its own and clients that record what they see.
 type world struct {
-	*demo.World
+	*demo.Cluster
 	t     *testing.T
 	rec   *invariant.Recording
 	log   *logged
@@ -81,7 +81,7 @@
 		settings = strings.Replace(settings, edits[i], edits[i+1], 1)
 	}
 	var err error
-	if w.World, err = demo.Start(demo.Options{Specs: specs, Settings: settings, Log: w.log, Rec: w.rec}); err != nil {
+	if w.Cluster, err = demo.Start(demo.Options{Specs: specs, Settings: settings, Log: w.log, Rec: w.rec}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -697,7 +697,7 @@
 	gate := make(chan struct{})
 	w := &world{t: t, rec: invariant.NewRecording(1 << 16), log: &logged{}}
 	var err error
-	if w.World, err = demo.Start(demo.Options{Specs: two(1, 1), Listen: "127.0.0.1:0", Seed: 1, LogLevel: "info", Log: gated{gate}, Rec: w.rec}); err != nil {
+	if w.Cluster, err = demo.Start(demo.Options{Specs: two(1, 1), Listen: "127.0.0.1:0", Seed: 1, LogLevel: "info", Log: gated{gate}, Rec: w.rec}); err != nil {
 		t.Fatal(err)
 	}
 	for range 30_000 { // a line each
