--- a/control/kvrelease/endpoints.go
+++ b/control/kvrelease/endpoints.go
@@ -7,13 +7,13 @@
 	"martenlock/control"
 )
 
-// endpointTable keeps the engines that may be called, what is known of them, and how many calls
-// are in flight to each.
+// endpointTable holds the engines that may be called, their last responses and failures, and the
+// number of calls in flight to each.
 type endpointTable struct {
-	listed        []control.EndpointID // ascending
-	lastResponse  map[control.EndpointID]control.Time
-	lastFailure   map[control.EndpointID]control.Time
-	callsInFlight map[control.EndpointID]int // engines that are no longer listed included
+	listed        []control.EndpointID                // ascending
+	lastResponse  map[control.EndpointID]control.Time // of listed engines
+	lastFailure   map[control.EndpointID]control.Time // of listed engines
+	callsInFlight map[control.EndpointID]int          // of all engines, also those no longer listed
 }
 
 func newEndpointTable() endpointTable {
@@ -36,23 +36,23 @@
 	return found
 }
 
-// recordResponse leaves out engines that are not listed: nothing would remove their entries, since
-// a late response may come after the last change of the list.
+// recordResponse records a response of a listed engine. It ignores other engines: a late response
+// may come after the last change of the list, and nothing would remove its entry.
 func (t *endpointTable) recordResponse(now control.Time, id control.EndpointID) {
 	if t.isListed(id) {
 		t.lastResponse[id] = now
 	}
 }
 
-// recordFailure leaves out engines that are not listed, as recordResponse does.
+// recordFailure records a failure of a listed engine. It ignores others as recordResponse does.
 func (t *endpointTable) recordFailure(now control.Time, id control.EndpointID) {
 	if t.isListed(id) {
 		t.lastFailure[id] = now
 	}
 }
 
-// recordSilence counts as a failure that an engine has not responded to anything since a time.
-func (t *endpointTable) recordSilence(now, since control.Time, id control.EndpointID) {
+// recordUnresponsive records a failure if the engine has not responded to anything after a time.
+func (t *endpointTable) recordUnresponsive(now, since control.Time, id control.EndpointID) {
 	if t.lastResponse[id] <= since {
 		t.recordFailure(now, id)
 	}
@@ -67,18 +67,18 @@
 	}
 }
 
-// hasFreeCall tells whether one more call may be made to the engine.
+// hasFreeCall reports whether one more call may be made to the engine.
 func (t *endpointTable) hasFreeCall(id control.EndpointID) bool {
 	return t.callsInFlight[id] < maxCallsPerEndpoint
 }
 
-// isResponsive tells whether the engine has responded since its last failure.
+// isResponsive reports whether the engine has responded since its last failure.
 func (t *endpointTable) isResponsive(id control.EndpointID) bool {
 	return t.lastResponse[id] > t.lastFailure[id]
 }
 
-// preferred returns the listed engine to call next, leaving out those excluded, and false where
-// none is left.
+// preferred returns the listed engine to call next that is not excluded. It returns false if all
+// are.
 func (t *endpointTable) preferred(excluded []control.EndpointID) (preferred control.EndpointID, ok bool) {
 	for _, id := range t.listed {
 		if slices.Contains(excluded, id) {
@@ -92,9 +92,9 @@
 	return preferred, ok
 }
 
-// prefers tells whether a is called before b: engines with free calls come first, then those that
-// are responsive. Of responsive engines the one that responded latest comes first, of others the
-// one that failed longest ago, or never. Equal ones go by their ids.
+// prefers reports whether a is called before b. Engines with free calls come first, then those that
+// are responsive. Of responsive engines the one that responded latest comes first. Of others the
+// one that failed longest ago, or never, comes first. Ties are broken by id.
 func (t *endpointTable) prefers(a, b control.EndpointID) bool {
 	if t.hasFreeCall(a) != t.hasFreeCall(b) {
 		return t.hasFreeCall(a)
--- a/control/kvrelease/example_test.go
+++ b/control/kvrelease/example_test.go
@@ -10,7 +10,7 @@
 
 func ExampleScheduler() {
 	now := control.Time(1_000_000)
-	scheduler := kvrelease.New(500 * time.Millisecond)
+	scheduler := kvrelease.NewScheduler(500 * time.Millisecond)
 	scheduler.SetEndpoints([]control.EndpointID{1, 2})
 	scheduler.RecordResponse(now, 2)
 	scheduler.Enqueue(now, "request-7")
@@ -18,7 +18,7 @@
 	first := scheduler.Poll(now)
 	fmt.Printf("%+v\n", first)
 
-	// Engine 2 does not answer, so that engine 1 is called too.
+	// Engine 2 does not respond, so that engine 1 is called too.
 	deadline, _ := scheduler.NextDeadline()
 	fmt.Println("next after", deadline.Sub(now))
 	second := scheduler.Poll(deadline)
--- a/control/kvrelease/kvrelease.go
+++ b/control/kvrelease/kvrelease.go
@@ -1,12 +1,12 @@
-// Package kvrelease decides which engine is called, and when, to release the KV cache that a
-// request may have left behind. Any engine can release it for all, so that one successful call is
-// enough. Like package control, it does no I/O, reads no clock and starts no goroutine.
+// Package kvrelease decides which engine is called, and when, to release the KV state that a
+// request may have left behind. Any engine can release it for all engines, so that one successful
+// call is enough. Like package control, it does no I/O, reads no clock and starts no goroutine.
 //
-// The engine that responded latest is called first: it is alive, and an idle connection to it most
-// likely exists. Where it does not answer within a share of the retention limit, the next one is
-// called too (a hedged request), and so on until one has succeeded. The calls in flight to one
-// engine are bounded, so that an engine that has just stopped responding delays few releases. A
-// release is withdrawn where a later attempt of the request may need what is retained.
+// The engine that responded latest is called first: it is alive, and an idle connection to it
+// probably exists. If it does not respond within a share of the retention limit, the next engine is
+// called too (a hedged request), and so on until a call succeeds. The calls in flight to one engine
+// are bounded, so that an engine that has just become unresponsive delays few releases. A release
+// is withdrawn if a later attempt of the request may need the retained state.
 package kvrelease
 
 import (
@@ -17,36 +17,38 @@
 )
 
 const (
-	// hedgeShare of the retention limit is how long one engine may take before the next is called
-	// too.
+	// hedgeShare is the share of the retention limit that one engine may take before the next is
+	// called too.
 	hedgeShare = 0.12
-	// callTimeoutShare of the retention limit is how long a call may take. After it the call has
-	// failed, and its engine is called last.
+	// callTimeoutShare is the share of the retention limit that a call may take. A call that takes
+	// longer has failed, and its engine is called last from then on.
 	callTimeoutShare = 0.25
-	// minDelay bounds both from below, and the retention limit too: an engine needs some time.
+	// minDelay is the least delay before the next call, the least time-out of a call, and the least
+	// retention limit. An engine needs some time to respond.
 	minDelay = 20 * time.Millisecond
 
-	// giveUpMultiple of the retention limit is how long a release is tried for. By then the
-	// engines' own limits must have released what they hold.
-	giveUpMultiple = 30.0
+	// maxAgeMultiple is the age at which a release is dropped, as a multiple of the retention limit.
+	// By then the engines' own limits must have released the state.
+	maxAgeMultiple = 30.0
 
 	// maxCalls bounds the calls in flight to all engines.
 	maxCalls = 24
-	// maxCallsPerEndpoint bounds those to one engine.
+	// maxCallsPerEndpoint bounds the calls in flight to one engine.
 	maxCallsPerEndpoint = 4
 
-	// MaxPending bounds the releases that are pending. For one more the oldest is dropped.
+	// MaxPending bounds the pending releases. Enqueue drops the oldest one to make place.
 	MaxPending = 4096
 )
 
-// Call is a call to be made to an engine. Its result is reported to Complete.
+// Call is a call to an engine. The caller makes it and reports its result to Scheduler.Complete.
 type Call struct {
-	Key      string // names the KV cache to release
+	Key      string // identifies the KV state to release
 	Endpoint control.EndpointID
 	Timeout  time.Duration
 }
 
-// Scheduler keeps the releases that no engine has confirmed. Make it with New.
+// Scheduler holds the releases that no engine has confirmed and decides on the calls for them. It
+// is not safe for concurrent use.
 type Scheduler struct {
 	retentionLimit time.Duration
 	pending        map[string]*pendingRelease
@@ -59,15 +61,16 @@
 
 // pendingRelease is a release that no engine has confirmed.
 type pendingRelease struct {
-	key                 string
-	enqueuedAt          control.Time
-	nextCallAt          control.Time
-	waitingForFreeCalls bool // the bounds on calls held it up: it goes on as soon as a call completes
-	called              []control.EndpointID
+	key            string
+	enqueuedAt     control.Time
+	nextCallAt     control.Time
+	awaitsFreeCall bool                 // the bounds on calls delayed it; due as soon as a call completes
+	called         []control.EndpointID // in this round
 }
 
-// New returns a Scheduler for a limit on how long any KV cache may stay retained after its request.
-func New(retentionLimit time.Duration) *Scheduler {
+// NewScheduler returns an empty Scheduler. The retention limit is how long KV state may be retained
+// after its request.
+func NewScheduler(retentionLimit time.Duration) *Scheduler {
 	return &Scheduler{
 		retentionLimit: max(retentionLimit, minDelay),
 		pending:        map[string]*pendingRelease{},
@@ -78,7 +81,7 @@
 // Len returns the number of pending releases.
 func (s *Scheduler) Len() int { return len(s.pending) }
 
-// Dropped returns how many releases were given up, for their number or their age.
+// Dropped returns the number of releases that were dropped, for their number or their age.
 func (s *Scheduler) Dropped() uint64 { return s.dropped }
 
 // Enqueue adds a release, unless one with the same key is pending.
@@ -94,11 +97,11 @@
 	s.queue = append(s.queue, release)
 }
 
-// IsPending tells whether a release has not been confirmed yet.
+// IsPending reports whether a release was enqueued and has not ended.
 func (s *Scheduler) IsPending(key string) bool { return s.pending[key] != nil }
 
-// Withdraw cancels a release whose KV cache may be needed again. It returns whether the release
-// was pending. Calls in flight are not stopped.
+// Withdraw cancels a release whose KV state may be needed again, and reports whether it was
+// pending. Calls in flight are not cancelled.
 func (s *Scheduler) Withdraw(key string) bool {
 	release := s.pending[key]
 	if release == nil {
@@ -108,7 +111,7 @@
 	return true
 }
 
-// drop gives a release up.
+// drop abandons a release and counts it.
 func (s *Scheduler) drop(release *pendingRelease) {
 	s.remove(release)
 	s.dropped++
@@ -119,12 +122,12 @@
 	s.queue = slices.DeleteFunc(s.queue, func(queued *pendingRelease) bool { return queued == release })
 }
 
-// SetEndpoints replaces the list of engines that may be called. What is known of others is
-// forgotten.
+// SetEndpoints replaces the list of engines that may be called. The responses and failures of
+// engines that are no longer listed are forgotten.
 func (s *Scheduler) SetEndpoints(ids []control.EndpointID) { s.endpoints.setListed(ids) }
 
-// RecordResponse records that an engine has responded, to whatever request. It has no effect for
-// an engine that is not listed.
+// RecordResponse records that an engine has responded to any request. It has no effect for an
+// engine that is not listed.
 func (s *Scheduler) RecordResponse(now control.Time, id control.EndpointID) {
 	s.endpoints.recordResponse(now, id)
 }
@@ -135,20 +138,21 @@
 	s.endpoints.recordFailure(now, id)
 }
 
-// RecordSilence records that an engine was given something at a time and has shown no sign of it.
-// Where it has responded to anything since, its connections may differ, and nothing is recorded.
-func (s *Scheduler) RecordSilence(now, since control.Time, id control.EndpointID) {
-	s.endpoints.recordSilence(now, since, id)
+// RecordUnresponsive records that an engine made no progress on something it was sent at a time,
+// as a failure. It has no effect if the engine has responded to anything since then: the cause may
+// be the connection.
+func (s *Scheduler) RecordUnresponsive(now, since control.Time, id control.EndpointID) {
+	s.endpoints.recordUnresponsive(now, since, id)
 }
 
-// Completion is what the end of a call made of its release.
+// Completion is what the end of a call means for its release.
 type Completion struct {
-	Pending  bool          // the release was pending before the call ended
-	Released bool          // and has ended with it
-	Age      time.Duration // since it was enqueued, where it was pending
+	WasPending bool          // the release was pending before the call ended
+	Released   bool          // the call ended the release
+	Age        time.Duration // of the release if it was pending
 }
 
-// Complete reports the end of a call. A success ends its release; after a failure the release is
+// Complete records the end of a call. A success ends its release. After a failure the release is
 // due at once.
 func (s *Scheduler) Complete(now control.Time, call Call, succeeded bool) Completion {
 	s.callsInFlight--
@@ -168,14 +172,15 @@
 	} else {
 		release.nextCallAt = min(release.nextCallAt, now)
 	}
-	return Completion{Pending: true, Released: succeeded, Age: now.Sub(release.enqueuedAt)}
+	return Completion{WasPending: true, Released: succeeded, Age: now.Sub(release.enqueuedAt)}
 }
 
-// Poll returns the calls to make now, to listed engines, for the oldest releases first.
+// Poll returns the calls to make now, for the oldest releases first. It must be called after every
+// event, and at NextDeadline.
 func (s *Scheduler) Poll(now control.Time) []Call {
 	var calls []Call
 	for _, release := range slices.Clone(s.queue) {
-		if now.Sub(release.enqueuedAt) > s.shareOfLimit(giveUpMultiple) {
+		if now.Sub(release.enqueuedAt) > s.shareOfLimit(maxAgeMultiple) {
 			s.drop(release)
 			continue
 		}
@@ -191,8 +196,8 @@
 	return calls
 }
 
-// NextDeadline returns when Poll next has something to do if nothing else happens. It returns
-// false where nothing is pending.
+// NextDeadline returns when Poll must be called if no event occurs before. It returns false while
+// no release is pending.
 func (s *Scheduler) NextDeadline() (deadline control.Time, ok bool) {
 	for _, release := range s.queue {
 		if !ok || release.nextCallAt < deadline {
@@ -204,16 +209,16 @@
 }
 
 func (s *Scheduler) isDue(now control.Time, release *pendingRelease) bool {
-	return now >= release.nextCallAt || release.waitingForFreeCalls && s.callCompleted
+	return now >= release.nextCallAt || release.awaitsFreeCall && s.callCompleted
 }
 
-// startCall starts a call for a release that is due, unless the bounds on calls are reached or all
-// engines have been called. In the latter case the next round begins with the next call.
+// startCall returns a call for a release that is due. It returns false if the bounds on calls are
+// reached or all engines have been called. In the latter case the next call begins a new round.
 func (s *Scheduler) startCall(now control.Time, release *pendingRelease) (call Call, ok bool) {
 	release.nextCallAt = now.Add(max(s.shareOfLimit(hedgeShare), minDelay))
 	id, found := s.endpoints.preferred(release.called)
-	release.waitingForFreeCalls = s.callsInFlight >= maxCalls || found && !s.endpoints.hasFreeCall(id)
-	if release.waitingForFreeCalls {
+	release.awaitsFreeCall = s.callsInFlight >= maxCalls || found && !s.endpoints.hasFreeCall(id)
+	if release.awaitsFreeCall {
 		return Call{}, false
 	}
 	if !found {
--- a/control/kvrelease/kvrelease_test.go
+++ b/control/kvrelease/kvrelease_test.go
@@ -13,10 +13,10 @@
 
 func at(d time.Duration) control.Time { return control.Time(1e9).Add(d) }
 
-// TestLatestResponderIsCalledFirst: first the engine that responded latest, then the others, those
-// that failed last; none again after a success.
+// TestLatestResponderIsCalledFirst: the engine that responded latest is called first and those that
+// failed last. After a success none is called again.
 func TestLatestResponderIsCalledFirst(t *testing.T) {
-	scheduler := New(500 * ms)
+	scheduler := NewScheduler(500 * ms)
 	scheduler.SetEndpoints([]control.EndpointID{4, 3, 2, 1})
 	scheduler.RecordResponse(at(1*ms), 1)
 	scheduler.RecordResponse(at(2*ms), 3)
@@ -24,26 +24,28 @@
 	scheduler.RecordFailure(at(4*ms), 2)
 	scheduler.Enqueue(at(5*ms), "q")
 	scheduler.Enqueue(at(5*ms), "q")
+
 	var order []control.EndpointID
 	for now := 5 * ms; len(order) < 4 && now < time.Second; now += ms {
 		for _, call := range scheduler.Poll(at(now)) {
 			order = append(order, call.Endpoint)
 		}
 	}
-	if fmt.Sprint(order) != "[3 1 4 2]" {
-		t.Error(order)
-	}
 	scheduler.Complete(at(time.Second), Call{Key: "q", Endpoint: 4}, true)
+
+	if !slices.Equal(order, []control.EndpointID{3, 1, 4, 2}) {
+		t.Errorf("called %v", order)
+	}
 	if scheduler.Len() != 0 || scheduler.Poll(at(2*time.Second)) != nil {
 		t.Error("called again after a success")
 	}
 }
 
-// TestOnlyResponsiveEngineIsCalledWithinTheLimit: with all engines but one unresponsive, that one
+// TestOnlyResponsiveEngineIsCalledWithinTheLimit: if all engines but one are unresponsive, that one
 // is called within the retention limit.
 func TestOnlyResponsiveEngineIsCalledWithinTheLimit(t *testing.T) {
-	for alive := range 5 {
-		scheduler := New(500 * ms)
+	for responsive := range 5 {
+		scheduler := NewScheduler(500 * ms)
 		var listed []control.EndpointID
 		for i := range 5 {
 			listed = append(listed, control.EndpointID(i+1))
@@ -51,12 +53,13 @@
 			scheduler.RecordResponse(at(time.Duration(i)*ms), control.EndpointID(i+1))
 		}
 		scheduler.Enqueue(at(5*ms), "q")
+
 		for now := 5 * ms; scheduler.Len() > 0; now += ms {
 			if now > 505*ms {
-				t.Fatalf("engine %d was not called in time", alive)
+				t.Fatalf("engine %d was not called in time", responsive+1)
 			}
 			for _, call := range scheduler.Poll(at(now)) {
-				if int(call.Endpoint) == alive+1 {
+				if int(call.Endpoint) == responsive+1 {
 					scheduler.Complete(at(now), call, true)
 				}
 			}
@@ -64,37 +67,41 @@
 	}
 }
 
-// TestUnreachableEnginesAreRetriedAtABoundedRate: engines that can't be reached are called one
-// after the other, neither seldom nor without pause, until the release is dropped.
+// TestUnreachableEnginesAreRetriedAtABoundedRate: engines that cannot be reached are called in turn,
+// neither rarely nor without pause, until the release is dropped.
 func TestUnreachableEnginesAreRetriedAtABoundedRate(t *testing.T) {
-	scheduler := New(100 * ms)
-	calls := 0
+	scheduler := NewScheduler(100 * ms)
 	scheduler.SetEndpoints([]control.EndpointID{1, 2})
 	scheduler.Enqueue(at(0), "q")
+
+	calls := 0
 	for now := time.Duration(0); now < 10*time.Second; now += ms {
 		for _, call := range scheduler.Poll(at(now)) {
 			calls++
 			scheduler.Complete(at(now), call, false)
 		}
 	}
+
 	if calls < 20 || calls > 600 || scheduler.Len() != 0 || scheduler.Dropped() != 1 {
 		t.Errorf("%d calls, %d pending, %d dropped", calls, scheduler.Len(), scheduler.Dropped())
 	}
 }
 
-// TestStateIsBounded: calls in flight, pending releases and what is known of engines are bounded,
-// and a withdrawn release is not called for.
+// TestStateIsBounded: the calls in flight, the pending releases and the entries for engines are
+// bounded. A withdrawn release is not called for.
 func TestStateIsBounded(t *testing.T) {
-	scheduler := New(500 * ms)
+	scheduler := NewScheduler(500 * ms)
 	for i := range MaxPending + 10 {
 		scheduler.Enqueue(at(0), fmt.Sprint(i))
 	}
 	if scheduler.Len() != MaxPending || scheduler.Dropped() != 10 {
 		t.Errorf("%d pending, %d dropped", scheduler.Len(), scheduler.Dropped())
 	}
+
 	if !scheduler.Withdraw("10") || scheduler.Withdraw("10") {
 		t.Error("withdrawn twice or not at all")
 	}
+
 	var listed []control.EndpointID
 	for id := range control.EndpointID(12) {
 		listed = append(listed, id+1)
@@ -107,10 +114,11 @@
 	callsByEngine := map[control.EndpointID]int{}
 	for _, call := range calls {
 		callsByEngine[call.Endpoint]++
-		if callsByEngine[call.Endpoint] > 4 { // an engine that has just stopped responding delays no more
+		if callsByEngine[call.Endpoint] > 4 { // an engine that has just become unresponsive delays no more
 			t.Errorf("%d calls at engine %d", callsByEngine[call.Endpoint], call.Endpoint)
 		}
 	}
+
 	// Engines are added and removed, and some respond after they were removed.
 	for id := range control.EndpointID(1000) {
 		scheduler.SetEndpoints([]control.EndpointID{id, id + 1})
@@ -124,8 +132,8 @@
 }
 
 // TestManyReleasesEndInTimeDespiteUnresponsiveEngines: many releases at once all end within the
-// retention limit, and the 300 ms that the platform grants on top, though the engines that
-// responded latest no longer do.
+// retention limit and the 300 ms that the platform allows in addition, although the engines that
+// responded latest have become unresponsive.
 func TestManyReleasesEndInTimeDespiteUnresponsiveEngines(t *testing.T) {
 	for unresponsive := range 4 {
 		for _, releases := range []int{1, 60, 400} {
@@ -134,12 +142,12 @@
 	}
 }
 
-// releaseWithUnresponsiveEngines plays releases at five engines, of which the ones that responded
-// latest no longer do and the others take 2 ms.
+// releaseWithUnresponsiveEngines runs releases at five engines. Those that responded latest have
+// become unresponsive, the others take 2 ms.
 func releaseWithUnresponsiveEngines(t *testing.T, unresponsive, releases int) {
 	t.Helper()
 	const limit = 500 * ms
-	scheduler := New(limit)
+	scheduler := NewScheduler(limit)
 	scheduler.SetEndpoints([]control.EndpointID{1, 2, 3, 4, 5})
 	for id := range control.EndpointID(5) {
 		scheduler.RecordResponse(at(time.Duration(id)*ms), id+1)
@@ -180,17 +188,20 @@
 	}
 }
 
-// TestSilentEngineIsCalledLast: an engine that has shown no sign of something it was given is called after the
-// others, unless it has responded to anything since.
-func TestSilentEngineIsCalledLast(t *testing.T) {
+// TestUnresponsiveEngineIsCalledLast: an engine that made no progress on something it was sent is
+// called after the others, unless it has responded to anything since.
+func TestUnresponsiveEngineIsCalledLast(t *testing.T) {
 	for respondedAt, want := range map[time.Duration]control.EndpointID{10 * ms: 1, 60 * ms: 2} {
-		scheduler := New(500 * ms)
+		scheduler := NewScheduler(500 * ms)
 		scheduler.SetEndpoints([]control.EndpointID{1, 2})
 		scheduler.RecordResponse(at(5*ms), 1)
 		scheduler.RecordResponse(at(respondedAt), 2)
-		scheduler.RecordSilence(at(300*ms), at(50*ms), 2)
+		scheduler.RecordUnresponsive(at(300*ms), at(50*ms), 2)
 		scheduler.Enqueue(at(300*ms), "q")
-		if calls := scheduler.Poll(at(300 * ms)); len(calls) != 1 || calls[0].Endpoint != want {
+
+		calls := scheduler.Poll(at(300 * ms))
+
+		if len(calls) != 1 || calls[0].Endpoint != want {
 			t.Errorf("responded at %v: called %v, want engine %d", respondedAt, calls, want)
 		}
 	}
--- a/control/walk_test.go
+++ b/control/walk_test.go
@@ -278,7 +278,7 @@
 		listed: map[control.EndpointID]membership.Endpoint{},
 	}
 	w.settings = walkedSettings(t)
-	w.router, w.releases = control.New(w.settings, w.now), kvrelease.New(w.settings.Limits.KVRetentionLimit)
+	w.router, w.releases = control.New(w.settings, w.now), kvrelease.NewScheduler(w.settings.Limits.KVRetentionLimit)
 	for id := control.EndpointID(1); id <= walkedEngines; id++ {
 		w.listed[id] = w.endpoint(id)
 	}
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -353,7 +353,7 @@
 func (a *attempt) recordUnresponsive() {
 	s := a.exchange.server
 	sentAt := clockStart.Add(a.startedAt)
-	s.kvReleases.scheduler.RecordSilence(s.now(), sentAt, a.endpointID)
+	s.kvReleases.scheduler.RecordUnresponsive(s.now(), sentAt, a.endpointID)
 }
 
 // traceEntry is the attempt in the trace of its request: the milliseconds from the request's
--- a/internal/platform/endpointcall.go
+++ b/internal/platform/endpointcall.go
@@ -27,7 +27,7 @@
 		if result == control.OK {
 			scheduler.RecordResponse(e.server.now(), e.id)
 		} else if isUnresponsive(result) {
-			scheduler.RecordSilence(e.server.now(), startedAt, e.id)
+			scheduler.RecordUnresponsive(e.server.now(), startedAt, e.id)
 		}
 		done(result, call.Status)
 	}
--- a/internal/platform/kvrelease.go
+++ b/internal/platform/kvrelease.go
@@ -14,7 +14,7 @@
 
 func newKVReleases(s *Server) kvReleases {
 	return kvReleases{
-		scheduler: kvrelease.New(s.config.Settings.Control.Limits.KVRetentionLimit),
+		scheduler: kvrelease.NewScheduler(s.config.Settings.Control.Limits.KVRetentionLimit),
 		pollTimer: timerwheel.Timer{Fire: s.schedulePoll},
 	}
 }
@@ -69,7 +69,7 @@
 	message := "KV release call failed"
 	if completion.Released {
 		message = "KV released"
-	} else if !completion.Pending {
+	} else if !completion.WasPending {
 		return // another call has released it, or it was withdrawn
 	}
 	s.events.request().
