--- /dev/null
+++ b/internal/upstream/conn_test.go
@@ -0,0 +1,75 @@
+package upstream
+
+import (
+	"testing"
+	"time"
+
+	"martenlock/internal/timerwheel"
+)
+
+// TestRequestNotSentWithinDeadlineFails: a request whose last byte has not left within SendWithin
+// fails as not written, whatever the time to connect may be. One that has left does not.
+func TestRequestNotSentWithinDeadlineFails(t *testing.T) {
+	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 9})
+	pool := f.newPool(addressOf(listenLocal(t))) // connections are established, and nothing is read
+	stillRunning := ConnError{Malformed: "still running"}
+	for _, c := range []struct {
+		name string
+		body int
+		want ConnError
+	}{
+		{"sent", 0, stillRunning},
+		{"more than the kernel buffers", 32 << 20, ConnError{Established: true}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o := newOutcome()
+			f.loop.Do(func() {
+				conn, err := pool.Start(o, []byte("POST / HTTP/1.1\r\n\r\n"), make([]byte, c.body), false)
+				if err != nil {
+					t.Error(err)
+					o.Failed(ConnError{})
+					return
+				}
+				conn.SendWithin(150 * time.Millisecond)
+				later := &timerwheel.Timer{Fire: func() { o.Failed(stillRunning) }}
+				f.loop.StartTimer(later, 300*time.Millisecond)
+			})
+			if got := <-o.ended; got != c.want {
+				t.Errorf("%+v, want %+v", got, c.want)
+			}
+		})
+	}
+}
+
+// headBuilder builds its request's head, and counts how often.
+type headBuilder struct {
+	*outcome
+	headsBuilt int
+}
+
+func (b *headBuilder) RequestHead() []byte {
+	b.headsBuilt++
+	return []byte(simpleRequest)
+}
+
+// TestRequestHeadBuiltOnceWhenConnectionEstablished: a HeadBuilder's head is built when the connection
+// is established, once, and replaces the one given to Start.
+func TestRequestHeadBuiltOnceWhenConnectionEstablished(t *testing.T) {
+	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4})
+	for i := range 2 { // over a new connection, then over an idle one
+		b := &headBuilder{outcome: newOutcome()}
+		f.loop.Do(func() {
+			if _, err := f.pool.Start(b, []byte("not this"), nil, false); err != nil {
+				t.Error(err)
+			}
+			if b.headsBuilt != i {
+				t.Errorf("connection %d: head was built %d times within Start", i, b.headsBuilt)
+			}
+		})
+		f.expectComplete(b.outcome)
+		if b.headsBuilt != 1 {
+			t.Errorf("head was built %d times", b.headsBuilt)
+		}
+	}
+	f.expectEngineSaw("connection", "request", "request")
+}
