--- /dev/null
+++ b/internal/config/class.go
@@ -0,0 +1,78 @@
+package config
+
+import (
+	"slices"
+	"time"
+
+	"martenlock/control"
+	"martenlock/internal/inifile"
+)
+
+// Class is a request class of the file. The decision module has two classes for it, since the first
+// byte of an answer that is not streamed is also the last and needs an objective of its own.
+type Class struct {
+	Name        string
+	StreamIndex int // in Control.Classes, for streamed answers
+	UnaryIndex  int // in Control.Classes, for answers that are not streamed
+}
+
+// The values of effect and scope and what they mean.
+var (
+	effectWords   = []string{"safe", "keyed", "unsafe"}
+	idempotencies = []control.Idempotency{control.Idempotent, control.IdempotentWithKey, control.NotIdempotent}
+	scopeWords    = []string{"all", "zone", "cell"}
+	dedupScopes   = []control.DedupScope{control.DedupScopeAll, control.DedupScopeZone, control.DedupScopeCell}
+)
+
+// parseClass parses a section [class NAME].
+func (c *Config) parseClass(section *inifile.Section) {
+	if !section.RequireName() {
+		return
+	}
+	stream := control.Class{
+		TTFTObjective:     section.Duration("aim", 0, 0, day),
+		TTFTPer1000Tokens: section.Duration("aim_per_1000", 0, 0, day),
+		Deadline:          section.Duration("deadline", 0, 0, day),
+		ITLObjective:      section.Duration("token_aim", 0, 0, day),
+		PriorityWeight:    section.Float("worth", 1, 0, 1e9),
+		LateWeightShare:   section.Float("late_worth", 0.2, 0, 1),
+		Idempotency:       idempotencies[section.Choice("effect", "safe", effectWords...)],
+		DedupScope:        dedupScopes[section.Choice("scope", "all", scopeWords...)],
+		DedupWindow:       section.Duration("window", 0, 0, day),
+		MaxAttempts:       section.Int("max_attempts", 0, 0, 100),
+	}
+	unary := stream
+	unary.TTFTObjective = section.Duration("whole_aim", defaultUnaryObjective(&stream), 0, day)
+	c.checkClass(section, &stream, &unary)
+	index := len(c.Control.Classes)
+	c.Control.Classes = append(c.Control.Classes, stream, unary)
+	c.Classes = append(c.Classes, Class{Name: section.Name, StreamIndex: index, UnaryIndex: index + 1})
+}
+
+// defaultUnaryObjective returns the default of whole_aim. The first byte of an answer that is not
+// streamed comes later than that of a stream, but must come before the deadline.
+func defaultUnaryObjective(stream *control.Class) time.Duration {
+	return max(stream.TTFTObjective, stream.Deadline*3/4)
+}
+
+// checkClass records an error for the first of a class's keys that contradicts others.
+func (c *Config) checkClass(section *inifile.Section, stream, unary *control.Class) {
+	const notBelowDeadline = "%s %v is %w, want less than the deadline, %v"
+	switch {
+	case stream.TTFTObjective <= 0 || stream.Deadline <= 0:
+		section.AddError("aim", "%w value, aim and deadline must both be longer than 0", inifile.ErrMissing)
+	case stream.TTFTObjective >= stream.Deadline:
+		section.AddError("aim", notBelowDeadline, "aim", stream.TTFTObjective, inifile.ErrOutOfRange, stream.Deadline)
+	case unary.TTFTObjective >= stream.Deadline:
+		section.AddError("whole_aim", notBelowDeadline, "whole_aim", unary.TTFTObjective, inifile.ErrOutOfRange, stream.Deadline)
+	case stream.Idempotency == control.IdempotentWithKey && stream.DedupWindow <= 0:
+		section.AddError("window", "%w value, must be set if effect is keyed", inifile.ErrMissing)
+	case stream.Deadline <= c.Limits.DeadlineMargin:
+		section.AddError("deadline", "deadline %v is %w, want more than answer_margin, %v", stream.Deadline, inifile.ErrOutOfRange, c.Limits.DeadlineMargin)
+	}
+}
+
+// ClassIndex returns the index of a class in Classes, or -1.
+func (c *Config) ClassIndex(name string) int {
+	return slices.IndexFunc(c.Classes, func(class Class) bool { return class.Name == name })
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the router's configuration from its INI file. docs/operating.md explains
-// every key.
+// Package config reads the router's configuration from its INI file. Fields have the terms of the
+// code, and the file has its own keys; docs/operating.md explains each.
 package config
 
 import (
@@ -7,7 +7,6 @@
 	"net/netip"
 	"os"
 	"path/filepath"
-	"slices"
 	"time"
 
 	"martenlock/control"
@@ -16,38 +15,39 @@
 
 // Config is a router's configuration.
 type Config struct {
-	File             string
+	File             string // path of the file, for errors
 	Listen           netip.AddrPort
-	EndpointListPath string // path of the endpoint list
-	Zone             string
-	Seed             uint64 // 0 for a new one at each start
-	LogPath          string // path, or "" for standard error
-	LogLevel         string
-	MaxConnections   int
+	EndpointListPath string
+	Zone             string // of this router
+	Seed             uint64 // of random choices; 0 for a new one at each start
+	LogPath          string // "" for standard error
+	LogLevel         string // one that zerolog.ParseLevel accepts
+	MaxConnections   int    // of clients
 
 	Limits  Limits
 	Request RequestRules
-	Control control.Settings // without what belongs to a pool
-	Kinds   []string         // names of the kinds of engine, as numbered in Control.Engines.Kinds
+	Control control.Settings // without the fields that a pool sets
+	Kinds   []string         // names of the kinds of engines, by index in Control.Engines.Kinds
 	Classes []Class
-	Tenants []string
+	Tenants []string // names, by index in Control.Tenants
 	Pools   []Pool
 }
 
-// Bounds that many keys share. They stop slips of the hand, such as a missing unit.
+// Bounds that several keys share. They catch mistakes such as a missing unit, and are far from what
+// a service needs.
 const (
 	day           = 24 * time.Hour
-	minTimeout    = 10 * time.Millisecond // shorter ones end connections that are only busy
+	minTimeout    = 10 * time.Millisecond // shorter ones would close connections that are merely busy
 	maxTimeout    = day
-	maxTokens     = 1e9     // no request and no batch comes near
-	maxItems      = 1 << 20 // of one request
+	maxTokens     = 1e9     // of a request or a batch
+	maxItems      = 1 << 20 // of a request
 	maxRouters    = 100_000
 	maxSeed       = 1 << 62
-	maxConnsLimit = 1 << 20 // Linux's default bound of a process's descriptors, fs.nr_open
+	maxConnsLimit = 1 << 20 // Linux's default limit of a process's descriptors, fs.nr_open
 )
 
-// Load reads a file. A relative path of the endpoint list is one beside the file, wherever the
-// process was started.
+// Load reads and parses a file. A relative path of the endpoint list is relative to the directory of
+// the file. Errors in the file are those of Parse.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -63,7 +63,8 @@
 	return c, nil
 }
 
-// Parse parses a file's text; name is for errors, which are *inifile.Error, joined.
+// Parse parses the text of a file. name is used in errors. The returned error joins one
+// *inifile.Error for each error in the file.
 func Parse(name string, text []byte) (*Config, error) {
 	file, err := inifile.Parse(name, text)
 	if err != nil {
@@ -74,17 +75,17 @@
 	c.parseLimits(file.Section("limits"))
 	c.parseRules(file.Section("rules"))
 	c.parseRequest(file.Section("request"))
-	for _, s := range file.Sections("kind") {
-		c.parseKind(s)
+	for _, section := range file.Sections("kind") {
+		c.parseKind(section)
 	}
-	for _, s := range file.Sections("class") {
-		c.parseClass(s)
+	for _, section := range file.Sections("class") {
+		c.parseClass(section)
 	}
-	for _, s := range file.Sections("tenant") {
-		c.parseTenant(s)
+	for _, section := range file.Sections("tenant") {
+		c.parseTenant(section)
 	}
-	for _, s := range file.Sections("pool") {
-		c.parsePool(s)
+	for _, section := range file.Sections("pool") {
+		c.parsePool(section)
 	}
 	requireSection(file, "kind", len(c.Kinds))
 	requireSection(file, "class", len(c.Classes))
@@ -92,86 +93,34 @@
 	return c, file.Err("router", "limits", "rules", "request", "kind", "class", "tenant", "pool")
 }
 
-// requireSection reports that a file has no section of a kind.
+// requireSection records an error if there is no section of a kind.
 func requireSection(file *inifile.File, kind string, count int) {
 	if count == 0 {
-		file.AddError("no section [%s NAME]", kind)
+		file.AddError("%w section [%s NAME]", inifile.ErrMissing, kind)
 	}
 }
 
-// requireName tells whether a section has the name that its kind needs, and reports where not.
-func requireName(s *inifile.Section) bool {
-	if s.Name == "" {
-		s.AddError("", "has no name: write [%s NAME]", s.Kind)
-		return false
+// logLevels are the values of log_level.
+var logLevels = []string{"debug", "info", "warn", "error"}
+
+// parseRouter parses the section [router], which configures the process as a whole.
+func (c *Config) parseRouter(section *inifile.Section) {
+	c.Listen = section.Address("listen", "127.0.0.1:8080")
+	c.EndpointListPath = section.Required("nodes")
+	c.Zone = section.Text("zone", "")
+	c.Seed = uint64(section.Int("seed", 0, 0, maxSeed))
+	c.LogPath = section.Text("log", "")
+	c.LogLevel = logLevels[section.Choice("log_level", "info", logLevels...)]
+	c.MaxConnections = section.Int("max_connections", 12000, 1, maxConnsLimit)
+	identity := &c.Control.Identity
+	identity.Routers = section.Int("routers", 1, 1, maxRouters)
+	identity.Rank = section.Int("rank", 0, 0, maxRouters)
+	if identity.Rank >= identity.Routers {
+		section.AddError("rank", "rank %d is %w, want less than routers, %d", identity.Rank, inifile.ErrOutOfRange, identity.Routers)
 	}
-	return true
 }
 
-// parseRouter reads what concerns the process as a whole.
-func (c *Config) parseRouter(s *inifile.Section) {
-	logLevels := []string{"debug", "info", "warn", "error"}
-	c.Listen = s.Address("listen", "127.0.0.1:8080")
-	c.EndpointListPath = s.Required("nodes")
-	c.Zone = s.Text("zone", "")
-	c.Seed = uint64(s.Int("seed", 0, 0, maxSeed))
-	c.LogPath = s.Text("log", "")
-	c.LogLevel = logLevels[s.Choice("log_level", "info", logLevels...)]
-	c.MaxConnections = s.Int("max_connections", 12000, 1, maxConnsLimit)
-	c.Control.Identity.Routers = s.Int("routers", 1, 1, maxRouters)
-	c.Control.Identity.Rank = s.Int("rank", 0, 0, maxRouters)
-	if c.Control.Identity.Rank >= c.Control.Identity.Routers {
-		s.AddError("rank", "%d is not below routers, %d", c.Control.Identity.Rank, c.Control.Identity.Routers)
-	}
-}
-
-// parseKind reads a kind of engine.
-func (c *Config) parseKind(s *inifile.Section) {
-	if !requireName(s) {
-		return
-	}
-	role := control.Role(s.Choice("role", "", "reader", "writer", "mixed")) // in the order of control.Role
-	memoryTokens := control.Tokens(s.Float("memory_tokens", 0, 0, 1e12))
-	c.Kinds = append(c.Kinds, s.Name)
-	kind := control.EngineKind{Role: role, MemoryTokens: memoryTokens}
-	c.Control.Engines.Kinds = append(c.Control.Engines.Kinds, kind)
-}
-
-// parseTenant reads what one tenant may use.
-func (c *Config) parseTenant(s *inifile.Section) {
-	if !requireName(s) {
-		return
-	}
-	tenant := control.Tenant{
-		RateLimit: s.Float("allowance", 0, 0, 1e9),
-		Share:     s.Float("share", 1, 0, 1),
-	}
-	c.Tenants = append(c.Tenants, s.Name)
-	c.Control.Tenants = append(c.Control.Tenants, tenant)
-}
-
-// Summary returns what a file holds, in a line for the command check.
+// Summary returns the size of the configuration in one line, for the command check.
 func (c *Config) Summary() string {
 	return fmt.Sprintf("%d pools, %d classes, %d kinds of engine, listens on %s", len(c.Pools), len(c.Classes), len(c.Kinds), c.Listen)
 }
-
-// ClassIndex returns the position of a class, or -1.
-func (c *Config) ClassIndex(name string) int {
-	return slices.IndexFunc(c.Classes, func(class Class) bool { return class.Name == name })
-}
-
-// SharingTenant returns under which name a tenant shares what is shared between tenants: its own, or,
-// where the configuration names tenants, one for all that it does not name: a client can make
-// up names.
-func (c *Config) SharingTenant(name string) string {
-	if len(c.Tenants) > 0 && !slices.Contains(c.Tenants, name) {
-		return ""
-	}
-	return name
-}
-
-// TenantIndex returns the position of a tenant. Those that the configuration does not name are taken
-// for the first.
-func (c *Config) TenantIndex(name string) int {
-	return max(slices.Index(c.Tenants, name), 0)
-}
--- /dev/null
+++ b/internal/config/kind.go
@@ -0,0 +1,25 @@
+package config
+
+import (
+	"martenlock/control"
+	"martenlock/internal/inifile"
+)
+
+// The values of role and what they mean.
+var (
+	roleWords = []string{"reader", "writer", "mixed"}
+	roles     = []control.Role{control.RolePrefill, control.RoleDecode, control.RoleColocated}
+)
+
+// parseKind parses a section [kind NAME]: a kind of engines.
+func (c *Config) parseKind(section *inifile.Section) {
+	if !section.RequireName() {
+		return
+	}
+	kind := control.EngineKind{
+		Role:         roles[section.Choice("role", "", roleWords...)],
+		MemoryTokens: control.Tokens(section.Float("memory_tokens", 0, 0, 1e12)),
+	}
+	c.Kinds = append(c.Kinds, section.Name)
+	c.Control.Engines.Kinds = append(c.Control.Engines.Kinds, kind)
+}
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -16,72 +16,71 @@
 type Pool struct {
 	Name             string
 	APIs             []openai.API
-	Models           []string              // none for any
-	DefaultClass     int                   // the default, as a position in Classes
-	ReportMetrics    []string              // names of the metrics of a load report, as ReportFields
-	ReportFields     []control.ReportField // what each metric of Reports means
-	ShardLimits      scatter.Limits        // of what goes to one engine at once
-	MaxContextTokens float64               // most tokens of prompt and answer, by the model; 0 for unknown
-	LargeTokens      float64               // tokens above which a request waits for admission; 0: none does
-	LargeWait        time.Duration         // of work that large requests may have out
-	Batching         batching.Settings     // of small embeddings requests that share a call
-	Coalesces        bool                  // identical embeddings requests are computed once
-	CacheBytes       int                   // of answers to embeddings requests; 0 for none
-	SharesCache      bool                  // tenants may get each other's answers
+	Models           []string              // nil for any
+	DefaultClass     int                   // index in Classes, for requests that name no class
+	ReportMetrics    []string              // names of the metrics of a load report
+	ReportFields     []control.ReportField // what these metrics mean, by the same index
+	ShardLimits      scatter.Limits        // of embeddings and rerank requests
+	MaxContextTokens float64               // most tokens of prompt and answer together; 0 for unknown
+	LargeTokens      float64               // tokens above which a request waits for admission; 0 for no limit
+	LargeWait        time.Duration         // most outstanding work of large requests
+	Batching         batching.Settings     // of small embeddings requests
+	Coalesces        bool                  // identical embeddings inputs are computed once
+	CacheBytes       int                   // of cached embeddings; 0 disables the cache
+	SharesCache      bool                  // tenants may get each other's embeddings
 }
 
-// reportFieldNames are the names of what a metric means, by control.ReportField.
-var reportFieldNames = []string{"other", "in_flight", "queue", "util", "memory", "backlog"}
-
-// parsePool reads a pool.
-func (c *Config) parsePool(s *inifile.Section) {
-	if !requireName(s) {
+// parsePool parses a section [pool NAME].
+func (c *Config) parsePool(section *inifile.Section) {
+	if !section.RequireName() {
 		return
 	}
-	pool := Pool{Name: s.Name, Models: s.List("models")}
-	c.parseAPIs(s, &pool)
+	pool := Pool{Name: section.Name, Models: section.List("models")}
+	c.parseAPIs(section, &pool)
 	pool.ShardLimits = scatter.Limits{
-		ShardTokens: s.Float("part_tokens", 0, 0, maxTokens),
-		ShardItems:  s.Int("part_items", 0, 0, maxItems),
-		Shards:      s.Int("parts", 64, 1, 1024),
+		ShardTokens: section.Float("part_tokens", 0, 0, maxTokens),
+		ShardItems:  section.Int("part_items", 0, 0, maxItems),
+		Shards:      section.Int("parts", 64, 1, 1024),
 	}
-	pool.MaxContextTokens = s.Float("max_context", 0, 0, maxTokens)
-	pool.LargeTokens = s.Float("large_tokens", pool.ShardLimits.ShardTokens, 0, maxTokens)
+	pool.MaxContextTokens = section.Float("max_context", 0, 0, maxTokens)
+	pool.LargeTokens = section.Float("large_tokens", pool.ShardLimits.ShardTokens, 0, maxTokens)
 	pool.Batching = batching.Settings{
-		MaxWait:     s.Duration("join_wait", 0, 0, time.Second),
-		BatchItems:  s.Int("join_items", 64, 2, 2048),
-		BatchTokens: s.Float("join_tokens", 2000, 1, maxTokens),
+		MaxWait:     section.Duration("join_wait", 0, 0, time.Second),
+		BatchItems:  section.Int("join_items", 64, 2, 2048),
+		BatchTokens: section.Float("join_tokens", 2000, 1, maxTokens),
 	}
-	pool.Coalesces = s.Bool("single_flight", true)
-	pool.CacheBytes = s.Int("cache_bytes", 0, 0, 1<<40)
-	pool.SharesCache = s.Bool("cache_shared", false)
-	c.parseDefaultClass(s, &pool)
-	parseReport(s, &pool)
+	pool.Coalesces = section.Bool("single_flight", true)
+	pool.CacheBytes = section.Int("cache_bytes", 0, 0, 1<<40)
+	pool.SharesCache = section.Bool("cache_shared", false)
+	c.parseDefaultClass(section, &pool)
+	pool.parseReport(section)
 	c.Pools = append(c.Pools, pool)
 }
 
-// parseAPIs reads which operations a pool serves.
-func (c *Config) parseAPIs(s *inifile.Section, pool *Pool) {
+// parseAPIs parses the operations that a pool serves. Two pools must not serve one model with the
+// same operation: a request could not be assigned to either.
+func (c *Config) parseAPIs(section *inifile.Section, pool *Pool) {
 	known := strings.Join(openai.APINames(), ", ")
-	for _, name := range s.List("apis") {
+	for _, name := range section.List("apis") {
 		api, isKnown := openai.ParseAPI(name)
 		if !isKnown {
-			s.AddError("apis", "%q is none of %s", name, known)
+			section.AddError("apis", "%w operation %q, known are %s", inifile.ErrUnknown, name, known)
 			continue
 		}
 		pool.APIs = append(pool.APIs, api)
 		for _, other := range c.Pools {
 			if slices.Contains(other.APIs, api) && pool.sharesModelWith(&other) {
-				s.AddError("models", "pool %s serves %s for the same model: which is meant can't be told", other.Name, name)
+				section.AddError("models", "%w model, pool %s serves %s for it too", inifile.ErrDuplicate, other.Name, api)
 			}
 		}
 	}
 	if len(pool.APIs) == 0 {
-		s.AddError("apis", "is missing; known are %s", known)
+		section.AddError("apis", "%w operation, known are %s", inifile.ErrMissing, known)
 	}
 }
 
-// sharesModelWith tells whether two pools serve one model. A pool without models serves any.
+// sharesModelWith reports whether there may be a model that both pools serve. A pool without models
+// serves any.
 func (p *Pool) sharesModelWith(other *Pool) bool {
 	if len(p.Models) == 0 || len(other.Models) == 0 {
 		return true
@@ -89,32 +88,42 @@
 	return slices.ContainsFunc(p.Models, func(model string) bool { return slices.Contains(other.Models, model) })
 }
 
-// largeWaitDivisor makes the default of large_wait: a tenth of the class's objective, so that
-// large requests leave most of it to those behind them.
+// largeWaitDivisor gives the default of large_wait as a part of the default class's objective. A
+// tenth leaves most of it to the requests behind the large ones.
 const largeWaitDivisor = 10
 
-// parseDefaultClass reads the class of requests that name none, and what follows from it.
-func (c *Config) parseDefaultClass(s *inifile.Section, pool *Pool) {
-	name := s.Required("class")
+// parseDefaultClass parses the class of requests that name none, and large_wait, whose default
+// depends on it.
+func (c *Config) parseDefaultClass(section *inifile.Section, pool *Pool) {
+	name := section.Required("class")
 	pool.DefaultClass = c.ClassIndex(name)
 	if pool.DefaultClass < 0 {
-		s.AddError("class", "there is no [class %s]", name)
+		section.AddError("class", "%w class %q, there is no section [class %s]", inifile.ErrUnknown, name, name)
 		return
 	}
 	objective := c.Control.Classes[c.Classes[pool.DefaultClass].StreamIndex].TTFTObjective
-	pool.LargeWait = s.Duration("large_wait", objective/largeWaitDivisor, 0, time.Minute)
+	pool.LargeWait = section.Duration("large_wait", objective/largeWaitDivisor, 0, time.Minute)
 }
 
-// parseReport reads which metrics of a load report mean what.
-func parseReport(s *inifile.Section, pool *Pool) {
-	for _, pair := range s.List("report") {
-		metric, fieldName, isPair := strings.Cut(pair, ":")
-		field := slices.Index(reportFieldNames, strings.TrimSpace(fieldName))
-		if !isPair || field < 0 {
-			s.AddError("report", "%q is not METRIC:FIELD with a field of %s", pair, strings.Join(reportFieldNames, ", "))
+// The fields of report and what they mean.
+var (
+	reportWords  = []string{"other", "in_flight", "queue", "util", "memory", "backlog"}
+	reportFields = []control.ReportField{
+		control.ReportOther, control.ReportInFlight, control.ReportQueued,
+		control.ReportUtilization, control.ReportMemory, control.ReportBacklog,
+	}
+)
+
+// parseReport parses the names and the meaning of the metrics of a load report.
+func (p *Pool) parseReport(section *inifile.Section) {
+	for _, pair := range section.List("report") {
+		metric, word, isPair := strings.Cut(pair, ":")
+		index := slices.Index(reportWords, strings.TrimSpace(word))
+		if !isPair || index < 0 {
+			section.AddError("report", "%w metric %q, want METRIC:FIELD with one of the fields %s", inifile.ErrInvalid, pair, strings.Join(reportWords, ", "))
 			continue
 		}
-		pool.ReportMetrics = append(pool.ReportMetrics, strings.TrimSpace(metric))
-		pool.ReportFields = append(pool.ReportFields, control.ReportField(field))
+		p.ReportMetrics = append(p.ReportMetrics, strings.TrimSpace(metric))
+		p.ReportFields = append(p.ReportFields, reportFields[index])
 	}
 }
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -8,56 +8,56 @@
 	"martenlock/internal/openai"
 )
 
-// RequestRules say which header fields of a request are looked at, and how its body is decoded.
-// Names of fields are in lower case.
+// RequestRules configure how a request's header and body are decoded. Names of header fields are in
+// lower case.
 type RequestRules struct {
 	ClassHeader    string
 	SessionHeader  string
 	TenantHeader   string
 	DeadlineHeader string
-	Forward        []string // fields that are forwarded to engines as they are
+	Forward        []string // header fields that are forwarded to engines unchanged
 	OpenAI         openai.DecodeOptions
 }
 
-// defaultForward are the fields that are forwarded where the file names none.
+// defaultForward is the default of forward.
 var defaultForward = []string{"x-client-request-id", "traceparent", "tracestate", "baggage"}
 
-// neverForwarded are fields that belong to one connection or are set by the router.
+// neverForwarded are the header fields that describe one connection or are set by the router.
 var neverForwarded = []string{
 	"host", "connection", "content-length", "transfer-encoding", "te", "trailer",
 	"upgrade", "keep-alive", "expect", "x-request-id", "content-type",
 }
 
-// parseRequest reads how requests are decoded.
-func (c *Config) parseRequest(s *inifile.Section) {
+// parseRequest parses the section [request].
+func (c *Config) parseRequest(section *inifile.Section) {
 	c.Request = RequestRules{
-		ClassHeader:    strings.ToLower(s.Text("class_header", "x-request-class")),
-		SessionHeader:  strings.ToLower(s.Text("session_header", "x-session-id")),
-		TenantHeader:   strings.ToLower(s.Text("tenant_header", "x-tenant")),
-		DeadlineHeader: strings.ToLower(s.Text("deadline_header", "x-request-deadline-ms")),
-		Forward:        parseForward(s),
+		ClassHeader:    strings.ToLower(section.Text("class_header", "x-request-class")),
+		SessionHeader:  strings.ToLower(section.Text("session_header", "x-session-id")),
+		TenantHeader:   strings.ToLower(section.Text("tenant_header", "x-tenant")),
+		DeadlineHeader: strings.ToLower(section.Text("deadline_header", "x-request-deadline-ms")),
+		Forward:        parseForward(section),
 		OpenAI: openai.DecodeOptions{
-			BytesPerToken:    s.Float("bytes_per_token", 4, 0.1, 100),
-			PrefixMessages:   s.Int("prefix_messages", 1, 0, 100),
-			PrefixBytes:      s.Int("prefix_bytes", 1024, 0, 1<<20),
-			DefaultMaxTokens: s.Int("max_tokens", 512, 1, 1<<20),
-			MaxInputs:        s.Int("inputs", 2048, 1, maxItems),
-			MaxDocuments:     s.Int("documents", 1000, 1, maxItems),
+			BytesPerToken:    section.Float("bytes_per_token", 4, 0.1, 100),
+			PrefixMessages:   section.Int("prefix_messages", 1, 0, 100),
+			PrefixBytes:      section.Int("prefix_bytes", 1024, 0, 1<<20),
+			DefaultMaxTokens: section.Int("max_tokens", 512, 1, 1<<20),
+			MaxInputs:        section.Int("inputs", 2048, 1, maxItems),
+			MaxDocuments:     section.Int("documents", 1000, 1, maxItems),
 		},
 	}
 }
 
-// parseForward reads which fields are forwarded.
-func parseForward(s *inifile.Section) []string {
-	names := s.List("forward")
-	if !s.Has("forward") {
+// parseForward parses the header fields that are forwarded.
+func parseForward(section *inifile.Section) []string {
+	names := section.List("forward")
+	if !section.Has("forward") {
 		return slices.Clone(defaultForward)
 	}
 	var fields []string
 	for _, name := range names {
 		field := strings.ToLower(name)
 		if slices.Contains(neverForwarded, field) {
-			s.AddError("forward", "%q belongs to one connection or is set by the router", name)
+			section.AddError("forward", "%w field %q, it belongs to one connection or is set by the router", inifile.ErrInvalid, name)
 		}
 		fields = append(fields, field)
 	}
--- a/internal/demo/faultscenario_test.go
+++ b/internal/demo/faultscenario_test.go
@@ -137,7 +137,7 @@
 		{"what = hang", "what = melt", `s.ini: [fault cut] what: "melt" is none of burst, die, errors`},
 		{"engines = zone:b", "", "[fault cut] engines: is missing"},
 		{"prompt = 50-600", "prompt = 600-50", "[load ask] prompt: must be a range"},
-		{"api = rerank", "api = rank", `[load rank] api: "rank" is none of chat`},
+		{"api = rerank", "api = rank", `[load rank] api: unknown api "rank", known are chat`},
 		{"[day]", "[night]", "s.ini: [night]: unknown section"},
 	} {
 		_, err := ParseScenario("s.ini", []byte(strings.Replace(shortScenario, c.old, c.new, 1)))
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"testing"
+	"time"
 )
 
 func TestErrorsNameFileSectionAndKey(t *testing.T) {
@@ -15,20 +16,24 @@
 	pool := file.Sections("pool")[0]
 	pool.Int("parts", 1, 1, 9)
 	pool.Required("class")
-	file.AddError("no section [%s NAME]", "class")
+	file.AddError("%w section [%s NAME]", ErrMissing, "class")
 	err = file.Err("router", "pool")
-	joined, isJoined := err.(interface{ Unwrap() []error })
-	if !isJoined {
-		t.Fatalf("%T is no joined error", err)
+	var joined interface{ Unwrap() []error }
+	if !errors.As(err, &joined) {
+		t.Fatalf("%T is not a joined error", err)
 	}
-	want := []struct{ section, key, message string }{
-		{"", "", `f.ini: key "before" stands before the first section`},
-		{"[router x]", "", "f.ini: [router x]: takes no name"},
-		{"[pool chat]", "parts", `f.ini: [pool chat] parts: "many" is no whole number from 1 to 9`},
-		{"[pool chat]", "class", "f.ini: [pool chat] class: is missing"},
-		{"", "", "f.ini: no section [class NAME]"},
-		{"[pool chat]", "unused", "f.ini: [pool chat] unused: unknown key"},
-		{"[other]", "", "f.ini: [other]: unknown section; known are router, pool"},
+	want := []struct {
+		section, key string
+		reason       error
+		message      string
+	}{
+		{"", "", ErrInvalid, `f.ini: invalid key "before" before the first section`},
+		{"[router x]", "", ErrInvalid, `f.ini: [router x]: invalid name "x", want [router]`},
+		{"[pool chat]", "parts", ErrInvalid, `f.ini: [pool chat] parts: invalid whole number "many", want one from 1 to 9`},
+		{"[pool chat]", "class", ErrMissing, "f.ini: [pool chat] class: missing value"},
+		{"", "", ErrMissing, "f.ini: missing section [class NAME]"},
+		{"[pool chat]", "unused", ErrUnknown, "f.ini: [pool chat] unused: unknown key"},
+		{"[other]", "", ErrUnknown, "f.ini: [other]: unknown section, known are router, pool"},
 	}
 	got := joined.Unwrap()
 	if len(got) != len(want) {
@@ -37,19 +42,48 @@
 	for i, w := range want {
 		var placed *Error
 		if !errors.As(got[i], &placed) {
-			t.Errorf("%T is no *Error", got[i])
+			t.Errorf("%T is not an *Error", got[i])
 			continue
 		}
-		if placed.File != "f.ini" || placed.Section != w.section || placed.Key != w.key || placed.Error() != w.message {
+		if placed.File != "f.ini" || placed.Section != w.section || placed.Key != w.key || !errors.Is(placed, w.reason) || placed.Error() != w.message {
 			t.Errorf("%q %q %q: %v; want %q %q: %s", placed.File, placed.Section, placed.Key, placed, w.section, w.key, w.message)
 		}
 	}
 }
 
-func TestParseErrorWrapsTheLibrarys(t *testing.T) {
+func TestParseErrorWrapsErrorOfLibrary(t *testing.T) {
 	_, err := Parse("f.ini", []byte("[unclosed\n"))
 	var placed *Error
 	if !errors.As(err, &placed) || placed.File != "f.ini" || placed.Unwrap() == nil {
 		t.Errorf("%v", err)
 	}
 }
+
+func TestValueErrorsTellInvalidFromOutOfRange(t *testing.T) {
+	for _, c := range []struct {
+		line    string
+		read    func(*Section)
+		reason  error
+		message string
+	}{
+		{"k = 12", func(s *Section) { s.Int("k", 1, 1, 9) }, ErrOutOfRange, "f.ini: [s] k: whole number 12 is out of range, want one from 1 to 9"},
+		{"k = x", func(s *Section) { s.Float("k", 1, 0.5, 9) }, ErrInvalid, `f.ini: [s] k: invalid number "x", want one from 0.5 to 9`},
+		{"k = NaN", func(s *Section) { s.Float("k", 1, 0.5, 9) }, ErrOutOfRange, "f.ini: [s] k: number NaN is out of range, want one from 0.5 to 9"},
+		{"k = 1", func(s *Section) { s.Duration("k", 0, 0, time.Second) }, ErrInvalid, `f.ini: [s] k: invalid duration "1", want one from 0s to 1s, such as 250ms or 1.5s`},
+		{"k = 2s", func(s *Section) { s.Duration("k", 0, 0, time.Second) }, ErrOutOfRange, "f.ini: [s] k: duration 2s is out of range, want one from 0s to 1s"},
+		{"k = maybe", func(s *Section) { s.Bool("k", true) }, ErrInvalid, `f.ini: [s] k: invalid boolean "maybe", want true or false`},
+		{"k = host:1", func(s *Section) { s.Address("k", "") }, ErrInvalid, `f.ini: [s] k: invalid address "host:1", want IP address and port such as 127.0.0.1:8080`},
+		{"k = c", func(s *Section) { s.Choice("k", "", "a", "b") }, ErrUnknown, `f.ini: [s] k: unknown k "c", known are a, b`},
+		{"k = 1", func(s *Section) { s.Text("k", ""); s.RequireName() }, ErrMissing, "f.ini: [s]: missing name, want [s NAME]"},
+	} {
+		file, err := Parse("f.ini", []byte("[s]\n"+c.line+"\n"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.read(file.Section("s"))
+		err = file.Err("s")
+		if !errors.Is(err, c.reason) || err.Error() != c.message {
+			t.Errorf("%s: %v; want %s", c.line, err, c.message)
+		}
+	}
+}
--- a/internal/nodes/nodes.go
+++ b/internal/nodes/nodes.go
@@ -1,4 +1,5 @@
-// Package nodes reads the endpoint list, a file of engines, and watches it for changes.
+// Package nodes reads the endpoint list, an INI file with one section for each engine, and watches
+// the file for changes.
 package nodes
 
 import (
@@ -15,26 +16,26 @@
 	"martenlock/internal/openai"
 )
 
-// Node is one engine.
+// Node is one engine of the list.
 type Node struct {
 	Name      string
-	ID        control.EndpointID // from the name, so the same at every router and after restarts
+	ID        control.EndpointID // a hash of the name: the same at all routers and after restarts
 	Pool      string
 	Addr      netip.AddrPort
 	Kind      string
-	Role      control.Role
+	Role      control.Role // of its kind
 	Zone      string
 	Cell      string
-	Weight    float64
-	Revision  string // of the model that it serves: answers of two are not the same
+	Weight    float64 // capacity, compared with other engines of its role
+	Revision  string  // of the model; answers of different revisions differ
 	State     control.EndpointState
-	StartedAt time.Time // of its process; zero for long ago
+	StartedAt time.Time // start of its process; zero for long ago
 }
 
-// maxNodes bounds a list: a longer one is a slip.
+// maxNodes is the most nodes of a list. A longer list is a mistake.
 const maxNodes = 100_000
 
-// Load reads a list from its file.
+// Load reads and parses the list in a file. Errors in the list are those of Parse.
 func Load(path string, c *config.Config) ([]Node, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -43,8 +44,9 @@
 	return Parse(path, text, c)
 }
 
-// Parse parses a list and checks it whole against the configuration. Its errors are
-// *inifile.Error, joined.
+// Parse parses the text of a list and checks it against the configuration. name is used in errors.
+// If the list has errors Parse returns no nodes. The returned error joins one *inifile.Error for
+// each error in the list.
 func Parse(name string, text []byte, c *config.Config) ([]Node, error) {
 	file, err := inifile.Parse(name, text)
 	if err != nil {
@@ -56,14 +58,14 @@
 		nameByAddr: map[netip.AddrPort]string{},
 	}
 	var list []Node
-	for _, s := range file.Sections("node") {
-		list = append(list, p.parseNode(s))
+	for _, section := range file.Sections("node") {
+		list = append(list, p.parseNode(section))
 	}
-	if len(list) == 0 { // more likely a slip than a pool without engines: those say state = gone
-		file.AddError("no section [node NAME]")
+	if len(list) == 0 { // more likely a mistake than a service without engines, which has state = gone
+		file.AddError("%w section [node NAME]", inifile.ErrMissing)
 	}
 	if len(list) > maxNodes {
-		file.AddError("%d nodes; %d at most", len(list), maxNodes)
+		file.AddError("number of nodes %d is %w, want at most %d", len(list), inifile.ErrOutOfRange, maxNodes)
 	}
 	err = file.Err("node")
 	if err != nil {
@@ -72,91 +74,94 @@
 	return list, nil
 }
 
-// parser reads the nodes of one list, one after another.
+// parser parses the nodes of one list.
 type parser struct {
 	config     *config.Config
-	nameByID   map[control.EndpointID]string // of the nodes before
-	nameByAddr map[netip.AddrPort]string     // of the nodes before
+	nameByID   map[control.EndpointID]string // of the nodes parsed so far
+	nameByAddr map[netip.AddrPort]string     // of the nodes parsed so far
 }
 
-// parseNode reads one node and reports in the section what is wrong with it.
-func (p *parser) parseNode(s *inifile.Section) Node {
+// The values of state and what they mean.
+var (
+	stateWords = []string{"gone", "ready", "draining"}
+	states     = []control.EndpointState{control.Gone, control.Ready, control.Draining}
+)
+
+// parseNode parses one node. It records errors in the section.
+func (p *parser) parseNode(section *inifile.Section) Node {
 	node := Node{
-		Name:     s.Name,
-		ID:       control.EndpointID(xxhash.Sum64String(s.Name)),
-		Pool:     s.Required("pool"),
-		Addr:     s.Address("address", ""),
-		Zone:     s.Text("zone", ""),
-		Cell:     s.Text("cell", ""),
-		Revision: s.Text("revision", ""),
-		Weight:   s.Float("weight", 1, 0.01, 1000),
-		State:    control.EndpointState(s.Choice("state", "ready", "gone", "ready", "draining")), // in its order
-	}
-	p.checkIdentity(s, &node)
-	pool := p.findPool(s, node.Pool)
-	p.parseKind(s, &node, pool)
-	node.StartedAt = parseStart(s)
+		Name:     section.Name,
+		ID:       control.EndpointID(xxhash.Sum64String(section.Name)),
+		Pool:     section.Required("pool"),
+		Addr:     section.Address("address", ""),
+		Zone:     section.Text("zone", ""),
+		Cell:     section.Text("cell", ""),
+		Revision: section.Text("revision", ""),
+		Weight:   section.Float("weight", 1, 0.01, 1000),
+		State:    states[section.Choice("state", "ready", stateWords...)],
+	}
+	p.checkIdentity(section, &node)
+	pool := p.findPool(section, node.Pool)
+	p.parseKind(section, &node, pool)
+	node.StartedAt = parseStart(section)
 	return node
 }
 
-// checkIdentity checks that a node is told apart from those before it.
-func (p *parser) checkIdentity(s *inifile.Section, node *Node) {
-	if s.Name == "" {
-		s.AddError("", "has no name: write [node NAME]")
-	}
+// checkIdentity checks that no earlier node has the same id or address.
+func (p *parser) checkIdentity(section *inifile.Section, node *Node) {
+	section.RequireName()
 	sameID, isUsed := p.nameByID[node.ID]
 	if isUsed && sameID != node.Name {
-		s.AddError("", "its name hashes like that of %s: rename one", sameID)
+		section.AddError("", "%w id, the names of this node and of node %s have the same hash: rename one", inifile.ErrDuplicate, sameID)
 	}
 	p.nameByID[node.ID] = node.Name
 	sameAddr, isUsed := p.nameByAddr[node.Addr]
 	if isUsed {
-		s.AddError("address", "%s is node %s already", node.Addr, sameAddr)
+		section.AddError("address", "%w address %s, node %s has it too", inifile.ErrDuplicate, node.Addr, sameAddr)
 	}
 	p.nameByAddr[node.Addr] = node.Name
 }
 
-// findPool returns the pool of a name; nil where there is none.
-func (p *parser) findPool(s *inifile.Section, name string) *config.Pool {
+// findPool returns a pool of the configuration. It returns nil if there is none of that name.
+func (p *parser) findPool(section *inifile.Section, name string) *config.Pool {
 	pools := p.config.Pools
 	i := slices.IndexFunc(pools, func(pool config.Pool) bool { return pool.Name == name })
 	if i < 0 {
-		s.AddError("pool", "there is no [pool %s] in %s", name, p.config.File)
+		section.AddError("pool", "%w pool %q, there is no section [pool %s] in %s", inifile.ErrUnknown, name, name, p.config.File)
 		return nil
 	}
 	return &pools[i]
 }
 
-// parseKind reads the kind of a node, and its role from it.
-func (p *parser) parseKind(s *inifile.Section, node *Node, pool *config.Pool) {
-	kind := s.Required("kind")
+// parseKind parses the kind of a node and sets its role. pool is the node's pool, or nil if it is
+// unknown.
+func (p *parser) parseKind(section *inifile.Section, node *Node, pool *config.Pool) {
+	kind := section.Required("kind")
 	if kind == "" {
 		return
 	}
 	i := slices.Index(p.config.Kinds, kind)
 	if i < 0 {
-		s.AddError("kind", "there is no [kind %s] in %s", kind, p.config.File)
+		section.AddError("kind", "%w kind %q, there is no section [kind %s] in %s", inifile.ErrUnknown, kind, kind, p.config.File)
 		return
 	}
 	node.Kind = kind
 	node.Role = p.config.Control.Engines.Kinds[i].Role
-	if pool != nil && node.Role != control.RoleColocated && slices.ContainsFunc(pool.APIs, hasOneStage) {
-		s.AddError("kind", "%s is no kind of role mixed: [pool %s] serves embeddings or rerank, which have one stage", kind, node.Pool)
+	if pool != nil && node.Role != control.RoleColocated && slices.ContainsFunc(pool.APIs, openai.API.HasOneStage) {
+		const format = "%w kind %q, want one of role mixed: [pool %s] serves embeddings or rerank, which have one stage"
+		section.AddError("kind", format, inifile.ErrInvalid, kind, node.Pool)
 	}
 }
 
-// hasOneStage tells whether an operation has no separate prefill and decode.
-func hasOneStage(api openai.API) bool { return api == openai.Embeddings || api == openai.Rerank }
-
-// parseStart reads when a node's process started; zero where the list does not say.
-func parseStart(s *inifile.Section) time.Time {
-	text := s.Text("start", "")
+// parseStart parses the start of a node's process. It returns the zero time if the list has none.
+func parseStart(section *inifile.Section) time.Time {
+	text := section.Text("start", "")
 	if text == "" {
 		return time.Time{}
 	}
 	start, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		s.AddError("start", "%q is no time such as 2026-12-01T08:30:00Z", text)
+		section.AddError("start", "%w time %q, want one such as 2026-12-01T08:30:00Z", inifile.ErrInvalid, text)
 	}
 	return start
 }
--- a/internal/nodes/watch.go
+++ b/internal/nodes/watch.go
@@ -11,28 +11,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// inotifyBufferBytes holds some hundred events: those of a folder in one read.
+// inotifyBufferBytes is the size of the buffer for events. It holds some hundred, more than are
+// expected in a directory between two reads.
 const inotifyBufferBytes = 64 << 10
 
-// Watcher calls a function when a file was written or replaced.
+// Watcher calls a function whenever a file was written or replaced.
 type Watcher struct {
 	inotify *os.File
 	changed func()
 	done    chan struct{} // closed when the goroutine has ended
 }
 
-// Watch calls changed, on a goroutine of its own, after each time that path was closed by a
-// writer or another file was renamed onto it (inotify(7)). While a file is being written, changed
-// is not called: half a list may look whole.
+// Watch starts to watch the file at path (inotify(7)). The Watcher calls changed on a goroutine of
+// its own each time a writer has closed the file or another file was renamed to path. It does not
+// call changed while the file is being written: half a list may look like a whole one.
 func Watch(path string, changed func()) (*Watcher, error) {
 	fd, err := unix.InotifyInit1(unix.IN_CLOEXEC | unix.IN_NONBLOCK)
 	if err != nil {
 		return nil, fmt.Errorf("watch %s: %w", path, err)
 	}
-	// The folder, since a rename puts another file in the place of a watched one.
+	// The watch is on the directory, since one on the file would end when another file replaces it.
 	_, err = unix.InotifyAddWatch(fd, filepath.Dir(path), unix.IN_CLOSE_WRITE|unix.IN_MOVED_TO)
 	if err != nil {
-		unix.Close(fd)
+		_ = unix.Close(fd) // nothing was read or written: the first error is the one to report
 		return nil, fmt.Errorf("watch %s: %w", path, err)
 	}
 	w := &Watcher{inotify: os.NewFile(uintptr(fd), "inotify"), changed: changed, done: make(chan struct{})}
@@ -40,7 +41,7 @@
 	return w, nil
 }
 
-// run reads events until the watcher is closed.
+// run reads events until the watcher is closed or a read fails.
 func (w *Watcher) run(fileName string) {
 	defer close(w.done)
 	buffer := make([]byte, inotifyBufferBytes)
@@ -55,7 +56,7 @@
 	}
 }
 
-// mayHaveChanged tells whether one of some events is about a file, or events were lost.
+// mayHaveChanged reports whether one of the events is about the file, or events were lost.
 func mayHaveChanged(events []byte, fileName string) bool {
 	for len(events) >= unix.SizeofInotifyEvent {
 		event := (*unix.InotifyEvent)(unsafe.Pointer(&events[0]))
@@ -69,7 +70,7 @@
 	return false
 }
 
-// Close ends the watch. The function is not called any more when it has returned.
+// Close ends the watch. After it has returned, changed is not called any more.
 func (w *Watcher) Close() error {
 	err := w.inotify.Close()
 	<-w.done
--- /dev/null
+++ b/internal/nodes/watch_test.go
@@ -0,0 +1,58 @@
+package nodes_test
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"martenlock/internal/nodes"
+)
+
+// TestWatchReportsOnlyWholeFiles writes a file in pieces, which must be reported when it is closed;
+// replaces it by a rename, which must be reported at once; and writes another file, which must not
+// be reported.
+func TestWatchReportsOnlyWholeFiles(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "nodes.ini")
+	reported := make(chan string, 16)
+	watcher, err := nodes.Watch(path, func() {
+		text, _ := os.ReadFile(path)
+		reported <- string(text)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err := os.Create(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, piece := range []string{"half", " and half"} {
+		if _, err := file.WriteString(piece); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(20 * time.Millisecond) // gives incorrect code time to report too early
+	}
+	if err := os.WriteFile(filepath.Join(dir, "other"), nil, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	file.Close()
+	if got := <-reported; got != "half and half" {
+		t.Errorf("reported when the file contained %q", got)
+	}
+	if err := os.WriteFile(path+".new", []byte("new"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		t.Fatal(err)
+	}
+	if got := <-reported; got != "new" {
+		t.Errorf("reported when the file contained %q", got)
+	}
+	if err := watcher.Close(); err != nil {
+		t.Error(err)
+	}
+	if len(reported) > 0 {
+		t.Error("another file was reported, or a change was reported twice")
+	}
+}
--- a/internal/openai/check.go
+++ b/internal/openai/check.go
@@ -46,7 +46,7 @@
 const bytesPerFloat = 4
 
 // HasCheckedResponse reports whether CheckResponse examines responses to the request.
-func (r *Request) HasCheckedResponse() bool { return r.API == Embeddings || r.API == Rerank }
+func (r *Request) HasCheckedResponse() bool { return r.API.HasOneStage() }
 
 // CheckResponse checks an engine's response to an embeddings or rerank request. It returns a
 // *ResponseError if a result is missing, is not a finite number, belongs to no item, or if an
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -61,6 +61,9 @@
 	return 0, false
 }
 
+// HasOneStage reports whether the operation has no separate prefill and decode.
+func (a API) HasOneStage() bool { return a == Embeddings || a == Rerank }
+
 // contentMember returns the name of the request member that holds the model's input.
 func (a API) contentMember() string {
 	switch a {
--- a/internal/openaiserver/dispatch.go
+++ b/internal/openaiserver/dispatch.go
@@ -158,7 +158,7 @@
 		path:          c.request.path,
 		headers:       c.request.forwarded,
 		tenant:        c.request.tenant,
-		fairShareKey:  xxhash.Sum64String(s.config.SharingTenant(c.request.tenant)),
+		fairShareKey:  xxhash.Sum64String(s.config.FairShareTenant(c.request.tenant)),
 		prompt:        call.PromptTokens,
 		timeBudget:    c.timeBudget(p.config.Control.Classes[classIndex]),
 		moduleRequest: control.Request{Class: classIndex, Tenant: s.config.TenantIndex(c.request.tenant)},
--- a/internal/openaiserver/router_test.go
+++ b/internal/openaiserver/router_test.go
@@ -573,7 +573,7 @@
 		}
 	}
 	write(nodes, strings.Replace(string(good), "kind = reader", "kind = toaster", 1))
-	w.until("the reason", func() bool { return w.log.has("there is no [kind toaster]") })
+	w.until("the reason", func() bool { return w.log.has("there is no section [kind toaster]") })
 	if r := w.ask(call{}); !r.served() {
 		t.Errorf("with a bad list: %v", r)
 	}
@@ -587,7 +587,7 @@
 		t.Fatal(err)
 	}
 	write(settings, strings.Replace(string(text), "aim = 1s", "aim = soon", 1))
-	if err := w.Service.Reload(); err == nil || !strings.Contains(err.Error(), `[class ask] aim: "soon"`) {
+	if err := w.Service.Reload(); err == nil || !strings.Contains(err.Error(), `[class ask] aim: invalid duration "soon"`) {
 		t.Errorf("bad settings: %v", err)
 	}
 	w.engine("r1").SetFault(fakeengine.Fault{PrefillDelay: 300 * ms})
