--- a/cmd/martenlock/demo.go
+++ b/cmd/martenlock/demo.go
@@ -91,15 +91,15 @@
 
 // runDemo runs a router and fake engines until a signal ends it.
 func runDemo(options demoFlags, out io.Writer) error {
-	world, err := demo.Start(demo.Options{Listen: options.listen, Seed: 1, LogLevel: options.logLevel, Log: os.Stderr})
+	cluster, err := demo.Start(demo.Options{Listen: options.listen, Seed: 1, LogLevel: options.logLevel, Log: os.Stderr})
 	if err != nil {
 		return err
 	}
-	address := world.Service.Router.Addr()
+	address := cluster.Service.Router.Addr()
 	fmt.Fprintf(out, "martenlock listens on http://%s (settings and node list in %s); Ctrl-C ends it. Try:\n\n%s\n",
-		address, world.Dir(), demo.ExampleRequests(address))
+		address, cluster.Dir(), demo.ExampleRequests(address))
 	shutdown := make(chan os.Signal, 1)
 	signal.Notify(shutdown, syscall.SIGTERM, syscall.SIGINT)
 	<-shutdown
-	return world.Close()
+	return cluster.Close()
 }
--- a/internal/clienttest/clienttest_test.go
+++ b/internal/clienttest/clienttest_test.go
@@ -49,7 +49,7 @@
 
 // setFault sets what is wrong with all engines that chat.
 func setFault(world *demo.Cluster, fault fakeengine.Fault) {
-	for _, engine := range world.Find(chatEngines) {
+	for _, engine := range world.FindEngines(chatEngines) {
 		engine.SetFault(fault)
 	}
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/cluster_test.go
@@ -13,51 +13,50 @@
 	"martenlock/internal/invariant"
 )
 
-// reading is one reading of the node list: what it said of the engine, and between which
-// times it was read.
+// reading is one reading of the endpoint list: the state of the engine, and the period of the reading.
 type reading struct {
 	isReady      bool
 	began, ended time.Duration
 }
 
-// readList reads the node list of a world with one engine until it is told to stop.
-func readList(t *testing.T, w *Cluster, stop *atomic.Bool) (readings []reading) {
+// readList reads the endpoint list of a cluster with one engine until stop is set.
+func readList(t *testing.T, c *Cluster, stop *atomic.Bool) (readings []reading) {
+	t.Helper()
 	for !stop.Load() {
-		began := w.Clock()
-		text, err := os.ReadFile(filepath.Join(w.Dir(), "nodes.ini"))
+		began := c.Clock()
+		text, err := os.ReadFile(filepath.Join(c.Dir(), "nodes.ini"))
 		if err != nil {
 			t.Error(err)
 			return readings
 		}
-		isReady := bytes.Contains(text, []byte("state = "+stateReady))
-		readings = append(readings, reading{isReady: isReady, began: began, ended: w.Clock()})
+		isReady := bytes.Contains(text, []byte("state = "+Ready))
+		readings = append(readings, reading{isReady: isReady, began: began, ended: c.Clock()})
 	}
 	return readings
 }
 
-// TestReadyIsRecordedBeforeAndDrainAfterReadersSeeIt: whoever reads the list at once finds
-// that an engine is ready no earlier than it is recorded; a drain is recorded no earlier than
-// the last reading that doesn't show it began, and before Say returns.
-func TestReadyIsRecordedBeforeAndDrainAfterReadersSeeIt(t *testing.T) {
+// No reading shows an engine as ready before that is recorded. A drain is recorded before SetState returns, and not before
+// the start of the last reading that does not show it.
+func TestReadyIsRecordedBeforeAndDrainAfterItIsReadable(t *testing.T) {
 	const rounds = 200
 	recording := invariant.NewRecording(4 * rounds)
-	w := &Cluster{Rec: recording, startedAt: time.Now(), dir: t.TempDir()}
+	c := &Cluster{Recording: recording, startedAt: time.Now(), dir: t.TempDir()}
 	engine := &fakeengine.Engine{Spec: fakeengine.Spec{Name: "e1", Role: control.RoleColocated}}
-	w.nodes = []*node{{engine: engine, state: stateReady}}
-	if err := w.Publish(); err != nil {
+	c.endpoints = []*endpoint{{engine: engine, state: Ready}}
+	if err := c.PublishEndpoints(); err != nil {
 		t.Fatal(err)
 	}
 	var stop atomic.Bool
 	done := make(chan []reading)
-	go func() { done <- readList(t, w, &stop) }()
+	go func() { done <- readList(t, c, &stop) }()
 	var drainReturned []time.Duration
 	for range rounds {
-		if err := w.Say("draining", false, engine); err != nil {
+		if err := c.SetState(Draining, false, engine); err != nil {
 			t.Error(err)
 		}
-		drainReturned = append(drainReturned, w.Clock())
+		drainReturned = append(drainReturned, c.Clock())
 		time.Sleep(time.Millisecond)
-		if err := w.Say(stateReady, false, engine); err != nil {
+		if err := c.SetState(Ready, false, engine); err != nil {
 			t.Error(err)
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/demo/fleet.go
+++ b/internal/demo/engines.go
@@ -8,23 +8,23 @@
 	"martenlock/internal/fakeengine"
 )
 
-// How an engine of the demo warms up after a cold start. Settings and Rules say the same.
+// The slow start of an engine of the demo. Settings and Rules have the same values.
 const (
-	slowStartShare  = 0.3             // of its speed right after the start
-	slowStartLength = 6 * time.Second // until its full speed
+	slowStartShare  = 0.3             // speed at the start, as a share of full speed
+	slowStartLength = 6 * time.Second // time from the start to full speed
 )
 
-// engineGroup is engines that differ in name and zone alone.
+// engineGroup is a group of engines that differ only in name and zone.
 type engineGroup struct {
-	name  string // of an engine, before its number
+	name  string // name of an engine without its number
 	kind  string
 	pool  string
 	role  control.Role
 	count int
-	spec  fakeengine.Spec // the speed of each
+	spec  fakeengine.Spec // speed and limits of each
 }
 
-// engineGroups is the demo's fleet: 17 engines in two zones.
+// engineGroups are the engines of the demo: 17 in two zones.
 var engineGroups = []engineGroup{
 	{
 		name: "reader", kind: "reader", pool: "chat", role: control.RolePrefill, count: 4,
@@ -48,8 +48,8 @@
 	},
 }
 
-// Specs is the demo's fleet, with the engines of each group in two zones by turns.
-func Specs() []fakeengine.Spec {
+// EngineSpecs returns the engines of the demo. Those of each group alternate between two zones.
+func EngineSpecs() []fakeengine.Spec {
 	zones := []string{"a", "b"}
 	var specs []fakeengine.Spec
 	for _, group := range engineGroups {
--- a/internal/demo/fault.go
+++ b/internal/demo/fault.go
@@ -8,91 +8,82 @@
 	"martenlock/internal/fakeengine"
 )
 
-// Fault is something that goes wrong for a while.
+//go:generate go tool stringer -linecomment -type=FaultKind -output=enum_string.go
+
+// Fault is a fault that is present for a part of a scenario.
 type Fault struct {
 	Name    string
 	Kind    FaultKind
-	Start   time.Duration // since the beginning of the scenario
+	Start   time.Duration // since the start of the scenario
 	Length  time.Duration
-	Value   float64  // the kind says of what
-	Targets []Target // the engines that it happens to; none for FaultBurst
+	Value   float64  // the meaning depends on Kind
+	Targets []Target // the affected engines; none for FaultBurst
 }
 
-// activeAt tells whether the fault is present at a time of the scenario.
+// activeAt reports whether the fault is present at a time of the scenario.
 func (f *Fault) activeAt(at time.Duration) bool {
 	return at >= f.Start && at < f.end()
 }
 
-// end is when the fault is over, since the beginning of the scenario.
+// end returns the end of the fault, since the start of the scenario.
 func (f *Fault) end() time.Duration { return f.Start + f.Length }
 
-// FaultKind is what goes wrong.
+// FaultKind is the kind of a fault. String returns its name in scenario files.
 type FaultKind uint8
 
 // The kinds of faults.
 const (
-	faultUnknown     FaultKind = iota // none: the zero value
-	FaultHang                         // the engine accepts bytes and answers nothing
-	FaultErrors                       // requests fail with status 500; value: their share
-	FaultFull                         // the engine rejects every request
-	FaultKVMissing                    // the engine says that KV state can't be fetched
-	FaultResetBefore                  // connections are reset in place of the first byte of an answer
-	FaultResetAfter                   // connections are reset amid an answer; value: after so many tokens, -1 before the first
-	FaultStall                        // streams stop and stay open; value: after so many tokens
-	FaultSlow                         // everything takes longer; value: so many times
-	FaultLost                         // the work is done, its answers never arrive
-	FaultDie                          // the process ends, and starts again when the fault is over
-	FaultReplace                      // the engine is drained, and another one takes its place
-	FaultBurst                        // more requests are sent; value: so many times the rate
-)
-
-// faultWords are the kinds' names in scenario files.
-var faultWords = map[FaultKind]string{
-	FaultHang:        "hang",
-	FaultErrors:      "errors",
-	FaultFull:        "full",
-	FaultKVMissing:   "gone",
-	FaultResetBefore: "reset_before",
-	FaultResetAfter:  "reset_after",
-	FaultStall:       "stall",
-	FaultSlow:        "slow",
-	FaultLost:        "lost",
-	FaultDie:         "die",
-	FaultReplace:     "replace",
-	FaultBurst:       "burst",
-}
+	faultUnknown FaultKind = iota // unknown
+	// FaultHang engines accept bytes and answer nothing.
+	FaultHang // hang
+	// FaultErrors engines answer a share of requests, Value, with status 500.
+	FaultErrors // errors
+	// FaultFull engines reject every request.
+	FaultFull // full
+	// FaultKVMissing engines report that KV state can't be fetched.
+	FaultKVMissing // gone
+	// FaultResetBefore engines reset connections instead of sending the first byte of an answer.
+	FaultResetBefore // reset_before
+	// FaultResetAfter engines reset connections after Value tokens of an answer; -1 for before the first.
+	FaultResetAfter // reset_after
+	// FaultStall engines stop streams after Value tokens and keep them open.
+	FaultStall // stall
+	// FaultSlow engines take Value times as long.
+	FaultSlow // slow
+	// FaultLost engines execute requests, and their answers never arrive.
+	FaultLost // lost
+	// FaultDie ends the engines' processes and starts them again at the end of the fault.
+	FaultDie // die
+	// FaultReplace drains the engines and starts a new engine for each.
+	FaultReplace // replace
+	// FaultBurst multiplies the rate of requests by Value.
+	FaultBurst // burst
 
-// String returns the kind's name in scenario files.
-func (k FaultKind) String() string {
-	word, known := faultWords[k]
-	if !known {
-		return "unknown"
-	}
-	return word
-}
+	faultKindCount = iota
+)
 
-// parseFaultKind finds a kind by its name in scenario files.
-func parseFaultKind(word string) (kind FaultKind, known bool) {
-	for kind, name := range faultWords {
-		if name == word {
+// parseFaultKind returns the kind of a name in scenario files. ok is false for an unknown name.
+func parseFaultKind(name string) (kind FaultKind, ok bool) {
+	for kind := faultUnknown + 1; kind < faultKindCount; kind++ {
+		if kind.String() == name {
 			return kind, true
 		}
 	}
 	return faultUnknown, false
 }
 
-// sortedFaultWords lists the names of all kinds for error messages.
-func sortedFaultWords() string {
-	var words []string
-	for _, word := range faultWords {
-		words = append(words, word)
+// sortedFaultNames returns the names of all kinds for error messages.
+func sortedFaultNames() string {
+	var names []string
+	for kind := faultUnknown + 1; kind < faultKindCount; kind++ {
+		names = append(names, kind.String())
 	}
-	slices.Sort(words)
-	return strings.Join(words, ", ")
+	slices.Sort(names)
+	return strings.Join(names, ", ")
 }
 
-// engineFault is the fault as an engine knows it. The zero value is returned for kinds that
-// are no state of an engine: FaultDie, FaultReplace and FaultBurst.
+// engineFault returns the fault for an engine. It returns the zero value for FaultDie, FaultReplace and FaultBurst, which
+// are not states of an engine.
 func (f *Fault) engineFault() fakeengine.Fault {
 	switch f.Kind {
 	case FaultHang:
@@ -113,6 +104,7 @@
 		return fakeengine.Fault{SlowdownFactor: f.Value}
 	case FaultLost:
 		return fakeengine.Fault{AnswersLost: true}
+	default:
+		return fakeengine.Fault{}
 	}
-	return fakeengine.Fault{}
 }
--- a/internal/demo/faultscenario.go
+++ b/internal/demo/faultscenario.go
@@ -10,53 +10,52 @@
 	"martenlock/internal/openai"
 )
 
-// defaultScenario is the fault scenario that is built in.
+// defaultScenario is the built-in fault scenario.
 //
 //go:embed faultscenario.ini
 var defaultScenario []byte
 
-// defaultScenarioName stands for the built-in scenario in error messages.
+// defaultScenarioName names the built-in scenario in error messages.
 const defaultScenarioName = "faultscenario.ini"
 
-// Scenario is a fault scenario: a load, and the faults that happen under it.
+// Scenario is a fault scenario: a load and faults.
 type Scenario struct {
-	Length      time.Duration // requests are sent for so long
+	Length      time.Duration // time for which requests are sent
 	RequestRate float64       // requests a second
-	Seed        int           // of everything that is drawn at random
+	Seed        int           // seed of all random choices
 	Loads       []Load
 	Faults      []Fault
 }
 
-// Load is one sort of request of a scenario. Shares are between 0 and 1.
+// Load is one type of request of a scenario. Shares are between 0 and 1.
 type Load struct {
 	Name            string
-	Class           string  // the request class in the router's settings
-	Share           float64 // of all requests, relative to the other loads' shares
+	Class           string  // request class in the router's settings
+	Share           float64 // share of all requests, relative to the other loads' shares
 	API             openai.API
-	StreamShare     float64          // of requests that want a stream
-	Effect          invariant.Effect // what a retry of the request may do
-	DedupWindow     time.Duration    // within which engines drop a retry with the same key
-	Deadline        time.Duration    // the longest that a client waits
+	StreamShare     float64          // share of requests with a streamed answer
+	Effect          invariant.Effect // effect of a second execution
+	DedupWindow     time.Duration    // time within which engines drop a retry with the same key
+	Deadline        time.Duration    // longest time that a client waits
 	MinPromptTokens int
 	MaxPromptTokens int
-	AnswerTokens    int     // the most tokens of an answer
+	AnswerTokens    int     // greatest length of an answer
 	Items           int     // inputs of an embeddings request, documents of a rerank request
-	DisconnectShare float64 // of clients that disconnect early
-	SlowReaderShare float64 // of clients that read slowly
+	DisconnectShare float64 // share of clients that disconnect early
+	SlowReaderShare float64 // share of clients that read slowly
 }
 
-// RunOptions say how a scenario is run.
+// RunOptions configure the run of a scenario.
 type RunOptions struct {
-	Rules    invariant.Limits // the limits that the run is checked against; see Rules
-	Listen   string           // the router's address
-	LogLevel string           // the router's log level
-	Log      io.Writer        // the router's log
-	Out      io.Writer        // progress and measurements
+	Rules    invariant.Limits // limits that the rules compare with; see Rules
+	Listen   string           // address of the router
+	LogLevel string           // log level of the router
+	Log      io.Writer        // log of the router
+	Out      io.Writer        // for progress and measurements
 }
 
-// RunFaultScenario runs the scenario in the file at path, or the built-in one where path
-// is empty, and reports whether the five rules held. An error means that there is no
-// report: the file can't be read, a fault can't be injected, or the router can't run.
+// RunFaultScenario runs the scenario in a file, or the built-in one if path is empty. The report says whether the five rules
+// held. It returns an error and no report if the file can't be read, a fault can't be injected or the router can't run.
 func RunFaultScenario(path string, options RunOptions) (*invariant.Report, error) {
 	scenario, err := loadScenario(path)
 	if err != nil {
@@ -65,7 +64,7 @@
 	return scenario.Run(options)
 }
 
-// loadScenario reads the scenario in a file, or the built-in one where path is empty.
+// loadScenario reads the scenario in a file, or the built-in one if path is empty.
 func loadScenario(path string) (*Scenario, error) {
 	if path == "" {
 		return ParseScenario(defaultScenarioName, defaultScenario)
--- a/internal/demo/faultscenario_test.go
+++ b/internal/demo/faultscenario_test.go
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	known := map[string]bool{}
-	for _, spec := range Specs() {
+	for _, spec := range EngineSpecs() {
 		known[spec.Name] = true
 	}
 	for _, fault := range scenario.Faults {
--- a/internal/demo/parsescenario.go
+++ b/internal/demo/parsescenario.go
@@ -11,14 +11,14 @@
 	"martenlock/internal/openai"
 )
 
-// maxPromptTokens bounds a prompt in a scenario file, so that its text fits in memory.
+// maxPromptTokens bounds the prompts of a scenario file, so that their texts fit in memory.
 const maxPromptTokens = 1 << 20
 
-// errPromptRange says what the key prompt takes.
+// errPromptRange is the error of an invalid value of the key prompt.
 var errPromptRange = errors.New("must be a range of tokens such as 100-1000")
 
-// ParseScenario reads a scenario file; docs/operating.md explains its keys. name stands for
-// the file in errors, which name section and key.
+// ParseScenario parses a scenario file. docs/operating.md explains its keys. Errors name the file by name, the section and
+// the key.
 func ParseScenario(name string, text []byte) (*Scenario, error) {
 	file, err := inifile.Parse(name, text)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return scenario, file.Err("day", "load", "fault")
 }
 
-// parseLoad reads a section [load NAME].
+// parseLoad parses a section [load NAME].
 func parseLoad(section *inifile.Section) Load {
 	load := Load{
 		Name:            section.Name,
@@ -67,7 +67,7 @@
 	return load
 }
 
-// parsePromptRange reads a range of tokens such as 100-1000; both ends belong to it.
+// parsePromptRange parses a range of tokens such as 100-1000, which includes both ends.
 func parsePromptRange(text string) (low, high int, err error) {
 	lowText, highText, _ := strings.Cut(text, "-")
 	low, err = strconv.Atoi(lowText)
@@ -84,9 +84,9 @@
 	return low, high, nil
 }
 
-// parseFault reads a section [fault NAME].
+// parseFault parses a section [fault NAME].
 func parseFault(section *inifile.Section) Fault {
-	word := section.Required("what")
+	kindName := section.Required("what")
 	fault := Fault{
 		Name:   section.Name,
 		Start:  section.Duration("at", 0, 0, time.Hour),
@@ -96,9 +96,9 @@
 	for _, text := range section.List("engines") {
 		fault.Targets = append(fault.Targets, ParseTarget(text))
 	}
-	kind, known := parseFaultKind(word)
-	if !known {
-		section.AddError("what", "%q is none of %s", word, sortedFaultWords())
+	kind, ok := parseFaultKind(kindName)
+	if !ok {
+		section.AddError("what", "%q is none of %s", kindName, sortedFaultNames())
 	}
 	fault.Kind = kind
 	if len(fault.Targets) == 0 && fault.Kind != FaultBurst {
--- a/internal/demo/plannedrequest.go
+++ b/internal/demo/plannedrequest.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	sessionCount       = 200                    // sessions that chat and completions are drawn from
-	systemPromptCount  = 8                      // system prompts that sessions share: prefixes for the KV cache
-	systemPromptTokens = 60                     // of each, beside its first sentence
-	maxDisconnectDelay = 400 * time.Millisecond // clients that disconnect early do so within it
-	minPatienceShare   = 0.5                    // the least share of its load's deadline that a client waits
-	rerankTopN         = 2                      // documents that a rerank request asks for
+	sessionCount       = 200                    // sessions of chat and completions
+	systemPromptCount  = 8                      // system prompts, which sessions share as prefixes
+	systemPromptTokens = 60                     // length of each after its first sentence
+	maxDisconnectDelay = 400 * time.Millisecond // longest wait of a client that disconnects early
+	minDeadlineShare   = 0.5                    // least deadline of a client, as a share of its load's
+	rerankTopN         = 2                      // documents in the answer to a rerank request
 )
 
 // plannedRequest is a request of a scenario.
 type plannedRequest struct {
-	at              time.Duration // since the beginning of the scenario
+	at              time.Duration // since the start of the scenario
 	load            *Load
 	id              string
 	wantsStream     bool
 	promptTokens    int
 	session         int
-	deadline        time.Duration // since it is sent
+	deadline        time.Duration // since it was sent
 	disconnectAfter time.Duration // 0 for never
 	readsSlowly     bool
 }
 
-// plan draws all requests ahead, so that what happens in the run does not change them.
+// plan draws all requests in advance, so that nothing in the run can change them.
 func (s *Scenario) plan() []plannedRequest {
 	rng := rand.New(rand.NewPCG(uint64(s.Seed), 1))
 	var requests []plannedRequest
@@ -49,7 +49,7 @@
 	}
 }
 
-// rateAt is the request rate at a time of the scenario, with its bursts.
+// rateAt returns the request rate at a time of the scenario, including bursts.
 func (s *Scenario) rateAt(at time.Duration) float64 {
 	rate := s.RequestRate
 	for i := range s.Faults {
@@ -61,7 +61,7 @@
 	return rate
 }
 
-// drawLoad picks a load by the loads' shares.
+// drawLoad draws a load by the loads' shares.
 func (s *Scenario) drawLoad(rng *rand.Rand) *Load {
 	total := 0.0
 	for i := range s.Loads {
@@ -77,14 +77,14 @@
 	return &s.Loads[len(s.Loads)-1]
 }
 
-// drawRequest draws a request of a load. The order of the draws is part of what a seed means.
+// drawRequest draws a request of a load. A seed gives the same requests only if the order of the draws stays.
 func drawRequest(rng *rand.Rand, at time.Duration, load *Load, id string) plannedRequest {
 	request := plannedRequest{at: at, load: load, id: id}
 	request.wantsStream = rng.Float64() < load.StreamShare
 	request.promptTokens = load.MinPromptTokens + rng.IntN(load.MaxPromptTokens-load.MinPromptTokens+1)
 	request.session = rng.IntN(sessionCount)
-	patience := minPatienceShare + rng.Float64()*(1-minPatienceShare)
-	request.deadline = time.Duration(patience * float64(load.Deadline))
+	deadlineShare := minDeadlineShare + rng.Float64()*(1-minDeadlineShare)
+	request.deadline = time.Duration(deadlineShare * float64(load.Deadline))
 	request.readsSlowly = rng.Float64() < load.SlowReaderShare
 	if rng.Float64() < load.DisconnectShare {
 		request.disconnectAfter = time.Duration(rng.Float64() * float64(maxDisconnectDelay))
@@ -92,7 +92,7 @@
 	return request
 }
 
-// path is where the router serves the request's operation.
+// path returns the path of the request's operation.
 func (r *plannedRequest) path() string {
 	switch r.load.API {
 	case openai.Chat:
@@ -106,8 +106,7 @@
 	}
 }
 
-// The bodies of requests. Their fields stand in the order of the alphabet, as scenarios
-// have always sent them.
+// The bodies of requests. Their fields are in alphabetical order.
 type (
 	chatMessage struct {
 		Content string `json:"content"`
@@ -141,7 +140,7 @@
 	}
 )
 
-// body is the request's JSON.
+// body returns the JSON body of the request.
 func (r *plannedRequest) body() ([]byte, error) {
 	switch r.load.API {
 	case openai.Chat:
@@ -161,7 +160,7 @@
 	}
 }
 
-// chatBody is a conversation whose system prompt is shared with other sessions.
+// chatBody returns a conversation. Other sessions share its system prompt.
 func (r *plannedRequest) chatBody() chatBody {
 	system := fmt.Sprintf("You answer for depot %d. ", r.session%systemPromptCount) + textOfTokens(systemPromptTokens)
 	user := r.id + " " + textOfTokens(r.promptTokens)
@@ -174,7 +173,7 @@
 	}
 }
 
-// embeddingsBody divides the prompt over the inputs, none of which is like another.
+// embeddingsBody divides the prompt among the inputs. All inputs differ.
 func (r *plannedRequest) embeddingsBody() embeddingsBody {
 	body := embeddingsBody{Model: "demo-embed", Stream: r.wantsStream}
 	for i := range r.load.Items {
@@ -184,7 +183,7 @@
 	return body
 }
 
-// rerankBody divides the prompt over the documents.
+// rerankBody divides the prompt among the documents.
 func (r *plannedRequest) rerankBody() rerankBody {
 	body := rerankBody{Model: "demo-rerank", Query: r.id, Stream: r.wantsStream, TopN: rerankTopN}
 	for range r.load.Items {
@@ -193,5 +192,5 @@
 	return body
 }
 
-// textOfTokens is a text that the fake engines count as so many tokens.
+// textOfTokens returns a text that the fake engines count as the given number of tokens.
 func textOfTokens(tokens int) string { return strings.Repeat("ice ", tokens) }
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -1,8 +1,8 @@
 package demo
 
 import (
+	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"sync"
 	"time"
@@ -11,65 +11,67 @@
 
 	"martenlock/internal/fakeengine"
 	"martenlock/internal/invariant"
+	"martenlock/internal/printer"
 )
 
 const (
-	maxRecordedEvents = 4 << 20 // far above what the longest scenario gives; past it nothing is proven
+	maxRecordedEvents = 4 << 20 // far above the events of the longest scenario
 
-	// quiesceDelay passes between the last answer and the check. It is longer than the limit
-	// on KV retention (Rules.PinLimit), so KV state that is still retained is retained too long.
+	// quiesceDelay is the wait between the last answer and the check. It is longer than Rules.KVRetentionLimit, so KV state
+	// that is retained at its end is retained for too long.
 	quiesceDelay = 1500 * time.Millisecond
 
-	drainedProcessExit = 1500 * time.Millisecond // a drained process exits so long after the endpoint list drains it
-	deathListedAfter   = 500 * time.Millisecond  // a process that died leaves the endpoint list so long after its death, at most
+	drainedProcessExit = 1500 * time.Millisecond // time from the drain of an engine to the exit of its process
+	deathListedAfter   = 500 * time.Millisecond  // longest time from the death of a process to its removal from the list
 
-	maxClientConnections = 4096 // idle connections that the clients keep, above what a scenario has in flight
+	maxClientConnections = 4096 // above the requests that a scenario has in flight
 
-	// The histogram of latencies: 1 us to one minute, three significant digits.
+	// Latencies are recorded from 1 us to one minute with three significant digits.
 	maxLatencyMicros  = 60_000_000
 	latencyPrecision  = 3
 	microsPerMilli    = 1000
 	timelineRowLength = 2 * time.Second
 )
 
-// scenarioRun is a scenario that is being run.
+// scenarioRun is the run of a scenario.
 type scenarioRun struct {
 	scenario  *Scenario
-	world     *Cluster
+	cluster   *Cluster
 	recording *invariant.Recording
-	out       io.Writer
 	baseURL   string // of the router
 	client    *http.Client
 	startedAt time.Time
 	tasks     sync.WaitGroup // requests and faults
 
-	mu        sync.Mutex // guards what follows, and out while tasks run
+	mu        sync.Mutex // guards the fields below
+	out       *printer.Printer
 	latencies *hdrhistogram.Histogram
-	err       error // the first that makes the run void
+	err       error // first error that invalidates the run
 }
 
-// Run runs the scenario against a router and fake engines of its own, prints how requests
-// fared, and reports whether the rules held.
+// Run runs the scenario with a router and fake engines of its own and prints how requests ended. The report says whether
+// the rules held.
 func (s *Scenario) Run(options RunOptions) (*invariant.Report, error) {
 	recording := invariant.NewRecording(maxRecordedEvents)
-	world, err := Start(Options{
-		Listen:   options.Listen,
-		Seed:     uint64(s.Seed) + 1,
-		LogLevel: options.LogLevel,
-		Log:      options.Log,
-		Rec:      recording,
+	cluster, err := Start(Options{
+		Listen:    options.Listen,
+		Seed:      uint64(s.Seed) + 1,
+		LogLevel:  options.LogLevel,
+		Log:       options.Log,
+		Recording: recording,
 	})
 	if err != nil {
 		return nil, err
 	}
 	requests := s.plan()
-	address := world.Service.Router.Addr()
-	fmt.Fprintf(options.Out, "fault scenario: %d requests in %v at %s, %d faults\n", len(requests), s.Length, address, len(s.Faults))
+	address := cluster.Service.Router.Addr()
+	out := printer.New(options.Out)
+	out.Printf("fault scenario: %d requests in %v at %s, %d faults\n", len(requests), s.Length, address, len(s.Faults))
 	run := &scenarioRun{
 		scenario:  s,
-		world:     world,
+		cluster:   cluster,
 		recording: recording,
-		out:       options.Out,
+		out:       out,
 		baseURL:   "http://" + address,
 		client: &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: maxClientConnections,
@@ -83,16 +85,17 @@
 	run.tasks.Wait()
 	time.Sleep(quiesceDelay)
 	run.client.CloseIdleConnections()
-	report := invariant.Check(recording, options.Rules, world.Clock())
+	report := invariant.Check(recording, options.Rules, cluster.Clock())
 	run.printLatencies(scheduleLag)
 	run.printTimeline()
-	if run.err != nil {
-		return nil, run.err
+	err = errors.Join(run.err, out.Err())
+	if err != nil {
+		return nil, err
 	}
-	return report, world.Close()
+	return report, cluster.Close()
 }
 
-// startFaults starts a task for each fault. Bursts are in the plan of requests already.
+// startFaults starts a task for each fault. The plan of requests contains the bursts.
 func (run *scenarioRun) startFaults() {
 	for i := range run.scenario.Faults {
 		fault := &run.scenario.Faults[i]
@@ -102,8 +105,7 @@
 	}
 }
 
-// sendAll starts a task for each request when it is due, and returns by how much the latest
-// of them was behind its time.
+// sendAll starts a task for each request when it is due. It returns the greatest delay of a request.
 func (run *scenarioRun) sendAll(requests []plannedRequest) (scheduleLag time.Duration) {
 	for i := range requests {
 		request := &requests[i]
@@ -115,7 +117,7 @@
 	return scheduleLag
 }
 
-// fail makes the run void; the first error is kept.
+// fail invalidates the run. Only the first error is kept.
 func (run *scenarioRun) fail(err error) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -129,19 +131,19 @@
 	time.Sleep(time.Until(run.startedAt.Add(at)))
 }
 
-// injectFault injects a fault from its start to its end.
+// injectFault injects a fault and returns at its end.
 func (run *scenarioRun) injectFault(fault *Fault) {
 	run.sleepUntil(fault.Start)
 	var engines []*fakeengine.Engine
 	for _, target := range fault.Targets {
-		found := run.world.find(target)
+		found := run.cluster.findEngines(target)
 		if len(found) == 0 {
 			run.fail(fmt.Errorf("fault %q: no engine %q", fault.Name, target))
 		}
 		engines = append(engines, found...)
 	}
 	run.mu.Lock()
-	fmt.Fprintf(run.out, "%5.1fs %s\n", fault.Start.Seconds(), fault.Name)
+	run.out.Printf("%5.1fs %s\n", fault.Start.Seconds(), fault.Name)
 	run.mu.Unlock()
 	switch fault.Kind {
 	case FaultDie:
@@ -153,45 +155,44 @@
 	}
 }
 
-// checkFault makes the run void where a step of a fault failed.
+// checkFault invalidates the run if a step of a fault failed.
 func (run *scenarioRun) checkFault(fault *Fault, err error) {
 	if err != nil {
 		run.fail(fmt.Errorf("fault %q: %w", fault.Name, err))
 	}
 }
 
-// injectDeath ends the engines' processes, which the endpoint list shows a little later, and
-// starts them anew when the fault is over.
+// injectDeath ends the engines' processes, updates the endpoint list a little later, and restarts the processes at the end
+// of the fault.
 func (run *scenarioRun) injectDeath(fault *Fault, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
 		engine.Kill()
 	}
 	run.sleepUntil(fault.Start + min(deathListedAfter, fault.Length/2))
-	run.checkFault(fault, run.world.Say("gone", false, engines...))
+	run.checkFault(fault, run.cluster.SetState(Gone, false, engines...))
 	run.sleepUntil(fault.end())
 	for _, engine := range engines {
 		run.checkFault(fault, engine.Restart())
 	}
-	run.checkFault(fault, run.world.Say("ready", true, engines...))
+	run.checkFault(fault, run.cluster.SetState(Ready, true, engines...))
 }
 
-// injectReplacement starts a successor of each engine in slow start and drains the engines;
-// their processes exit a while later.
+// injectReplacement starts a successor of each engine in slow start and drains the engines. Their processes exit later.
 func (run *scenarioRun) injectReplacement(fault *Fault, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
 		successor := engine.Spec
 		successor.Name += "-next"
-		run.checkFault(fault, run.world.Add(successor, true))
+		run.checkFault(fault, run.cluster.AddEngine(successor, true))
 	}
-	run.checkFault(fault, run.world.Say("draining", false, engines...))
+	run.checkFault(fault, run.cluster.SetState(Draining, false, engines...))
 	run.sleepUntil(fault.Start + drainedProcessExit)
-	run.checkFault(fault, run.world.Say("gone", false, engines...))
+	run.checkFault(fault, run.cluster.SetState(Gone, false, engines...))
 	for _, engine := range engines {
 		engine.Kill()
 	}
 }
 
-// injectEngineFault sets a fault of the engines and clears it when it is over.
+// injectEngineFault sets a fault of the engines and clears it at its end.
 func (run *scenarioRun) injectEngineFault(fault *Fault, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
 		engine.SetFault(fault.engineFault())
@@ -202,38 +203,38 @@
 	}
 }
 
-// printLatencies prints the time to the first token, or to the whole answer where it is not
-// streamed, and by how much the load fell behind its schedule.
+// printLatencies prints the time to the first token or, if an answer was not streamed, to the complete answer. It also
+// prints the greatest delay of the load.
 func (run *scenarioRun) printLatencies(scheduleLag time.Duration) {
 	p50 := float64(run.latencies.ValueAtQuantile(50)) / microsPerMilli
 	p99 := float64(run.latencies.ValueAtQuantile(99)) / microsPerMilli
 	lag := scheduleLag.Seconds() * 1000
-	fmt.Fprintf(run.out, "first token or whole answer: p50 %.1f ms, p99 %.1f ms; the load was at most %.1f ms behind its schedule\n", p50, p99, lag)
+	run.out.Printf("first token or whole answer: p50 %.1f ms, p99 %.1f ms; the load was at most %.1f ms behind its schedule\n", p50, p99, lag)
 }
 
-// answerCounts is a number of answers by invariant.Result.
+// answerCounts counts answers by invariant.Result.
 type answerCounts [4]int
 
-// printTimeline prints how requests ended, by when they were sent.
+// printTimeline prints how requests ended by the time when they were sent.
 func (run *scenarioRun) printTimeline() {
 	rows := run.timeline()
-	fmt.Fprintf(run.out, "sent at      served refused failed\n")
+	run.out.Printf("sent at      served rejected failed\n")
 	for i, row := range rows {
 		if row == (answerCounts{}) {
 			continue
 		}
 		from := (time.Duration(i) * timelineRowLength).Seconds()
 		to := (time.Duration(i+1) * timelineRowLength).Seconds()
-		fmt.Fprintf(run.out, "%4.0f to %2.0f s  %6d %7d %6d\n",
+		run.out.Printf("%4.0f to %2.0f s  %6d %8d %6d\n",
 			from, to, row[invariant.Served], row[invariant.Rejected], row[invariant.Failed])
 	}
 }
 
-// timeline counts answers in rows of timelineRowLength, by when their requests were sent.
+// timeline counts answers by the time when their requests were sent, in rows of timelineRowLength.
 func (run *scenarioRun) timeline() []answerCounts {
 	rows := make([]answerCounts, int(run.scenario.Length/timelineRowLength)+1)
 	rowOfRequest := map[string]int{}
-	offset := run.startedAt.Sub(run.world.startedAt)
+	offset := run.startedAt.Sub(run.cluster.startedAt)
 	events := run.recording.Events()
 	for i := range events {
 		event := &events[i]
@@ -243,6 +244,8 @@
 			rowOfRequest[event.Request] = min(max(row, 0), len(rows)-1)
 		case invariant.FinalAnswer:
 			rows[rowOfRequest[event.Request]][event.Result]++
+		default:
+			// Other events say nothing about how a request ended.
 		}
 	}
 	return rows
--- a/internal/demo/scenarioclient.go
+++ b/internal/demo/scenarioclient.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	maxStreamLength = 30 * time.Second // a stream that takes longer past its deadline counts as endless
+	maxStreamLength = 30 * time.Second // time after its deadline at which a stream is aborted
 
-	slowReadBytes = 64                    // that a slow client reads at once
-	slowReadPause = 10 * time.Millisecond // before each of its reads
+	slowReadBytes = 64                    // bytes of one read of a slow client
+	slowReadPause = 10 * time.Millisecond // wait before each of its reads
 )
 
-// send sends a request and records what its client sees.
+// send sends a request and records what its client observes.
 func (run *scenarioRun) send(planned *plannedRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), planned.deadline+maxStreamLength)
 	defer cancel()
@@ -30,7 +30,7 @@
 		run.fail(err)
 		return
 	}
-	sentAt := run.world.Clock()
+	sentAt := run.cluster.Clock()
 	run.recording.Add(invariant.Event{
 		At:          sentAt,
 		Kind:        invariant.RequestSent,
@@ -41,7 +41,7 @@
 	})
 	if planned.disconnectAfter > 0 {
 		timer := time.AfterFunc(planned.disconnectAfter, func() {
-			run.recording.Add(invariant.Event{At: run.world.Clock(), Kind: invariant.ClientLeft, Request: planned.id})
+			run.recording.Add(invariant.Event{At: run.cluster.Clock(), Kind: invariant.ClientLeft, Request: planned.id})
 			cancel()
 		})
 		defer timer.Stop()
@@ -49,11 +49,11 @@
 	onFirstToken := func() { run.recordFirstToken(planned, sentAt) }
 	result, answered := run.receive(request, planned, onFirstToken)
 	if answered {
-		run.recording.Add(invariant.Event{At: run.world.Clock(), Kind: invariant.FinalAnswer, Request: planned.id, Result: result})
+		run.recording.Add(invariant.Event{At: run.cluster.Clock(), Kind: invariant.FinalAnswer, Request: planned.id, Result: result})
 	}
 }
 
-// newRequest makes the HTTP request of a planned one.
+// newRequest returns the HTTP request of a planned request.
 func (run *scenarioRun) newRequest(ctx context.Context, planned *plannedRequest) (*http.Request, error) {
 	body, err := planned.body()
 	if err != nil {
@@ -69,23 +69,24 @@
 	return request, nil
 }
 
-// recordFirstToken records that the first token, or a whole answer, has come.
+// recordFirstToken records that the first token, or a complete answer, arrived.
 func (run *scenarioRun) recordFirstToken(planned *plannedRequest, sentAt time.Duration) {
-	now := run.world.Clock()
+	now := run.cluster.Clock()
 	run.recording.Add(invariant.Event{At: now, Kind: invariant.FirstToken, Request: planned.id})
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	_ = run.latencies.RecordValue((now - sentAt).Microseconds()) // one past the histogram's end is left out
+	// The only error is a latency beyond the histogram, which is left out.
+	_ = run.latencies.RecordValue((now - sentAt).Microseconds())
 }
 
-// receive sends the request and reads its answer; answered is false where there is none:
-// the client has disconnected or the connection broke.
+// receive sends the request and reads its answer. answered is false if the client disconnected or the connection failed
+// before an answer.
 func (run *scenarioRun) receive(request *http.Request, planned *plannedRequest, onFirstToken func()) (result invariant.Result, answered bool) {
 	response, err := run.client.Do(request)
 	if err != nil {
 		return 0, false
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // the body was read to its end or failed
 	switch {
 	case response.StatusCode != http.StatusOK:
 		return classifyError(response), true
@@ -96,7 +97,7 @@
 	}
 }
 
-// classifyError tells which promise an error response makes.
+// classifyError returns the result that an error response stands for.
 func classifyError(response *http.Response) invariant.Result {
 	body, err := io.ReadAll(response.Body)
 	if err != nil || !bytes.Contains(body, []byte(`"error"`)) {
@@ -144,7 +145,7 @@
 		data, isEvent := strings.CutPrefix(lines.Text(), "data: ")
 		switch {
 		case !isEvent, isDone:
-			return invariant.Malformed, true // no event, or one after the end
+			return invariant.Malformed, true // not an event, or an event after the end
 		case data == "[DONE]":
 			isDone = true
 		case strings.HasPrefix(data, `{"error"`):
@@ -163,10 +164,10 @@
 	return invariant.Malformed, true
 }
 
-// slowReader is the connection of a client that reads slowly.
+// slowReader limits the rate of a reader.
 type slowReader struct{ reader io.Reader }
 
-// Read implements io.Reader: a few bytes after a pause.
+// Read implements io.Reader. It waits, then reads a few bytes.
 func (s slowReader) Read(buffer []byte) (int, error) {
 	time.Sleep(slowReadPause)
 	return s.reader.Read(buffer[:min(len(buffer), slowReadBytes)])
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -7,8 +7,8 @@
 	"martenlock/internal/invariant"
 )
 
-// Settings is the demo's settings file as a format of fmt.Sprintf: the address to listen on,
-// the seed and the log level are filled in. It is a good start for one's own file.
+// Settings is the settings file of the demo as a format of fmt.Sprintf. Its arguments are the address to listen on, the seed
+// and the log level.
 const Settings = `# Settings of a martenlock router. Every key is explained in docs/operating.md.
 [router]
 listen = %s
@@ -93,7 +93,7 @@
 parts = 256
 `
 
-// Rules are the limits that runs of the demo are checked against. They are those of Settings.
+// Rules are the limits that the rules of invariant compare with. They are those of Settings.
 var Rules = invariant.Limits{
 	Skew:                  50 * time.Millisecond,
 	DrainGrace:            250 * time.Millisecond,
@@ -104,7 +104,7 @@
 	OverloadWindow:        time.Second,
 }
 
-// ExampleRequests is three shell commands that send requests to a router of the demo.
+// ExampleRequests returns three shell commands that send requests to a router of the demo.
 func ExampleRequests(address string) string {
 	return fmt.Sprintf(`  curl -N http://%[1]s/v1/chat/completions -d '{"model":"demo-chat","stream":true,"messages":[{"role":"system","content":"You are a plumber."},{"role":"user","content":"My pipe is frozen."}]}'
   curl http://%[1]s/v1/embeddings -d '{"model":"demo-embed","input":["frozen pipe","warm boiler"],"dimensions":4}'
--- a/internal/demo/target.go
+++ b/internal/demo/target.go
@@ -6,25 +6,24 @@
 	"martenlock/internal/fakeengine"
 )
 
-// TargetProperty is the property of engines by which a Target selects them.
+// TargetProperty is a property of engines by which a Target selects them.
 type TargetProperty string
 
-// The properties, as they are written before the colon of a target.
+// The properties, as a target spells them before its colon.
 const (
-	TargetName TargetProperty = "" // written without a colon
+	TargetName TargetProperty = "" // without a colon
 	TargetZone TargetProperty = "zone"
 	TargetKind TargetProperty = "kind"
 	TargetPool TargetProperty = "pool"
 )
 
-// Target selects engines: those whose property has the value.
+// Target selects the engines whose property has the value.
 type Target struct {
 	Property TargetProperty
 	Value    string
 }
 
-// ParseTarget reads NAME, zone:NAME, kind:NAME or pool:NAME. A target with another property
-// selects nothing.
+// ParseTarget parses NAME, zone:NAME, kind:NAME or pool:NAME. A target with another property selects nothing.
 func ParseTarget(text string) Target {
 	property, value, hasProperty := strings.Cut(text, ":")
 	if !hasProperty {
@@ -33,7 +32,7 @@
 	return Target{Property: TargetProperty(property), Value: value}
 }
 
-// String writes the target as ParseTarget reads it.
+// String returns the target in the form that ParseTarget accepts.
 func (t Target) String() string {
 	if t.Property == TargetName {
 		return t.Value
@@ -41,7 +40,7 @@
 	return string(t.Property) + ":" + t.Value
 }
 
-// matches tells whether the target selects an engine.
+// matches reports whether the target selects an engine.
 func (t Target) matches(spec *fakeengine.Spec) bool {
 	switch t.Property {
 	case TargetName:
--- a/internal/openaiserver/embed_test.go
+++ b/internal/openaiserver/embed_test.go
@@ -138,12 +138,12 @@
 	})
 	t.Run("poison", func(t *testing.T) {
 		w := start(t, []fakeengine.Spec{embedder("e1"), embedder("e2"), embedder("e3"), embedder("e4"), embedder("e5")}, "join_wait = 5ms", patient, "[class search]\n", "[class search]\nmax_attempts = 2\n")
-		for _, e := range w.Find("pool:embeddings") {
+		for _, e := range w.FindEngines("pool:embeddings") {
 			e.SetFault(fakeengine.Fault{PrefillDelay: 500 * ms})
 		}
 		var wait sync.WaitGroup
 		waiting := func() (n int) {
-			for _, e := range w.Find("pool:embeddings") {
+			for _, e := range w.FindEngines("pool:embeddings") {
 				n += e.Stats().Waiting
 			}
 			return n
@@ -163,7 +163,7 @@
 		}
 		wait.Wait()
 		alive := 0
-		for _, e := range w.Find("pool:embeddings") {
+		for _, e := range w.FindEngines("pool:embeddings") {
 			if c, err := net.Dial("tcp", e.Addr().String()); err == nil {
 				c.Close()
 				alive++
@@ -221,7 +221,7 @@
 				}
 			})
 			if i == 30 {
-				if err := w.Say("draining", false, w.engine("e2")); err != nil {
+				if err := w.SetState("draining", false, w.engine("e2")); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -311,7 +311,7 @@
 	time.AfterFunc(100*ms, cancel) // while it waits at the gate, or a little before or after
 	most := 0
 	for i := range 30 {
-		for _, e := range w.Find("pool:embeddings") {
+		for _, e := range w.FindEngines("pool:embeddings") {
 			most = max(most, e.Stats().Waiting)
 		}
 		if r := w.post(context.Background(), "/v1/embeddings", "search", fmt.Sprintf(`{"model":"demo-embed","input":"search %d"}`, i)); !r.served() || r.took > time.Second {
@@ -331,14 +331,14 @@
 // its siblings are withdrawn within the KV retention limit.
 func TestShardOutOfTimeEndsTheRequestEarly(t *testing.T) {
 	w := start(t, embedders(2), "part_items = 64", "part_items = 10")
-	for _, e := range w.Find("pool:embeddings") {
+	for _, e := range w.FindEngines("pool:embeddings") {
 		e.SetFault(fakeengine.Fault{Hang: true})
 	}
 	r := w.post(context.Background(), "/v1/embeddings", "search", `{"model":"demo-embed","input":`+inputs(60, "pipe")+`}`, "X-Request-Deadline-Ms", "800")
 	if !r.refused() || r.took > 850*ms {
 		t.Error(r)
 	}
-	for _, e := range w.Find("pool:embeddings") {
+	for _, e := range w.FindEngines("pool:embeddings") {
 		e.SetFault(fakeengine.Fault{})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -384,15 +384,15 @@
 			}
 			e.SetFault(fakeengine.Fault{})
 			if i%10 == 9 {
-				if err := w.Say("draining", false, w.engine("e5")); err != nil {
+				if err := w.SetState("draining", false, w.engine("e5")); err != nil {
 					t.Error(err)
 				}
 			} else if i%10 == 4 {
-				if err := w.Say("ready", false, w.engine("e5")); err != nil {
+				if err := w.SetState("ready", false, w.engine("e5")); err != nil {
 					t.Error(err)
 				}
 			}
-			for _, e := range w.Find("zone:a") { // what a poison killed comes back
+			for _, e := range w.FindEngines("zone:a") { // what a poison killed comes back
 				if err := e.Restart(); err != nil {
 					t.Error(err)
 				}
--- a/internal/openaiserver/router_test.go
+++ b/internal/openaiserver/router_test.go
@@ -81,7 +81,7 @@
 		settings = strings.Replace(settings, edits[i], edits[i+1], 1)
 	}
 	var err error
-	if w.Cluster, err = demo.Start(demo.Options{Specs: specs, Settings: settings, Log: w.log, Rec: w.rec}); err != nil {
+	if w.Cluster, err = demo.Start(demo.Options{Specs: specs, Settings: settings, Log: w.log, Recording: w.rec}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -116,7 +116,7 @@
 		if err != nil || s.OpenRequests > 0 || s.BufferedBytes > 0 || s.PendingKVReleases > 0 {
 			return err != nil
 		}
-		for _, e := range w.Find("zone:a") {
+		for _, e := range w.FindEngines("zone:a") {
 			if x := e.Stats(); x.Running+x.Waiting+x.RetainedStates > 0 {
 				return false
 			}
@@ -125,7 +125,7 @@
 	})
 }
 
-func (w *world) engine(name string) *fakeengine.Engine { return w.Find(name)[0] }
+func (w *world) engine(name string) *fakeengine.Engine { return w.FindEngines(name)[0] }
 
 // call is a request to the router.
 type call struct {
@@ -279,7 +279,7 @@
 				w.engine(name).SetFault(fault)
 			}
 			if c.dead != "" {
-				for _, e := range w.Find(c.dead) {
+				for _, e := range w.FindEngines(c.dead) {
 					e.Kill()
 				}
 			}
@@ -319,7 +319,7 @@
 				w.engine(name).SetFault(fault)
 			}
 			if c.name == "held" {
-				if err := w.Say("gone", false, w.engine("r1")); err != nil {
+				if err := w.SetState("gone", false, w.engine("r1")); err != nil {
 					t.Fatal(err)
 				}
 				w.until("list taken", func() bool { return w.log.has("endpoint list applied") && w.ask(call{deadline: 150 * ms}).refused() })
@@ -373,10 +373,10 @@
 		w.until("load", func() bool { return served.Load() > int64(100*(i+1)) })
 		next := list[map[string]int{"r1": 0, "r2": 1, "w1": 2, "w2": 3}[name]]
 		next.Name += "-next"
-		if err := w.Add(next, true); err != nil {
+		if err := w.AddEngine(next, true); err != nil {
 			t.Fatal(err)
 		}
-		if err := w.Say("draining", false, w.engine(name)); err != nil {
+		if err := w.SetState("draining", false, w.engine(name)); err != nil {
 			t.Fatal(err)
 		}
 		at := w.engine(name)
@@ -697,13 +697,13 @@
 	gate := make(chan struct{})
 	w := &world{t: t, rec: invariant.NewRecording(1 << 16), log: &logged{}}
 	var err error
-	if w.Cluster, err = demo.Start(demo.Options{Specs: two(1, 1), Listen: "127.0.0.1:0", Seed: 1, LogLevel: "info", Log: gated{gate}, Rec: w.rec}); err != nil {
+	if w.Cluster, err = demo.Start(demo.Options{Specs: two(1, 1), Listen: "127.0.0.1:0", Seed: 1, LogLevel: "info", Log: gated{gate}, Recording: w.rec}); err != nil {
 		t.Fatal(err)
 	}
 	for range 30_000 { // a line each
 		w.Service.Router.SetNodes(nil)
 	}
-	if err := w.Publish(); err != nil {
+	if err := w.PublishEndpoints(); err != nil {
 		t.Fatal(err)
 	}
 	w.until("served again", func() bool { return w.ask(call{deadline: time.Second}).served() })
--- a/internal/openaiserver/scatter_test.go
+++ b/internal/openaiserver/scatter_test.go
@@ -111,7 +111,7 @@
 	}
 	for _, pool := range []string{"pool:embeddings", "pool:rerank"} {
 		used := 0
-		for _, e := range split.Find(pool) {
+		for _, e := range split.FindEngines(pool) {
 			if e.Stats().Served > 0 {
 				used++
 			}
@@ -176,7 +176,7 @@
 // while shards wait, or when half are done; a drain meets it.
 func TestScatteredRequestIsWithdrawnWhenItsClientLeaves(t *testing.T) {
 	w := start(t, embedders(3), "part_items = 64", "part_items = 10")
-	for _, e := range w.Find("pool:embeddings") {
+	for _, e := range w.FindEngines("pool:embeddings") {
 		e.SetFault(fakeengine.Fault{PrefillDelay: 500 * ms})
 	}
 	w.engine("e1").SetFault(fakeengine.Fault{})
@@ -194,7 +194,7 @@
 	}
 	go func() { done <- w.post(context.Background(), "/v1/embeddings", "search", body) }()
 	w.until("parts wait", func() bool { return w.engine("e2").Stats().Waiting > 0 })
-	if err := w.Say("draining", false, w.engine("e2")); err != nil {
+	if err := w.SetState("draining", false, w.engine("e2")); err != nil {
 		t.Fatal(err)
 	}
 	if r := <-done; !r.served() {
@@ -276,7 +276,7 @@
 	w := start(t, embedders(5), "[class search]\n", "[class search]\nmax_attempts = 2\n")
 	r := w.post(context.Background(), "/v1/embeddings", "search", `{"model":"demo-embed","input":["good","`+fakeengine.CrashMarker+`"]}`)
 	alive := 0
-	for _, e := range w.Find("pool:embeddings") {
+	for _, e := range w.FindEngines("pool:embeddings") {
 		if c, err := net.Dial("tcp", e.Addr().String()); err == nil {
 			c.Close()
 			alive++
--- a/internal/openaiserver/size_test.go
+++ b/internal/openaiserver/size_test.go
@@ -24,7 +24,7 @@
 		return `{"model":"demo-chat",` + max + `"messages":[{"role":"user","content":"` + strings.Repeat("ice ", tokens) + `"}]}`
 	}
 	seen := func() (n int) {
-		for _, e := range w.Find("zone:a") {
+		for _, e := range w.FindEngines("zone:a") {
 			n += e.Stats().Served
 		}
 		return n
