--- a/control/membership/ended.go
+++ b/control/membership/ended.go
@@ -2,38 +2,38 @@
 
 import "martenlock/control"
 
-// endedEndpoints remembers, for EndedRetention, the endpoints that were held and have ended. The
-// zero value is empty and ready for use.
+// endedEndpoints remembers the endpoints that were in the view and have ended, for EndedRetention.
+// It holds at most MaxEndpoints. The zero value is empty and ready for use.
 type endedEndpoints struct {
-	ends  map[control.EndpointID]endedStart
-	order []control.EndpointID // as they ended; some may have started again, or ended again
+	ends  map[control.EndpointID]endRecord
+	order []control.EndpointID // in the order of their ends; some may have started or ended again
 }
 
-// endedStart is the start of an endpoint that has ended.
-type endedStart struct {
+// endRecord identifies the start of an endpoint that has ended.
+type endRecord struct {
 	startedAt  control.Time
 	recordedAt control.Time
 }
 
-// startOf returns which start of an endpoint has ended, or false for none.
+// startOf returns the start of an endpoint that has ended. It returns false if no end is remembered.
 func (e *endedEndpoints) startOf(id control.EndpointID) (startedAt control.Time, ok bool) {
 	end, ok := e.ends[id]
 	return end.startedAt, ok
 }
 
-// record remembers the end of an endpoint. One that was never held, the zero Endpoint, is left out.
+// record remembers the end of an endpoint. It ignores the zero Endpoint, which was never in the view.
 func (e *endedEndpoints) record(now control.Time, endpoint Endpoint) {
 	if e.ends == nil {
-		e.ends = map[control.EndpointID]endedStart{}
+		e.ends = map[control.EndpointID]endRecord{}
 	}
 	if endpoint.ID == 0 || len(e.order) >= MaxEndpoints {
 		return
 	}
-	e.ends[endpoint.ID] = endedStart{startedAt: endpoint.StartedAt, recordedAt: now}
+	e.ends[endpoint.ID] = endRecord{startedAt: endpoint.StartedAt, recordedAt: now}
 	e.order = append(e.order, endpoint.ID)
 }
 
-// forget drops an endpoint that has started again.
+// forget drops the end of an endpoint that has started again.
 func (e *endedEndpoints) forget(id control.EndpointID) { delete(e.ends, id) }
 
 // expire drops the ends recorded more than EndedRetention ago.
--- a/control/membership/example_test.go
+++ b/control/membership/example_test.go
@@ -17,18 +17,21 @@
 	}
 	const now = control.Time(1_000_000)
 	var view membership.View
-	view.Apply(now, membership.Update{Revision: 7, Complete: true, Endpoints: []membership.Endpoint{endpoint(1, control.Ready)}})
+	current := membership.Update{Revision: 7, Complete: true, Endpoints: []membership.Endpoint{endpoint(1, control.Ready)}}
+	if _, err := view.Apply(now, current); err != nil {
+		fmt.Println(err)
+	}
 
-	// A stale list that knows another endpoint changes nothing at first.
+	// A stale list with another endpoint changes nothing at first.
 	stale := membership.Update{Revision: 3, Complete: true, Endpoints: []membership.Endpoint{endpoint(2, control.Ready)}}
-	change, _ := view.Apply(now, stale)
-	fmt.Println("nothing new:", change.IsEmpty())
+	change, err := view.Apply(now, stale)
+	fmt.Println("unchanged:", change.IsEmpty(), err)
 
-	// It applies where nothing else has come for StaleAcceptDelay.
+	// It applies if nothing else arrives for StaleAcceptDelay.
 	deadline, _ := view.NextDeadline()
 	change = view.Poll(deadline)
 	fmt.Println("after", deadline.Sub(now), "revision", view.Revision(), "endpoint", change.Endpoints[0].ID)
 	// Output:
-	// nothing new: true
+	// unchanged: true <nil>
 	// after 500ms revision 3 endpoint 2
 }
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -1,13 +1,13 @@
-// Package membership keeps the endpoint list that discovery sends: complete lists and changes,
-// in order or not, current or stale. Like package control, it does no I/O and reads no clock.
+// Package membership maintains the endpoint list that discovery sends as complete lists and as
+// changes, in any order, current or stale. Like package control, it does no I/O and reads no clock.
 //
-// An update of the revision held or a later one applies. One of an earlier revision is stale: it
-// ends endpoints at once, since a request sent to an endpoint that has ended may be lost, but adds
-// none. Where a stale complete list is all that comes for StaleAcceptDelay, discovery has lost its
-// later revisions and counts anew, and the list applies as a whole; only endpoints that a later
-// revision had ended stay ended until EndedRetention has passed.
+// An update with the view's revision or a later one applies. An update with an earlier revision is
+// stale. It ends endpoints at once, since a request sent to an endpoint that has ended may be lost,
+// but it adds none. If nothing but stale complete lists arrives for StaleAcceptDelay, discovery has
+// lost its later revisions and restarted its count, and the list applies. Endpoints that a later
+// revision ended stay ended even then, until EndedRetention has passed.
 //
-// The package also holds the time-outs and the backoff of the connections to discovery.
+// The package also has the time-outs and the backoff of the connections to discovery.
 package membership
 
 import (
@@ -23,41 +23,43 @@
 type Endpoint struct {
 	control.Endpoint
 	Addr netip.AddrPort
-	Name string // as it is listed, for the log
+	Name string // as discovery lists it, for logs
 }
 
 // Update is one message of discovery.
 type Update struct {
 	Revision  uint64
-	Complete  bool // an endpoint that is not in it is gone
+	Complete  bool // an endpoint that is not in Endpoints is gone
 	Endpoints []Endpoint
 }
 
-// Change is what an update or the passing of time made of the view, for the view's subscribers.
+// Change is what an update or the passing of time has changed in a view.
 type Change struct {
 	control.EndpointUpdate
 }
 
-// IsEmpty tells whether there is nothing to notify subscribers of.
+// IsEmpty reports whether nothing has changed.
 func (c Change) IsEmpty() bool { return !c.Full && len(c.Endpoints) == 0 }
 
 const (
-	// StaleAcceptDelay is how long a stale complete list must be all that comes before it applies:
-	// a later one that it crossed on the way is here by then. What discovery has when it is back
-	// counts as told at once, and the shortest drain grace comes on top.
+	// StaleAcceptDelay is the time after which a stale complete list applies if nothing else arrives.
+	// A later list that the stale one has overtaken arrives within it. It must be short: the platform
+	// counts a list as known as soon as discovery is back, and allows only the drain grace in
+	// addition.
 	StaleAcceptDelay = 500 * time.Millisecond
-	// EndedRetention is how long the end of an endpoint holds against stale lists: it is remembered
-	// for so long, and a stale list that is still all that comes after so long applies in full.
+	// EndedRetention is how long the end of an endpoint is remembered and overrides stale lists. A
+	// stale list applies in full if nothing else arrives for as long.
 	EndedRetention = 10 * time.Second
-	// MaxEndpoints bounds the endpoints held, and those remembered as ended.
+	// MaxEndpoints bounds the endpoints in the view, and those remembered as ended.
 	MaxEndpoints = 20000
 )
 
-// ErrTooManyEndpoints is returned for an update with which the view would hold more than
+// ErrTooManyEndpoints is returned for an update after which the view would have more than
 // MaxEndpoints.
-var ErrTooManyEndpoints = errors.New("membership: more endpoints than can be held")
+var ErrTooManyEndpoints = errors.New("membership: too many endpoints")
 
-// View is the endpoint list as held. The zero View is empty and ready for use.
+// View is the current endpoint list. The zero View is empty and ready for use. It is not safe for
+// concurrent use.
 type View struct {
 	revision  uint64
 	endpoints map[control.EndpointID]Endpoint
@@ -65,27 +67,28 @@
 	stale     staleList
 }
 
-// staleList is a complete list of an earlier revision than the one held, which may come to apply.
+// staleList is a complete list of an earlier revision than the view's. It applies if nothing else
+// arrives.
 type staleList struct {
-	update              *Update // the latest such list; nil for none
-	since               control.Time
-	isPartiallyAccepted bool // it applies, but for what a later revision had ended
+	update            *Update // the latest such list; nil for none
+	since             control.Time
+	partiallyAccepted bool // the list applies except for what a later revision ended
 }
 
-// Revision returns the revision held.
+// Revision returns the revision of the list.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Get returns an endpoint that is held.
+// Get returns an endpoint of the list, and false if it has none with that id.
 func (v *View) Get(id control.EndpointID) (Endpoint, bool) {
 	endpoint, ok := v.endpoints[id]
 	return endpoint, ok
 }
 
-// Len returns the number of endpoints held.
+// Len returns the number of endpoints.
 func (v *View) Len() int { return len(v.endpoints) }
 
-// Apply applies an update, and returns what changed. The only error is ErrTooManyEndpoints; the
-// view is then as before.
+// Apply applies an update and returns what has changed. Its only error is ErrTooManyEndpoints, which
+// leaves the view unchanged.
 func (v *View) Apply(now control.Time, update Update) (Change, error) {
 	if v.wouldExceedLimit(update) {
 		return Change{}, ErrTooManyEndpoints
@@ -97,9 +100,10 @@
 	if update.Complete {
 		v.keepStale(now, update)
 	}
-	return v.replace(now, v.endsIn(update)), nil
+	return v.replace(now, v.withEndsOnly(update)), nil
 }
 
+// wouldExceedLimit reports whether the view could have more than MaxEndpoints after an update.
 func (v *View) wouldExceedLimit(update Update) bool {
 	if len(update.Endpoints) > MaxEndpoints {
 		return true
@@ -107,61 +111,62 @@
 	return !update.Complete && len(v.endpoints)+len(update.Endpoints) > MaxEndpoints
 }
 
-// keepStale keeps a stale complete list for Poll. The delay counts from the first of several.
+// keepStale keeps a stale complete list for Poll. The delay starts with the first of several lists.
 func (v *View) keepStale(now control.Time, update Update) {
 	if v.stale.update == nil {
 		v.stale.since = now
-		v.stale.isPartiallyAccepted = false
+		v.stale.partiallyAccepted = false
 	}
 	v.stale.update = &update
 }
 
-// endsIn returns those entries of a stale update that end endpoints which are held as ready, as an
-// update of the revision held. The end of an earlier start does not end a later one.
-func (v *View) endsIn(stale Update) Update {
+// withEndsOnly returns the entries of a stale update that end endpoints which are ready, as an update
+// of the view's revision. The end of an earlier start does not end a later one.
+func (v *View) withEndsOnly(stale Update) Update {
 	ends := Update{Revision: v.revision}
 	for _, endpoint := range stale.Endpoints {
-		held, ok := v.endpoints[endpoint.ID]
-		if !ok || held.State != control.Ready || endpoint.State == control.Ready {
+		current, ok := v.endpoints[endpoint.ID]
+		if !ok || current.State != control.Ready || endpoint.State == control.Ready {
 			continue
 		}
-		if endpoint.StartedAt >= held.StartedAt {
+		if endpoint.StartedAt >= current.StartedAt {
 			ends.Endpoints = append(ends.Endpoints, endpoint)
 		}
 	}
 	return ends
 }
 
-// Poll applies a stale list whose time has come, and returns what changed.
+// Poll applies a stale list that is due and returns what has changed. It must be called at
+// NextDeadline.
 func (v *View) Poll(now control.Time) Change {
 	deadline, ok := v.NextDeadline()
 	if !ok || now < deadline {
 		return Change{}
 	}
 	update := *v.stale.update
-	if v.stale.isPartiallyAccepted {
+	if v.stale.partiallyAccepted {
 		v.stale.update = nil
 		return v.replace(now, update)
 	}
-	v.stale.isPartiallyAccepted = true
+	v.stale.partiallyAccepted = true
 	update.Endpoints = v.withEndedDraining(update.Endpoints)
 	return v.replace(now, update)
 }
 
-// NextDeadline returns when Poll has something to do if no update comes. It returns false where no
-// stale list is kept.
+// NextDeadline returns when Poll must be called if no update arrives before. It returns false while
+// no stale list is kept.
 func (v *View) NextDeadline() (deadline control.Time, ok bool) {
 	if v.stale.update == nil {
 		return 0, false
 	}
-	if v.stale.isPartiallyAccepted {
+	if v.stale.partiallyAccepted {
 		return v.stale.since.Add(EndedRetention), true
 	}
 	return v.stale.since.Add(StaleAcceptDelay), true
 }
 
-// withEndedDraining returns a copy of a stale list in which the endpoints are draining that a later
-// revision had ended, unless they have started anew since.
+// withEndedDraining returns a copy of a stale list in which endpoints that a later revision ended are
+// draining, unless they have started again since.
 func (v *View) withEndedDraining(stale []Endpoint) []Endpoint {
 	endpoints := slices.Clone(stale)
 	for i := range endpoints {
@@ -174,11 +179,12 @@
 	return endpoints
 }
 
-// endedStart returns which start of an endpoint is known to have ended, or false for none.
+// endedStart returns the start of an endpoint that is known to have ended. It returns false if none
+// is.
 func (v *View) endedStart(id control.EndpointID) (startedAt control.Time, ok bool) {
-	held, isHeld := v.endpoints[id]
-	if isHeld && held.State == control.Draining {
-		return held.StartedAt, true
+	current, isListed := v.endpoints[id]
+	if isListed && current.State == control.Draining {
+		return current.StartedAt, true
 	}
 	return v.ended.startOf(id)
 }
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"errors"
 	"net/netip"
 	"slices"
 	"testing"
@@ -19,11 +20,21 @@
 	return endpoint
 }
 
-// readyIDs returns the ids of the endpoints that are held as ready, ascending.
+// apply applies an update, which must be within the limit.
+func apply(t *testing.T, view *View, now control.Time, update Update) Change {
+	t.Helper()
+	change, err := view.Apply(now, update)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return change
+}
+
+// readyIDs returns the ids of the endpoints that are ready, in ascending order.
 func (v *View) readyIDs() []control.EndpointID {
 	var ready []control.EndpointID
-	for id, held := range v.endpoints {
-		if held.State == control.Ready {
+	for id, endpoint := range v.endpoints {
+		if endpoint.State == control.Ready {
 			ready = append(ready, id)
 		}
 	}
@@ -31,11 +42,11 @@
 	return ready
 }
 
-// TestStaleListsDoNotBringBackEndedEndpoints plays lists and changes in order, out of order and
-// counted anew. What a later revision ended stays ended against a stale complete list, until
-// nothing else has come for EndedRetention.
+// TestStaleListsDoNotBringBackEndedEndpoints: an endpoint that a later revision ended stays ended
+// despite stale complete lists, until nothing else has arrived for EndedRetention. The steps are lists
+// and changes in order, out of order and with revisions that start again.
 func TestStaleListsDoNotBringBackEndedEndpoints(t *testing.T) {
-	const poll = 1 << 40 // as a revision: no update comes, time alone passes
+	const poll = 1 << 40 // as a revision: no update arrives, only time passes
 	var view View
 	steps := []struct {
 		name    string
@@ -48,18 +59,18 @@
 		{"an empty change", 0, Update{4, false, nil}, false, []control.EndpointID{1, 2}},
 		{"a change", 1, Update{5, false, []Endpoint{newEndpoint(1, control.Draining), newEndpoint(3, control.Ready)}}, true, []control.EndpointID{2, 3}},
 		{"a stale change adds nothing", 2, Update{4, false, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(9, control.Ready)}}, false, []control.EndpointID{2, 3}},
-		{"but it ends", 2, Update{4, false, []Endpoint{newEndpoint(3, control.Draining)}}, true, []control.EndpointID{2}},
+		{"a stale change ends", 2, Update{4, false, []Endpoint{newEndpoint(3, control.Draining)}}, true, []control.EndpointID{2}},
 		{"an endpoint is gone", 3, Update{6, false, []Endpoint{newEndpoint(3, control.Gone)}}, true, []control.EndpointID{2}},
 		{"a stale list", 4, Update{2, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(3, control.Ready), newEndpoint(4, control.Ready)}}, false, []control.EndpointID{2}},
-		{"is not accepted early", 4 + StaleAcceptDelay - 1000, Update{Revision: poll}, false, []control.EndpointID{2}},
-		{"a later revision comes", 4 + StaleAcceptDelay - 1000, Update{7, false, nil}, false, []control.EndpointID{2}},
-		{"so the stale list is dropped", 4 + StaleAcceptDelay, Update{Revision: poll}, false, []control.EndpointID{2}},
+		{"the stale list is not accepted early", 4 + StaleAcceptDelay - 1000, Update{Revision: poll}, false, []control.EndpointID{2}},
+		{"a later revision arrives", 4 + StaleAcceptDelay - 1000, Update{7, false, nil}, false, []control.EndpointID{2}},
+		{"and the stale list is dropped", 4 + StaleAcceptDelay, Update{Revision: poll}, false, []control.EndpointID{2}},
 		{"a stale list again", 5 * time.Second, Update{2, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(3, control.Ready), newEndpoint(4, control.Ready)}}, false, []control.EndpointID{2}},
 		{"and once more", 5*time.Second + StaleAcceptDelay/2, Update{2, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(3, control.Ready), newEndpoint(4, control.Ready)}}, false, []control.EndpointID{2}},
-		{"is accepted but for what ended", 5*time.Second + StaleAcceptDelay, Update{Revision: poll}, true, []control.EndpointID{4}},
-		{"and later revisions count from it", 6 * time.Second, Update{3, false, []Endpoint{newEndpoint(5, control.Ready)}}, true, []control.EndpointID{4, 5}},
+		{"the stale list is accepted except for what ended", 5*time.Second + StaleAcceptDelay, Update{Revision: poll}, true, []control.EndpointID{4}},
+		{"later revisions count from it", 6 * time.Second, Update{3, false, []Endpoint{newEndpoint(5, control.Ready)}}, true, []control.EndpointID{4, 5}},
 		{"a stale list for the third time", 7 * time.Second, Update{2, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(4, control.Ready)}}, false, []control.EndpointID{4, 5}},
-		{"is accepted", 7*time.Second + StaleAcceptDelay, Update{Revision: poll}, true, []control.EndpointID{4}},
+		{"it is accepted", 7*time.Second + StaleAcceptDelay, Update{Revision: poll}, true, []control.EndpointID{4}},
 		{"and in full after the retention", 7*time.Second + EndedRetention, Update{Revision: poll}, true, []control.EndpointID{1, 4}},
 		{"an empty complete list", 30 * time.Second, Update{3, true, nil}, true, nil},
 	}
@@ -82,55 +93,63 @@
 	}
 }
 
-// TestEndOfEarlierStartDoesNotEndALaterOne: a stale list does bring back an endpoint that has
-// started anew since it ended, and does not end a later start.
+// TestEndOfEarlierStartDoesNotEndALaterOne: a stale list brings back an endpoint that has started
+// again since it ended, and does not end a later start.
 func TestEndOfEarlierStartDoesNotEndALaterOne(t *testing.T) {
 	var view View
-	view.Apply(1, Update{5, true, []Endpoint{newEndpointStartedAt(1, control.Draining, 10), newEndpointStartedAt(2, control.Ready, 20)}})
-	change, _ := view.Apply(2, Update{4, true, []Endpoint{newEndpointStartedAt(1, control.Ready, 30), newEndpointStartedAt(2, control.Draining, 10)}})
+	apply(t, &view, 1, Update{5, true, []Endpoint{newEndpointStartedAt(1, control.Draining, 10), newEndpointStartedAt(2, control.Ready, 20)}})
+
+	change := apply(t, &view, 2, Update{4, true, []Endpoint{newEndpointStartedAt(1, control.Ready, 30), newEndpointStartedAt(2, control.Draining, 10)}})
 	if !change.IsEmpty() {
 		t.Error("an earlier start's end ended the later one")
 	}
+
 	view.Poll(control.Time(2).Add(StaleAcceptDelay))
 	if endpoint, _ := view.Get(1); endpoint.State != control.Ready {
 		t.Error("a new start was taken for the one that ended")
 	}
 }
 
-// TestUnusableEntryStillEndsItsEndpoint: an endpoint ends though the rest of its entry can't be
-// used; an entry for one that is not held is left out.
+// TestUnusableEntryStillEndsItsEndpoint: an endpoint ends even if the rest of its entry cannot be used.
+// Such an entry for an unknown endpoint is ignored.
 func TestUnusableEntryStillEndsItsEndpoint(t *testing.T) {
 	var view View
-	held := newEndpoint(1, control.Ready)
-	held.Kind, held.Cell = 1, 7
-	view.Apply(1, Update{1, true, []Endpoint{held}})
-	change, _ := view.Apply(2, Update{2, false, []Endpoint{
+	listed := newEndpoint(1, control.Ready)
+	listed.Kind, listed.Cell = 1, 7
+	apply(t, &view, 1, Update{1, true, []Endpoint{listed}})
+
+	change := apply(t, &view, 2, Update{2, false, []Endpoint{
 		{Endpoint: control.Endpoint{ID: 1, State: control.Draining, Kind: -1}},
 		{Endpoint: control.Endpoint{ID: 2, State: control.Draining, Kind: -1}},
 	}})
+
 	endpoint, _ := view.Get(1)
-	if len(change.Endpoints) != 1 || endpoint.State != control.Draining || endpoint.Kind != 1 || endpoint.Cell != 7 || endpoint.Addr != held.Addr {
+	if len(change.Endpoints) != 1 || endpoint.State != control.Draining || endpoint.Kind != 1 || endpoint.Cell != 7 || endpoint.Addr != listed.Addr {
 		t.Errorf("%+v, %+v", change, endpoint)
 	}
 }
 
-// TestLaterEntryForAnEndpointHolds: of two entries for an endpoint in one update the later holds,
-// for subscribers too.
+// TestLaterEntryForAnEndpointHolds: of two entries for one endpoint in an update the later one counts,
+// in the view and in the change.
 func TestLaterEntryForAnEndpointHolds(t *testing.T) {
 	var view View
-	change, _ := view.Apply(1, Update{1, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(1, control.Draining)}})
+
+	change := apply(t, &view, 1, Update{1, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(1, control.Draining)}})
+
 	endpoint, _ := view.Get(1)
 	if endpoint.State != control.Draining || len(change.Endpoints) != 1 || change.Endpoints[0].State != control.Draining {
 		t.Errorf("%+v", change)
 	}
 }
 
-// TestViewIsBounded: an update beyond MaxEndpoints is an error, and changes nothing.
+// TestViewIsBounded: an update beyond MaxEndpoints is an error and changes nothing.
 func TestViewIsBounded(t *testing.T) {
 	var view View
 	update := Update{Revision: 1, Endpoints: make([]Endpoint, MaxEndpoints+1)}
+
 	change, err := view.Apply(1, update)
-	if err != ErrTooManyEndpoints || !change.IsEmpty() || view.Len() != 0 {
-		t.Error(change.IsEmpty(), err)
+
+	if !errors.Is(err, ErrTooManyEndpoints) || !change.IsEmpty() || view.Len() != 0 {
+		t.Errorf("error %v, change empty: %v, %d endpoints", err, change.IsEmpty(), view.Len())
 	}
 }
--- a/control/membership/replace.go
+++ b/control/membership/replace.go
@@ -7,7 +7,7 @@
 	"martenlock/control"
 )
 
-// replace makes an update's revision the one held, whatever it was before.
+// replace applies an update and its revision, which may be earlier than the view's.
 func (v *View) replace(now control.Time, update Update) Change {
 	v.revision = update.Revision
 	v.ended.expire(now)
@@ -18,12 +18,12 @@
 	var change Change
 	change.Full = update.Complete
 	for _, entry := range update.Endpoints {
-		known, isKnown := v.known(entry.ID, previous)
-		endpoint, ok := resolve(entry, known, isKnown)
+		current, isKnown := v.latest(entry.ID, previous)
+		endpoint, ok := usableEndpoint(entry, current, isKnown)
 		if !ok {
 			continue
 		}
-		v.set(now, endpoint, known)
+		v.set(now, endpoint, current)
 		change.add(endpoint.Endpoint)
 	}
 	if update.Complete {
@@ -32,8 +32,9 @@
 	return change
 }
 
-// known returns an endpoint as an earlier entry of this update has it, or else as it was held.
-func (v *View) known(id control.EndpointID, previous map[control.EndpointID]Endpoint) (Endpoint, bool) {
+// latest returns an endpoint as an earlier entry of this update has it, or else as the previous list
+// has it. It returns false if neither has it.
+func (v *View) latest(id control.EndpointID, previous map[control.EndpointID]Endpoint) (Endpoint, bool) {
 	endpoint, ok := v.endpoints[id]
 	if !ok {
 		endpoint, ok = previous[id]
@@ -41,22 +42,23 @@
 	return endpoint, ok
 }
 
-// resolve returns the endpoint that an entry stands for. Of an entry whose kind or address can't be
-// used only the state counts: a known endpoint stays what it was until it ends, and one that is not
-// known is left out, for which resolve returns false.
-func resolve(entry, known Endpoint, isKnown bool) (endpoint Endpoint, ok bool) {
+// usableEndpoint returns the endpoint that an entry describes. If the kind or the address of the entry
+// cannot be used, only its state counts: a known endpoint otherwise stays as it is until it ends, and
+// one that is not known is omitted, for which usableEndpoint returns false.
+func usableEndpoint(entry, current Endpoint, isKnown bool) (endpoint Endpoint, ok bool) {
 	isUsable := entry.Kind >= 0 && (entry.State == control.Ready || entry.Addr.IsValid())
 	if isUsable {
 		return entry, true
 	}
-	known.State = entry.State
-	return known, isKnown
+	current.State = entry.State
+	return current, isKnown
 }
 
-// set holds an endpoint, or removes it where it is gone. known is what it was until now.
-func (v *View) set(now control.Time, endpoint, known Endpoint) {
+// set stores an endpoint, or removes it if it is gone. previous is the endpoint before, or the zero
+// Endpoint.
+func (v *View) set(now control.Time, endpoint, previous Endpoint) {
 	if endpoint.State == control.Gone {
-		v.ended.record(now, known)
+		v.ended.record(now, previous)
 		delete(v.endpoints, endpoint.ID)
 	} else {
 		v.endpoints[endpoint.ID] = endpoint
@@ -66,17 +68,17 @@
 	}
 }
 
-// recordMissing records the end of those endpoints that were held and are no longer.
+// recordMissing records the ends of the endpoints that a complete list no longer has.
 func (v *View) recordMissing(now control.Time, previous map[control.EndpointID]Endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(previous)) {
-		_, isHeld := v.endpoints[id]
-		if !isHeld {
+		_, isListed := v.endpoints[id]
+		if !isListed {
 			v.ended.record(now, previous[id])
 		}
 	}
 }
 
-// add adds an endpoint. Of two entries for one endpoint the later one holds.
+// add adds an endpoint to the change. Of two entries for one endpoint the later one counts.
 func (c *Change) add(endpoint control.Endpoint) {
 	c.Endpoints = slices.DeleteFunc(c.Endpoints, func(other control.Endpoint) bool { return other.ID == endpoint.ID })
 	c.Endpoints = append(c.Endpoints, endpoint)
--- a/control/membership/watch_test.go
+++ b/control/membership/watch_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestChangesAreKnownInTimeWhateverCallsFail: however the phases of the calls to discovery are cut,
-// what it has is here within what the platform grants.
+// TestChangesAreKnownInTimeWhateverCallsFail: a change reaches the router within the time that the
+// platform grants, in whatever phase calls to discovery fail.
 func TestChangesAreKnownInTimeWhateverCallsFail(t *testing.T) {
 	const granted = 6 * time.Second
 	backoff := NextBackoff(0)
@@ -14,6 +14,7 @@
 	if worst >= granted || WatchTimeout <= HeartbeatInterval {
 		t.Errorf("%v in the worst case, time-out of a watch %v", worst, WatchTimeout)
 	}
+
 	for range 20 {
 		backoff = NextBackoff(backoff)
 		if backoff > MaxBackoff || backoff < MinBackoff {
