--- a/control/connlimit/descriptors_test.go
+++ b/control/connlimit/descriptors_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestMaxClientsLeavesDescriptorsToEngines: a quarter of the descriptors and no fewer than 64 are
-// kept from clients, of whom one is always let in.
+// TestMaxClientsLeavesDescriptorsToEngines: a quarter of the descriptors, and no fewer than 64, are
+// reserved. One client is always admitted.
 func TestMaxClientsLeavesDescriptorsToEngines(t *testing.T) {
 	for _, c := range []struct{ configured, descriptors, want int }{
 		{12000, 20000, 12000},
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestSplitDescriptorsStaysWithinTheLimit: both sides and the reserve keep to the number given,
-// wherever it is large enough for one connection a side.
+// TestSplitDescriptorsStaysWithinTheLimit: both sides and the reserve add up to the limit if it is large
+// enough for one connection a side.
 func TestSplitDescriptorsStaysWithinTheLimit(t *testing.T) {
 	for descriptors := range 2000 {
 		budget := SplitDescriptors(descriptors)
--- a/control/connlimit/idlelist.go
+++ b/control/connlimit/idlelist.go
@@ -1,75 +1,102 @@
 package connlimit
 
-import "container/list"
-
-// IdleList keeps client connections in the order in which they became idle, so that the one idle
-// for longest can be evicted for a new one. The zero IdleList is empty and ready for use.
+// IdleList orders client connections by the time at which they became idle, so that the one idle for
+// longest can be evicted for a new one. The zero IdleList is empty and ready for use. It is not safe
+// for concurrent use.
 //
-// A connection that becomes busy stays where it is: LongestIdle moves it to the back when it meets
+// A connection that becomes busy keeps its place. LongestIdle moves it to the back when it reaches
 // it, and MarkIdle does so when the connection becomes idle again. So each change takes constant
 // time.
 type IdleList[K comparable] struct {
-	connections list.List // of *connection[K]; the idle ones stand by the time they became idle
-	elements    map[K]*list.Element
+	connections map[K]*connection[K]
+	first, last *connection[K] // doubly linked; the idle ones are in the order in which they became idle
 }
 
 // connection is a known client connection.
 type connection[K comparable] struct {
-	key  K
-	busy bool
+	key            K
+	busy           bool
+	previous, next *connection[K]
 }
 
-// maxScan bounds how many busy connections LongestIdle passes. The next call goes on where the
-// last one ended.
+// maxScan bounds the busy connections that one call of LongestIdle passes, and so its time. The next
+// call continues where the last one ended.
 const maxScan = 256
 
-// MarkIdle records that a connection, known or new, waits for a request from now on.
+// MarkIdle records that a connection waits for a request from now on. It adds a connection that is
+// not known.
 func (l *IdleList[K]) MarkIdle(key K) {
-	if element := l.elements[key]; element != nil {
-		connectionOf[K](element).busy = false
-		l.connections.MoveToBack(element)
+	if known := l.connections[key]; known != nil {
+		known.busy = false
+		l.moveToBack(known)
 		return
 	}
-	if l.elements == nil {
-		l.elements = map[K]*list.Element{}
+	if l.connections == nil {
+		l.connections = map[K]*connection[K]{}
 	}
-	l.elements[key] = l.connections.PushBack(&connection[K]{key: key})
+	added := &connection[K]{key: key}
+	l.connections[key] = added
+	l.pushBack(added)
 }
 
-// MarkBusy records that a request has begun to arrive on a connection. A connection that is not
-// known stays so.
+// MarkBusy records that a request has begun to arrive on a connection. It has no effect for a
+// connection that is not known.
 func (l *IdleList[K]) MarkBusy(key K) {
-	if element := l.elements[key]; element != nil {
-		connectionOf[K](element).busy = true
+	if known := l.connections[key]; known != nil {
+		known.busy = true
 	}
 }
 
 // Remove forgets a connection.
 func (l *IdleList[K]) Remove(key K) {
-	if element := l.elements[key]; element != nil {
-		l.connections.Remove(element)
-		delete(l.elements, key)
+	if known := l.connections[key]; known != nil {
+		l.unlink(known)
+		delete(l.connections, key)
 	}
 }
 
-// LongestIdle returns the connection that has been idle for longest, to be evicted for a new one.
-// It returns false where it finds none among the first maxScan connections: a busy connection is
-// never evicted.
+// LongestIdle returns the connection that has been idle for longest. It returns false if the first
+// maxScan connections are all busy: a busy connection is never evicted.
 func (l *IdleList[K]) LongestIdle() (key K, ok bool) {
-	for range min(maxScan, l.connections.Len()) {
-		element := l.connections.Front()
-		candidate := connectionOf[K](element)
+	for range min(maxScan, l.Len()) {
+		candidate := l.first
 		if !candidate.busy {
 			return candidate.key, true
 		}
-		l.connections.MoveToBack(element)
+		l.moveToBack(candidate)
 	}
 	return key, false
 }
 
 // Len returns the number of known connections, idle and busy.
-func (l *IdleList[K]) Len() int { return len(l.elements) }
+func (l *IdleList[K]) Len() int { return len(l.connections) }
+
+func (l *IdleList[K]) moveToBack(moved *connection[K]) {
+	l.unlink(moved)
+	l.pushBack(moved)
+}
+
+func (l *IdleList[K]) pushBack(added *connection[K]) {
+	added.previous = l.last
+	if l.last != nil {
+		l.last.next = added
+	} else {
+		l.first = added
+	}
+	l.last = added
+}
 
-func connectionOf[K comparable](element *list.Element) *connection[K] {
-	return element.Value.(*connection[K])
+func (l *IdleList[K]) unlink(removed *connection[K]) {
+	if removed.previous != nil {
+		removed.previous.next = removed.next
+	} else {
+		l.first = removed.next
+	}
+	if removed.next != nil {
+		removed.next.previous = removed.previous
+	} else {
+		l.last = removed.previous
+	}
+	removed.previous = nil
+	removed.next = nil
 }
--- a/control/connlimit/idlelist_test.go
+++ b/control/connlimit/idlelist_test.go
@@ -9,8 +9,8 @@
 	_ "martenlock/internal/proptest"
 )
 
-// TestLongestIdleMatchesPlainList: whatever connections do, LongestIdle returns the one idle for
-// longest and never a busy one, as a plain list of the idle ones has it.
+// TestLongestIdleMatchesPlainList: after any changes, LongestIdle returns the connection idle for
+// longest and never a busy one, as a plain slice of the idle ones does.
 func TestLongestIdleMatchesPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list IdleList[int]
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestLongestIdleScansABoundedNumber: an idle connection behind more busy ones than one call scans
-// is found by the next call, which goes on where the first ended.
+// TestLongestIdleScansABoundedNumber: an idle connection behind more busy ones than one call scans is
+// found by the next call, which continues where the first one ended.
 func TestLongestIdleScansABoundedNumber(t *testing.T) {
 	var list IdleList[int]
 	for key := range 300 {
@@ -50,6 +50,7 @@
 		list.MarkBusy(key)
 	}
 	list.MarkIdle(300)
+
 	if key, ok := list.LongestIdle(); ok {
 		t.Errorf("%d found behind 300 busy connections", key)
 	}
--- a/control/connlimit/memory_test.go
+++ b/control/connlimit/memory_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLargestPartialRequestIsEvictedFirst: the larger request goes first, of two equal ones that of
-// the older connection, and no request before itself.
+// TestLargestPartialRequestIsEvictedFirst: the larger request is evicted first, of two equal ones that
+// of the older connection, and no request before itself.
 func TestLargestPartialRequestIsEvictedFirst(t *testing.T) {
 	for _, c := range []struct {
 		name         string
--- a/control/connreuse/connreuse.go
+++ b/control/connreuse/connreuse.go
@@ -1,15 +1,15 @@
 // Package connreuse decides whether an idle connection may carry the next request. Like package
 // control, it does no I/O, reads no clock and starts no goroutine.
 //
-// Servers, and middleboxes on the way to them, close idle connections on their own. A request
-// written to a connection that is already closed is lost with it, and nobody knows whether it ran:
-// one that must not run twice can't be retried. A new connection costs the server a handshake, but
-// where it fails nothing has run.
+// Servers and middleboxes close idle connections on their own. A request written to a connection that
+// is already closed is lost, and it is unknown whether it was executed. A request that must not be
+// executed twice cannot be retried then. A new connection costs the server a handshake, but if it
+// fails nothing has been executed.
 //
-// A Policy counts requests and losses by how long the connection had been idle, with exponential
-// decay, and allows reuse while the loss rate among comparable connections keeps to a bound. For
-// requests that may be retried the bound is high and reuse is allowed until losses are seen. For
-// the others the bound is low and recent successes must be seen first.
+// A Policy counts requests and losses by the idle time of the connection, with exponential decay. It
+// allows reuse while the loss rate at similar idle times is below a bound. For requests that may be
+// retried the bound is high and reuse is allowed until losses are observed. For the others the bound
+// is low and recent successes must be observed first.
 package connreuse
 
 import (
@@ -20,35 +20,36 @@
 )
 
 const (
-	// bucketCount buckets of idle time, each bucketGrowth times as long as the one before, tell
-	// apart the usual idle time-outs. The last one has no upper bound and begins at 82 s.
-	bucketCount      = 8
-	bucketGrowth     = 4
+	// bucketCount is the number of buckets of idle time. Each covers idle times up to bucketGrowth
+	// times those of the one before, so that the usual idle time-outs are in different buckets. The
+	// last one has no upper bound and begins at 82 s.
+	bucketCount  = 8
+	bucketGrowth = 4
+	// firstBucketBound is the longest idle time of the first bucket.
 	firstBucketBound = 20 * time.Millisecond
 
-	// decayTime is the time constant of the counts: an observation weighs 1/e after it, so that
-	// lost trust returns, and trust that is not renewed ends.
+	// decayTime is the time constant of the counts: an observation of that age has the weight 1/e. So
+	// losses are forgotten, and successes must be renewed.
 	decayTime = 10 * time.Second
 
-	// priorSuccesses are added to the requests counted, so that one early loss does not decide.
+	// priorSuccesses are added to the counted requests, so that one early loss does not decide.
 	priorSuccesses = 8.0
-	// maxLossRate bounds the share of lost requests among those that may be retried.
+	// maxLossRate bounds the share of lost requests for requests that may be retried.
 	maxLossRate = 0.15
 
-	// maxLossRateNotIdempotent bounds the share of lost requests among those that must not be
-	// retried.
+	// maxLossRateNotIdempotent bounds the share of lost requests for requests that must not be retried.
 	maxLossRateNotIdempotent = 0.02
-	// priorLosses are added to the losses counted, for requests that must not be retried. With
-	// priorSuccesses and maxLossRateNotIdempotent it follows that 17 successes come first.
+	// priorLosses are added to the counted losses for requests that must not be retried. Together with
+	// priorSuccesses and maxLossRateNotIdempotent this requires 17 successes first.
 	priorLosses = 0.5
 
-	// staleCloseWindow is how soon after the request a connection must end for the end to count
-	// as a stale connection's. A later end has other causes.
+	// staleCloseWindow is how soon after a request its connection must end for the loss to count as a
+	// stale connection's. A later end has other causes.
 	staleCloseWindow = 250 * time.Millisecond
 )
 
-// Policy knows how requests fared on connections that had been idle. The zero Policy has seen
-// nothing and is ready for use.
+// Policy decides on reuse by the outcomes of requests on connections that were idle before. The zero
+// Policy has no observations and is ready for use. It is not safe for concurrent use.
 type Policy struct {
 	buckets   [bucketCount]counts
 	decayedAt control.Time
@@ -60,36 +61,36 @@
 	losses   float64
 }
 
-// Outcome is how a request fared on a connection that had been idle.
+// Outcome is how a request ended on a connection that was idle before.
 type Outcome struct {
-	Idle    time.Duration // how long the connection had been idle when the request was sent
+	Idle    time.Duration // idle time of the connection when the request was sent
 	Elapsed time.Duration // from sending to the response's first byte, or to the end without one
 	Lost    bool          // the connection ended without a response
 }
 
-// MayReuse tells whether a request may be sent on a connection that has been idle for so long.
-// notIdempotent says that the request must not be retried once it may have run.
+// MayReuse reports whether a request may be sent on a connection with an idle time. notIdempotent
+// means that the request must not be retried if it may have been executed.
 func (p *Policy) MayReuse(now control.Time, idle time.Duration, notIdempotent bool) bool {
 	p.decay(now)
-	seen := p.buckets[bucketOf(idle)]
-	requests := seen.requests + priorSuccesses
+	observed := p.buckets[bucketOf(idle)]
+	requests := observed.requests + priorSuccesses
 	if notIdempotent {
-		return seen.losses+priorLosses <= maxLossRateNotIdempotent*requests
+		return observed.losses+priorLosses <= maxLossRateNotIdempotent*requests
 	}
-	return seen.losses <= maxLossRate*requests
+	return observed.losses <= maxLossRate*requests
 }
 
-// RecordOutcome counts a request that was sent on a connection that had been idle.
+// RecordOutcome counts a request that was sent on a connection that was idle before.
 func (p *Policy) RecordOutcome(now control.Time, outcome Outcome) {
 	p.decay(now)
-	seen := &p.buckets[bucketOf(outcome.Idle)]
-	seen.requests++
+	observed := &p.buckets[bucketOf(outcome.Idle)]
+	observed.requests++
 	if outcome.Lost && outcome.Elapsed < staleCloseWindow {
-		seen.losses++
+		observed.losses++
 	}
 }
 
-// decay lowers all counts by the time since they were last lowered.
+// decay applies the decay since the last call to all counts.
 func (p *Policy) decay(now control.Time) {
 	factor := math.Exp(-now.Sub(p.decayedAt).Seconds() / decayTime.Seconds())
 	p.decayedAt = now
@@ -99,7 +100,7 @@
 	}
 }
 
-// bucketOf returns the index of the bucket for connections that were idle for so long.
+// bucketOf returns the index of the bucket for an idle time.
 func bucketOf(idle time.Duration) int {
 	bucket := 0
 	for bound := firstBucketBound; idle > bound && bucket < bucketCount-1; bound *= bucketGrowth {
--- a/control/connreuse/connreuse_test.go
+++ b/control/connreuse/connreuse_test.go
@@ -11,9 +11,9 @@
 
 func at(d time.Duration) control.Time { return control.Time(1e9).Add(d) }
 
-// TestStaleIdleTimesAreAvoidedAndRetriedLater: where connections die after a second of idling,
-// those idle for longer are no longer reused, those idle for less are; and after a minute without
-// losses the former are tried again.
+// TestStaleIdleTimesAreAvoidedAndRetriedLater: if connections die after a second of idling, those idle
+// for longer are no longer reused and those idle for less are. After a minute without losses the
+// former are tried again.
 func TestStaleIdleTimesAreAvoidedAndRetriedLater(t *testing.T) {
 	var policy Policy
 	now := time.Duration(0)
@@ -32,6 +32,7 @@
 			}
 		}
 	}
+
 	if sent < 800 || lost > 15 || lost < 2 {
 		t.Errorf("%d sent, %d lost", sent, lost)
 	}
@@ -43,33 +44,35 @@
 	}
 }
 
-// TestNotIdempotentNeedsRecentSuccesses: requests that must not be retried go on connections whose
-// like have served well lately, and one loss is enough against it. Others are allowed first. A
-// connection that ends late is no loss.
+// TestNotIdempotentNeedsRecentSuccesses: a request that must not be retried is sent on a connection only
+// after recent successes at that idle time, and one loss is enough to stop it. Other requests are
+// allowed without successes. A connection that ends late is no loss.
 func TestNotIdempotentNeedsRecentSuccesses(t *testing.T) {
 	var policy Policy
-	if policy.MayReuse(at(0), ms, true) || !policy.MayReuse(at(0), ms, false) {
-		t.Error("nothing seen")
+	checkReuse := func(state string, now, idle time.Duration, notIdempotent, want bool) {
+		t.Helper()
+		if got := policy.MayReuse(at(now), idle, notIdempotent); got != want {
+			t.Errorf("%s: idle for %v, not idempotent %v: reused %v", state, idle, notIdempotent, got)
+		}
 	}
 	recordSuccesses := func(count int) {
 		for range count {
 			policy.RecordOutcome(at(0), Outcome{Idle: ms, Elapsed: ms})
 		}
 	}
+	checkReuse("without observations", 0, ms, true, false)
+	checkReuse("without observations", 0, ms, false, true)
+
 	recordSuccesses(20)
 	policy.RecordOutcome(at(0), Outcome{Idle: ms, Elapsed: 10 * time.Second, Lost: true})
-	if !policy.MayReuse(at(0), ms, true) {
-		t.Error("20 successes, and a late end")
-	}
+	checkReuse("after 20 successes and a late end", 0, ms, true, true)
+
 	policy.RecordOutcome(at(0), Outcome{Idle: ms, Elapsed: ms, Lost: true})
-	if policy.MayReuse(at(0), ms, true) || !policy.MayReuse(at(0), ms, false) {
-		t.Error("one loss")
-	}
+	checkReuse("after one loss", 0, ms, true, false)
+	checkReuse("after one loss", 0, ms, false, true)
+
 	recordSuccesses(200)
-	if !policy.MayReuse(at(0), ms, true) || policy.MayReuse(at(0), time.Hour, true) {
-		t.Error("one loss of two hundred, or another bucket's successes")
-	}
-	if policy.MayReuse(at(time.Minute), ms, true) {
-		t.Error("successes of a minute ago")
-	}
+	checkReuse("after one loss of two hundred", 0, ms, true, true)
+	checkReuse("after successes at another idle time", 0, time.Hour, true, false)
+	checkReuse("a minute after the successes", time.Minute, ms, true, false)
 }
--- a/control/connreuse/example_test.go
+++ b/control/connreuse/example_test.go
@@ -14,15 +14,15 @@
 		idle = 300 * time.Millisecond
 	)
 	var policy connreuse.Policy
-	fmt.Println("retriable, nothing seen:", policy.MayReuse(now, idle, false))
-	fmt.Println("not idempotent, nothing seen:", policy.MayReuse(now, idle, true))
+	fmt.Println("retriable, no observations:", policy.MayReuse(now, idle, false))
+	fmt.Println("not idempotent, no observations:", policy.MayReuse(now, idle, true))
 
 	for range 17 {
 		policy.RecordOutcome(now, connreuse.Outcome{Idle: idle, Elapsed: 20 * time.Millisecond})
 	}
 	fmt.Println("not idempotent, after 17 successes:", policy.MayReuse(now, idle, true))
 	// Output:
-	// retriable, nothing seen: true
-	// not idempotent, nothing seen: false
+	// retriable, no observations: true
+	// not idempotent, no observations: false
 	// not idempotent, after 17 successes: true
 }
--- a/control/internal/indexedheap/indexedheap.go
+++ b/control/internal/indexedheap/indexedheap.go
@@ -1,12 +1,12 @@
 // Package indexedheap provides a binary min-heap whose items can learn their index, so that an item
-// that is not the minimum can be removed or moved after its key has changed.
+// that is not the minimum can be removed, or moved after its key has changed.
 //
 // The algorithm is that of the standard library's container/heap, step for step: the same calls give
-// the same order of items, also among items that compare as equal. What this package adds is type
-// safety, and the methods that container/heap asks of each of its callers.
+// the same order of items, also among items that compare as equal. This package adds type safety and
+// spares its users the methods of heap.Interface.
 package indexedheap
 
-// NoIndex is the index that an item is told when it leaves the heap.
+// NoIndex is the index of an item that is not in the heap.
 const NoIndex = -1
 
 // Heap is a binary min-heap. It is not safe for concurrent use.
@@ -16,9 +16,8 @@
 	setIndex func(item T, index int)
 }
 
-// New returns an empty heap that is ordered by less. Whenever an item gets another index, setIndex is
-// called with it, and with NoIndex when the item leaves the heap; setIndex may be nil where no item is
-// ever removed or fixed by its index.
+// New returns an empty heap ordered by less. The heap calls setIndex with each item's new index, and with
+// NoIndex when the item leaves the heap. setIndex may be nil if no item is removed or fixed by its index.
 func New[T any](less func(a, b T) bool, setIndex func(item T, index int)) *Heap[T] {
 	if setIndex == nil {
 		setIndex = func(T, int) {}
@@ -32,7 +31,7 @@
 // Min returns the least item without removing it. It panics if the heap is empty.
 func (h *Heap[T]) Min() T { return h.items[0] }
 
-// Items returns all items in heap order: the least comes first, the others are not sorted. The slice
+// Items returns all items in heap order: the least is first, the others are not sorted. The slice
 // belongs to the heap and is valid until the next change.
 func (h *Heap[T]) Items() []T { return h.items }
 
@@ -76,19 +75,20 @@
 	last := len(h.items) - 1
 	item := h.items[last]
 	var none T
-	h.items[last] = none // the item must not be kept alive
+	h.items[last] = none // so that the item can be collected
 	h.items = h.items[:last]
 	h.setIndex(item, NoIndex)
 	return item
 }
 
+// swap exchanges two items and reports their new indices.
 func (h *Heap[T]) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
 	h.setIndex(h.items[i], i)
 	h.setIndex(h.items[j], j)
 }
 
-// up moves the item at an index towards the root as long as it is less than its parent.
+// up moves the item at an index towards the root while it is less than its parent.
 func (h *Heap[T]) up(index int) {
 	for index > 0 {
 		parent := (index - 1) / 2
@@ -100,8 +100,8 @@
 	}
 }
 
-// down moves the item at an index towards the leaves, within the first length items, as long as one of
-// its children is less. It reports whether the item has moved.
+// down moves the item at start towards the leaves while one of its children is less. Only the first length
+// items count. It reports whether the item has moved.
 func (h *Heap[T]) down(start, length int) bool {
 	index := start
 	for {
--- a/control/internal/indexedheap/indexedheap_test.go
+++ b/control/internal/indexedheap/indexedheap_test.go
@@ -25,8 +25,8 @@
 	h[i].index, h[j].index = i, j
 }
 
-func (h *standardHeap) Push(x any) {
-	pushed := x.(*item)
+func (h *standardHeap) Push(value any) {
+	pushed := asItem(value)
 	pushed.index = len(*h)
 	*h = append(*h, pushed)
 }
@@ -39,48 +39,93 @@
 	return popped
 }
 
-// TestSameOrderAsContainerHeap: after any calls all items stand where container/heap puts them, ties
-// included, and know their index.
+// asItem returns the item behind a value of container/heap. It panics on any other value, which would be a
+// fault of the test.
+func asItem(value any) *item {
+	result, ok := value.(*item)
+	if !ok {
+		panic(fmt.Sprintf("%T in the heap", value))
+	}
+	return result
+}
+
+// heapPair applies the same operations to a Heap and to container/heap.
+type heapPair struct {
+	t        *rapid.T
+	indexed  *Heap[*item]
+	standard standardHeap
+}
+
+func newHeapPair(t *rapid.T) *heapPair {
+	less := func(a, b *item) bool { return a.key < b.key }
+	setIndex := func(moved *item, index int) { moved.index = index }
+	return &heapPair{t: t, indexed: New(less, setIndex)}
+}
+
+func (p *heapPair) push(key int) {
+	p.indexed.Push(&item{key: key})
+	heap.Push(&p.standard, &item{key: key})
+}
+
+func (p *heapPair) pop() {
+	p.checkRemoved(p.indexed.Pop(), asItem(heap.Pop(&p.standard)))
+}
+
+func (p *heapPair) remove(index int) {
+	p.checkRemoved(p.indexed.Remove(index), asItem(heap.Remove(&p.standard, index)))
+}
+
+func (p *heapPair) fix(index, key int) {
+	p.indexed.Items()[index].key, p.standard[index].key = key, key
+	p.indexed.Fix(index)
+	heap.Fix(&p.standard, index)
+}
+
+// checkRemoved checks that both heaps have removed the same item, which knows that it is in no heap.
+func (p *heapPair) checkRemoved(got, want *item) {
+	if *got != *want || got.index != NoIndex {
+		p.t.Fatalf("removed %v, container/heap removes %v", *got, *want)
+	}
+}
+
+// checkSame checks that both heaps have the same items in the same places, and that each item knows its index.
+func (p *heapPair) checkSame() {
+	if p.indexed.Len() != len(p.standard) {
+		p.t.Fatalf("%d items, container/heap has %d", p.indexed.Len(), len(p.standard))
+	}
+	for i, got := range p.indexed.Items() {
+		if *got != *p.standard[i] || got.index != i {
+			p.t.Fatalf("item %d is %v, container/heap has %v", i, *got, *p.standard[i])
+		}
+	}
+	if p.indexed.Len() > 0 && p.indexed.Min() != p.indexed.Items()[0] {
+		p.t.Fatal("the minimum is not the first item")
+	}
+}
+
+// TestSameOrderAsContainerHeap: after any calls all items are where container/heap puts them, ties included,
+// and know their index.
 func TestSameOrderAsContainerHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ours := New(func(a, b *item) bool { return a.key < b.key }, func(moved *item, index int) { moved.index = index })
-		var standard standardHeap
+		pair := newHeapPair(t)
 		keys := rapid.IntRange(0, 5)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			operation := rapid.IntRange(0, 4).Draw(t, "operation")
-			if operation <= 1 || ours.Len() == 0 {
-				key := keys.Draw(t, "key")
-				ours.Push(&item{key: key})
-				heap.Push(&standard, &item{key: key})
-			} else {
-				index := rapid.IntRange(0, ours.Len()-1).Draw(t, "index")
-				var removed, expected *item
-				switch operation {
-				case 2:
-					removed, expected = ours.Pop(), heap.Pop(&standard).(*item)
-				case 3:
-					removed, expected = ours.Remove(index), heap.Remove(&standard, index).(*item)
-				case 4:
-					key := keys.Draw(t, "key")
-					ours.Items()[index].key, standard[index].key = key, key
-					ours.Fix(index)
-					heap.Fix(&standard, index)
-				}
-				if removed != nil && (*removed != *expected || removed.index != NoIndex) {
-					t.Fatalf("removed %v, container/heap removes %v", *removed, *expected)
-				}
-			}
-			if ours.Len() != len(standard) {
-				t.Fatalf("%d items, container/heap has %d", ours.Len(), len(standard))
-			}
-			for i, got := range ours.Items() {
-				if *got != *standard[i] || got.index != i {
-					t.Fatalf("item %d is %v, container/heap has %v", i, *got, *standard[i])
-				}
+			if operation <= 1 || pair.indexed.Len() == 0 {
+				pair.push(keys.Draw(t, "key"))
+				pair.checkSame()
+				continue
 			}
-			if ours.Len() > 0 && ours.Min() != ours.Items()[0] {
-				t.Fatal("the minimum is not the first item")
+			index := rapid.IntRange(0, pair.indexed.Len()-1).Draw(t, "index")
+			switch operation {
+			case 2:
+				pair.pop()
+			case 3:
+				pair.remove(index)
+			case 4:
+				pair.fix(index, keys.Draw(t, "key"))
 			}
+			pair.checkSame()
 		}
 	})
 }
