--- a/internal/http1/chars.go
+++ b/internal/http1/chars.go
@@ -1,6 +1,6 @@
 package http1
 
-// equalFold compares ASCII text with a name in lower case.
+// equalFold reports whether ASCII text equals lower, which is in lower case, without regard to case.
 func equalFold(text []byte, lower string) bool {
 	if len(text) != len(lower) {
 		return false
@@ -30,7 +30,7 @@
 	return -1
 }
 
-// tokenChars marks the characters of a token, RFC 9110 section 5.6.2.
+// tokenChars is indexed by byte and true for the characters of a token (RFC 9110, section 5.6.2).
 var tokenChars = func() (table [256]bool) {
 	for _, c := range "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ" {
 		table[c] = true
@@ -38,6 +38,7 @@
 	return table
 }()
 
+// isToken reports whether text is a token.
 func isToken(text []byte) bool {
 	for _, c := range text {
 		if !tokenChars[c] {
@@ -47,9 +48,10 @@
 	return len(text) > 0
 }
 
+// deleteChar is the control character DEL, above all printable ASCII.
 const deleteChar = 0x7f
 
-// hasControl reports whether there is a control character other than the tab.
+// hasControl reports whether text contains a control character other than the tab.
 func hasControl(text []byte) bool {
 	for _, c := range text {
 		if c < ' ' && c != '\t' || c == deleteChar {
@@ -59,8 +61,8 @@
 	return false
 }
 
-// trimWhitespace returns text without the spaces and tabs around it, and nil where nothing else is
-// left. It is bytes.Trim without the cost of a set of characters.
+// trimWhitespace returns text without the spaces and tabs around it, or nil if nothing remains. Unlike
+// bytes.Trim it builds no set of characters.
 func trimWhitespace(text []byte) []byte {
 	for len(text) > 0 && isWhitespace(text[0]) {
 		text = text[1:]
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -1,24 +1,28 @@
 package http1
 
-import "bytes"
+import (
+	"bytes"
+	"net/http"
+)
 
 // maxChunkDigits is how many hexadecimal digits a chunk size may have: more could overflow the
 // 63 bits of an int64.
 const maxChunkDigits = 15
 
-// chunkSize takes the line that begins a chunk.
-func (p *Parser) chunkSize(b []byte) (int, Kind, []byte, *Error) {
-	line, n, err := p.line(b, p.limits.Line, statusBadRequest)
+// readChunkSize consumes the line that begins a chunk. The last chunk has size 0, and the trailer
+// follows.
+func (p *Parser) readChunkSize(b []byte) (element, *Error) {
+	line, n, err := p.readLine(b, p.limits.Line, http.StatusBadRequest)
 	if err != nil || n == 0 {
-		return 0, NeedMore, nil, err
+		return element{}, err
 	}
 	size, err := parseChunkSize(line)
 	if err != nil {
-		return 0, NeedMore, nil, err
+		return element{}, err
 	}
 	p.contentSize += size
 	if p.contentSize > p.limits.Body {
-		return 0, NeedMore, nil, contentTooLong()
+		return element{}, contentTooLong()
 	}
 	if size == 0 {
 		p.trailerSize = 0
@@ -27,10 +31,11 @@
 		p.state = stateChunkData
 	}
 	p.remaining = size
-	return n, NeedMore, nil, nil
+	return element{consumed: n}, nil
 }
 
-// parseChunkSize reads a chunk size. Extensions after it are ignored (RFC 9112, section 7.1.1).
+// parseChunkSize parses a chunk size. Extensions after it are checked for control characters and
+// ignored (RFC 9112, section 7.1.1).
 func parseChunkSize(line []byte) (int64, *Error) {
 	size := int64(0)
 	digits := 0
@@ -44,7 +49,7 @@
 		}
 		size = size<<4 | int64(digit)
 	}
-	extension := bytes.TrimLeft(line[digits:], " \t") // whitespace is allowed before an extension alone
+	extension := bytes.TrimLeft(line[digits:], " \t") // whitespace may precede an extension and nothing else
 	strayBytes := len(extension) > 0 && extension[0] != ';'
 	strayWhitespace := len(extension) == 0 && digits < len(line)
 	if digits == 0 || strayBytes || strayWhitespace || hasControl(extension) {
@@ -53,40 +58,40 @@
 	return size, nil
 }
 
-// chunkEnd takes the CRLF after a chunk's data.
-func (p *Parser) chunkEnd(b []byte) (int, Kind, []byte, *Error) {
+// readChunkEnd consumes the CRLF after a chunk's data.
+func (p *Parser) readChunkEnd(b []byte) (element, *Error) {
 	available := b[:min(len(b), len(crlf))]
 	if !bytes.HasPrefix(crlf, available) {
-		return 0, NeedMore, nil, malformed("chunk does not end in CRLF")
+		return element{}, malformed("chunk does not end in CRLF")
 	}
 	if len(available) < len(crlf) {
-		return 0, NeedMore, nil, nil
+		return element{}, nil
 	}
 	p.state = stateChunkSize
-	return len(crlf), NeedMore, nil, nil
+	return element{consumed: len(crlf)}, nil
 }
 
-// trailerLine takes one line of the trailer, which is checked and thrown away. An empty line
-// ends the message.
-func (p *Parser) trailerLine(b []byte) (int, Kind, []byte, *Error) {
-	line, n, err := p.line(b, p.limits.Headers-p.trailerSize, statusHeadersTooLarge)
+// readTrailerLine consumes a line of the trailer. Fields are checked and discarded. An empty line ends
+// the message.
+func (p *Parser) readTrailerLine(b []byte) (element, *Error) {
+	line, n, err := p.readLine(b, p.limits.Headers-p.trailerSize, http.StatusRequestHeaderFieldsTooLarge)
 	if err != nil || n == 0 {
-		return 0, NeedMore, nil, err
+		return element{}, err
 	}
 	p.trailerSize += n
 	if len(line) == 0 {
 		p.state = stateEnd
-		return n, NeedMore, nil, nil
+		return element{consumed: n}, nil
 	}
-	if _, err := parseField(line, p.response); err != nil {
-		return 0, NeedMore, nil, err
+	if _, err := parseField(line, p.isResponse); err != nil {
+		return element{}, err
 	}
-	return n, NeedMore, nil, nil
+	return element{consumed: n}, nil
 }
 
-// line returns the next line without its CRLF and the bytes that it takes; 0 bytes where it is
-// incomplete. A line longer than limit is an error of the given status.
-func (p *Parser) line(b []byte, limit, status int) ([]byte, int, *Error) {
+// readLine returns the next line without its CRLF, and its size with it. The size is 0 while the line
+// is incomplete. A line longer than limit bytes is an error with the given status.
+func (p *Parser) readLine(b []byte, limit, status int) (line []byte, size int, err *Error) {
 	newline := bytes.IndexByte(b[min(p.scanned, len(b)):], '\n')
 	if newline < 0 {
 		p.scanned = len(b)
@@ -97,7 +102,7 @@
 	}
 	newline += p.scanned
 	p.scanned = 0
-	size := newline + 1
+	size = newline + 1
 	if size > limit {
 		return nil, 0, &Error{Status: status, Reason: "line is longer than the limit"}
 	}
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -1,12 +1,16 @@
 package http1
 
-import "bytes"
+import (
+	"bytes"
+	"net/http"
+)
 
-// unknownLength is Head.Length while no Content-Length has told it.
+// unknownLength is Head.ContentLength without a Content-Length field.
 const unknownLength = -1
 
-// parseFraming reads the fields that concern the connection and decides where the message ends,
-// RFC 9112 section 6. Of an interim response the parser stays at the head: one follows.
+// parseFraming interprets the fields that concern the connection and decides where the message ends
+// (RFC 9112, section 6). After an interim response the parser stays in stateHead, as another head
+// follows.
 func (p *Parser) parseFraming() *Error {
 	h := &p.Head
 	h.KeepAlive = h.MinorVersion == 1
@@ -16,13 +20,13 @@
 		field := &h.Fields[i]
 		if equalFold(field.Name, "host") {
 			hosts++
-		} else if err := p.framingField(field); err != nil {
+		} else if err := p.parseFramingField(field); err != nil {
 			return err
 		}
 	}
-	if p.interim() {
-		if h.Status == statusSwitchingProtocols {
-			return malformed("unasked switch of protocols")
+	if p.isInterim() {
+		if h.Status == http.StatusSwitchingProtocols {
+			return malformed("unrequested switch of protocols")
 		}
 		return nil
 	}
@@ -32,29 +36,31 @@
 	return p.beginContent()
 }
 
-// framingField takes a field that decides the framing or the connection's life; others pass.
-func (p *Parser) framingField(field *Field) *Error {
+// parseFramingField interprets a field that decides the framing or whether the connection is kept. It
+// ignores others.
+func (p *Parser) parseFramingField(field *Field) *Error {
 	h := &p.Head
 	switch {
 	case equalFold(field.Name, "content-length"):
-		return h.contentLength(field.Value)
+		return h.setContentLength(field.Value)
 	case equalFold(field.Name, "transfer-encoding"):
 		if h.Chunked || !equalFold(field.Value, "chunked") {
-			return &Error{Status: statusNotImplemented, Reason: "transfer coding other than chunked"}
+			return &Error{Status: http.StatusNotImplemented, Reason: "transfer coding other than chunked"}
 		}
 		h.Chunked = true
 	case equalFold(field.Name, "connection"):
-		h.connectionOptions(field.Value)
+		h.parseConnectionOptions(field.Value)
 	case equalFold(field.Name, "expect"):
 		h.ExpectContinue = equalFold(field.Value, "100-continue")
-		if !h.ExpectContinue && !p.response {
-			return &Error{Status: statusExpectationFailed, Reason: "unknown expectation"}
+		if !h.ExpectContinue && !p.isResponse {
+			return &Error{Status: http.StatusExpectationFailed, Reason: "unknown expectation"}
 		}
 	}
 	return nil
 }
 
-func (h *Head) contentLength(value []byte) *Error {
+// setContentLength interprets a Content-Length field. A second one is an error, even if it is equal.
+func (h *Head) setContentLength(value []byte) *Error {
 	if h.ContentLength != unknownLength {
 		return malformed("two content lengths")
 	}
@@ -66,11 +72,11 @@
 	return nil
 }
 
-// maxParsedLength bounds a length before its next digit, so that it cannot overflow an int64.
-// Limits.Body bounds it more tightly.
+// maxParsedLength bounds a length before the next digit is added. Ten times it fits an int64.
+// Limits.Body is the tighter bound.
 const maxParsedLength = 1 << 58
 
-// parseLength reads a length: digits alone, no sign, no list.
+// parseLength parses a length of digits only: it accepts no sign and no list.
 func parseLength(value []byte) (int64, bool) {
 	length := int64(0)
 	for _, c := range value {
@@ -82,8 +88,8 @@
 	return length, len(value) > 0
 }
 
-// connectionOptions takes the list of a Connection field.
-func (h *Head) connectionOptions(value []byte) {
+// parseConnectionOptions interprets the list of a Connection field.
+func (h *Head) parseConnectionOptions(value []byte) {
 	for option := range bytes.SplitSeq(value, []byte{','}) {
 		option = trimWhitespace(option)
 		if equalFold(option, "close") {
@@ -94,7 +100,8 @@
 	}
 }
 
-// checkFraming rejects a head whose fields contradict each other.
+// checkFraming rejects a head whose fields contradict each other, or a request without exactly one
+// Host field.
 func (p *Parser) checkFraming(hosts int) *Error {
 	h := &p.Head
 	switch {
@@ -102,20 +109,20 @@
 		return malformed("both a content length and a transfer coding")
 	case h.Chunked && h.MinorVersion == 0:
 		return malformed("transfer coding in HTTP/1.0")
-	case !p.response && (hosts > 1 || hosts == 0 && h.MinorVersion == 1):
+	case !p.isResponse && (hosts > 1 || hosts == 0 && h.MinorVersion == 1):
 		return malformed("not exactly one Host field")
 	}
 	return nil
 }
 
-// beginContent sets the state in which the content is read.
+// beginContent sets the state for the content that follows the head.
 func (p *Parser) beginContent() *Error {
 	h := &p.Head
 	switch {
-	case p.response && (h.Status == statusNoContent || h.Status == statusNotModified):
+	case p.isResponse && (h.Status == http.StatusNoContent || h.Status == http.StatusNotModified):
 		h.Chunked = false
 		h.ContentLength = 0
-	case p.response && !h.Chunked && h.ContentLength == unknownLength:
+	case p.isResponse && !h.Chunked && h.ContentLength == unknownLength:
 		h.KeepAlive = false
 		p.state = stateUntilClose
 		return nil
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -1,39 +1,42 @@
 package http1
 
-import "bytes"
+import (
+	"bytes"
+	"net/http"
+)
 
 var crlf = []byte("\r\n")
 
-// head waits for the empty line that ends the head, then parses the whole of it.
-func (p *Parser) head(b []byte) (int, Kind, []byte, *Error) {
-	if p.scanned == 0 && !p.response && bytes.HasPrefix(b, crlf) {
-		return len(crlf), NeedMore, nil, nil // one empty line may precede a request, section 2.2
+// readHead consumes the head once the empty line that ends it has arrived.
+func (p *Parser) readHead(b []byte) (element, *Error) {
+	if p.scanned == 0 && !p.isResponse && bytes.HasPrefix(b, crlf) {
+		return element{consumed: len(crlf)}, nil // a request may follow an empty line (RFC 9112, section 2.2)
 	}
 	size, err := p.scanHead(b)
 	if err != nil || size == 0 {
-		return 0, NeedMore, nil, err
+		return element{}, err
 	}
 	p.scanned = 0
 	p.contentSize = 0
 	if err := p.parseHead(b[:size-len(crlf)]); err != nil {
-		return 0, NeedMore, nil, err
+		return element{}, err
 	}
-	if p.interim() {
-		return size, NeedMore, nil, nil
+	if p.isInterim() {
+		return element{consumed: size}, nil
 	}
-	return size, HeadDone, nil, nil
+	return element{consumed: size, kind: HeadDone}, nil
 }
 
-// interim reports whether the head is of an interim response: the final one follows.
-func (p *Parser) interim() bool { return p.response && p.Head.Status < firstFinalStatus }
+// isInterim reports whether the head is that of an interim response. The final one follows it.
+func (p *Parser) isInterim() bool { return p.isResponse && p.Head.Status < firstFinalStatus }
 
-// scanHead returns the size of the head with the empty line that ends it, or 0 while that has
-// not come. It looks at each byte once over all calls.
+// scanHead returns the size of the head with the empty line that ends it, or 0 while that is missing.
+// It searches each byte once over all calls.
 func (p *Parser) scanHead(b []byte) (int, *Error) {
 	for {
 		newline := bytes.IndexByte(b[p.scanned:], '\n')
 		if newline < 0 {
-			return 0, p.checkUnfinishedHead(b)
+			return 0, p.checkIncompleteHead(b)
 		}
 		newline += p.scanned
 		if newline == 0 || b[newline-1] != '\r' {
@@ -56,10 +59,10 @@
 	}
 }
 
-// checkUnfinishedHead holds what has come of a head against the limits.
-func (p *Parser) checkUnfinishedHead(b []byte) *Error {
-	inStartLine := p.scanned == 0
-	if inStartLine && len(b)-1 > p.limits.Line { // the last byte may be the CR
+// checkIncompleteHead checks the part of a head that has arrived against the limits.
+func (p *Parser) checkIncompleteHead(b []byte) *Error {
+	isStartLine := p.scanned == 0
+	if isStartLine && len(b)-1 > p.limits.Line { // the last byte may be the CR
 		return p.startLineTooLong()
 	}
 	if len(b) > p.limits.Headers {
@@ -69,18 +72,18 @@
 }
 
 func (p *Parser) startLineTooLong() *Error {
-	if p.response {
+	if p.isResponse {
 		return malformed("status line is longer than the limit")
 	}
-	return &Error{Status: statusURITooLong, Reason: "request line is longer than the limit"}
+	return &Error{Status: http.StatusRequestURITooLong, Reason: "request line is longer than the limit"}
 }
 
-// parseHead parses the start line and the fields, each with its CRLF, and decides the framing.
+// parseHead parses the start line and the fields, each with its CRLF, then interprets the framing.
 func (p *Parser) parseHead(lines []byte) *Error {
 	fields := p.Head.Fields[:0]
 	p.Head = Head{}
-	start, lines := cutLine(lines)
-	if err := p.parseStartLine(start); err != nil {
+	startLine, lines := cutLine(lines)
+	if err := p.parseStartLine(startLine); err != nil {
 		return err
 	}
 	for len(lines) > 0 {
@@ -89,7 +92,7 @@
 		if len(fields) == p.limits.Fields {
 			return headersTooLarge("more header fields than the limit")
 		}
-		field, err := parseField(line, p.response)
+		field, err := parseField(line, p.isResponse)
 		if err != nil {
 			return err
 		}
@@ -106,23 +109,23 @@
 }
 
 func (p *Parser) parseStartLine(line []byte) *Error {
-	if p.response {
+	if p.isResponse {
 		return p.Head.parseStatusLine(line)
 	}
 	return p.Head.parseRequestLine(line)
 }
 
-// The parts of a status line as RFC 9112, section 4, fixes them: "HTTP/1.1 200 OK".
+// Offsets in a status line such as "HTTP/1.1 200 OK" (RFC 9112, section 4), and in an HTTP version.
 const (
 	minorVersionAt = len("HTTP/1.")
 	versionEnd     = len("HTTP/1.1")
 	statusCodeAt   = len("HTTP/1.1 ")
 	statusCodeEnd  = len("HTTP/1.1 200")
-	minStatusCode  = 100
 )
 
+// parseStatusLine sets Status and MinorVersion.
 func (h *Head) parseStatusLine(line []byte) *Error {
-	if !validStatusLine(line) {
+	if !isStatusLine(line) {
 		return malformed("malformed status line")
 	}
 	for _, c := range line[statusCodeAt:statusCodeEnd] {
@@ -138,9 +141,9 @@
 	return nil
 }
 
-// validStatusLine checks all of a status line but the digits of the status code. The space
-// after the code may be missing where the reason phrase is.
-func validStatusLine(line []byte) bool {
+// isStatusLine reports whether line has the form of a status line, whatever its status code is. The
+// space after the code may be missing if the reason phrase is.
+func isStatusLine(line []byte) bool {
 	if len(line) < statusCodeEnd || !bytes.HasPrefix(line, []byte("HTTP/1.")) {
 		return false
 	}
@@ -154,6 +157,7 @@
 	return !hasControl(line)
 }
 
+// parseRequestLine sets Method, Target and MinorVersion.
 func (h *Head) parseRequestLine(line []byte) *Error {
 	method, rest, hasTarget := bytes.Cut(line, []byte{' '})
 	target, version, hasVersion := bytes.Cut(rest, []byte{' '})
@@ -178,7 +182,7 @@
 	return nil
 }
 
-// parseVersion returns the minor version of "HTTP/1.0" and "HTTP/1.1".
+// parseVersion returns the minor version of "HTTP/1.0" or "HTTP/1.1".
 func parseVersion(version []byte) (minor int, err *Error) {
 	if len(version) != versionEnd || !bytes.HasPrefix(version, []byte("HTTP/")) {
 		return 0, malformed("malformed HTTP version")
@@ -189,15 +193,15 @@
 		return 0, malformed("malformed HTTP version")
 	}
 	if majorDigit != '1' || minorDigit > '1' {
-		return 0, &Error{Status: statusVersionNotSupported, Reason: "HTTP version is not 1.0 or 1.1"}
+		return 0, &Error{Status: http.StatusHTTPVersionNotSupported, Reason: "HTTP version is not 1.0 or 1.1"}
 	}
 	return int(minorDigit - '0'), nil
 }
 
-// parseField splits a header line into name and value. In a response, control characters in a
-// value are kept (RFC 9110, section 5.5, allows it but for CR, LF and NUL): what an engine says
-// beside its answer must not spoil the answer.
-func parseField(line []byte, response bool) (Field, *Error) {
+// parseField splits a header line into name and value. In a response it accepts control characters
+// in a value except CR, LF and NUL, as RFC 9110, section 5.5, allows. An engine's response must not be
+// lost to a field that nobody needs.
+func parseField(line []byte, isResponse bool) (Field, *Error) {
 	if isWhitespace(line[0]) {
 		return Field{}, malformed("folded header line")
 	}
@@ -206,7 +210,7 @@
 		return Field{}, malformed("malformed header field name")
 	}
 	value = trimWhitespace(value)
-	if response && bytes.IndexByte(value, 0) < 0 && bytes.IndexByte(value, '\r') < 0 {
+	if isResponse && bytes.IndexByte(value, 0) < 0 && bytes.IndexByte(value, '\r') < 0 {
 		return Field{Name: name, Value: value}, nil
 	}
 	if hasControl(value) {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,18 +1,21 @@
-// Package http1 reads and writes HTTP/1.1 messages (RFC 9112) on both sides of a proxy. It
-// does no I/O: a Parser is fed the bytes that have come and says what they are, and the Append
-// functions write into a buffer of the caller.
+// Package http1 parses and writes HTTP/1.1 messages (RFC 9112) on both sides of a proxy. It does no
+// I/O. The caller passes input to a Parser, and the Append functions write into a buffer of the
+// caller.
 //
-// The parser accepts less than the RFC allows a lenient recipient to accept, since what two
-// parsers read differently can smuggle a request: a line ends in CRLF and nothing else, a
-// message has one length, and a field name is followed by its colon at once.
+// The parser is stricter than the RFC asks, since a message that two parsers interpret differently
+// can smuggle a request. A line must end in CRLF, a message has one length, and a colon follows each
+// field name directly.
 //
-// Nothing here locks: a Parser belongs to one goroutine.
+// Nothing here locks. A Parser belongs to one goroutine.
 package http1
 
-import "fmt"
+import (
+	"fmt"
+	"net/http"
+)
 
-// Limits bound what a parser accepts. All must be set. Parsers share the value and read it
-// with every message; it must not change while one of them is at work.
+// Limits bound what a parser accepts. All must be set. Parsers share the value and read it at each
+// call, so it must not change while one of them is used.
 type Limits struct {
 	Line    int   // bytes of the start line
 	Headers int   // bytes of the start line and all fields together, and of a trailer
@@ -20,44 +23,46 @@
 	Body    int64 // bytes of content, without the framing of chunks
 }
 
-// Error reports a message that a parser does not accept. The connection is of no further use.
+// Error is why a parser rejects a message. The connection cannot be used any more, as the end of the
+// message is unknown.
 type Error struct {
-	Status int    // the status code with which a server answers
-	Reason string // constant text, without bytes of the message
+	Status int    // status code of a server's answer
+	Reason string // a constant text, without bytes of the message
 }
 
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%s (%d)", e.Reason, e.Status) }
 
+// malformed returns an error for a message that breaks the syntax.
 func malformed(reason string) *Error {
-	return &Error{Status: statusBadRequest, Reason: reason}
+	return &Error{Status: http.StatusBadRequest, Reason: reason}
 }
 
 func contentTooLong() *Error {
-	return &Error{Status: statusContentTooLarge, Reason: "content is longer than the limit"}
+	return &Error{Status: http.StatusRequestEntityTooLarge, Reason: "content is longer than the limit"}
 }
 
 func headersTooLarge(reason string) *Error {
-	return &Error{Status: statusHeadersTooLarge, Reason: reason}
+	return &Error{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: reason}
 }
 
-// Field is one header field. Its slices lie in the bytes that were fed to the parser.
+// Field is a header field. Its slices are part of the parser's input.
 type Field struct{ Name, Value []byte }
 
-// Head is the start line and the fields of a message. Its slices lie in the bytes that were
-// fed to the parser and are valid as long as those.
+// Head is the start line and the fields of a message. Its slices are part of the parser's input and
+// valid until the caller changes that.
 type Head struct {
 	Method, Target []byte // of a request
 	Status         int    // of a response
-	MinorVersion   int    // minor version: HTTP/1.Minor
+	MinorVersion   int    // 0 or 1, of HTTP/1.0 or HTTP/1.1
 	Fields         []Field
-	ContentLength  int64 // bytes of content; -1 where it is not known ahead
-	Chunked        bool  // the content comes in chunks
+	ContentLength  int64 // bytes of content; -1 if the head does not state it
+	Chunked        bool  // the content is sent in chunks
 	KeepAlive      bool  // the connection may carry another message
 	ExpectContinue bool  // the client waits for 100 (Continue)
 }
 
-// Get returns the value of the first field of a name, or nil. name is in lower case.
+// Get returns the value of the first field with the given name, or nil. name must be in lower case.
 func (h *Head) Get(name string) []byte {
 	for i := range h.Fields {
 		if equalFold(h.Fields[i].Name, name) {
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -1,112 +1,89 @@
 package http1
 
-// Kind is what Parser.Next found.
+//go:generate go tool stringer -linecomment -type=Kind,state -output=enum_string.go
+
+// Kind is what Parser.Next found in its input.
 type Kind uint8
 
 const (
-	// NeedMore says that the parser needs more bytes.
-	NeedMore Kind = iota
-	// HeadDone says that Parser.Head is set.
+	// NeedMore means that nothing is found until more bytes arrive.
+	NeedMore Kind = iota // More
+	// HeadDone means that Parser.Head is set.
 	HeadDone
-	// Data says that a piece of the content has come.
+	// Data means that a piece of the content was found.
 	Data
-	// End says that the message has ended and the next one may begin.
+	// End means that the message is complete. The next one may follow.
 	End
 )
 
-// String returns the name of the kind.
-func (k Kind) String() string {
-	switch k {
-	case NeedMore:
-		return "More"
-	case HeadDone:
-		return "HeadDone"
-	case Data:
-		return "Data"
-	case End:
-		return "End"
-	}
-	return "unknown"
-}
-
 // state is the part of a message that the next byte belongs to.
 type state uint8
 
 const (
-	stateHead         state = iota
-	stateFixedContent       // content of a known length
-	stateChunkSize          // the line that begins a chunk
-	stateChunkData
-	stateChunkEnd // the CRLF after a chunk's data
-	stateTrailer
-	stateUntilClose // content that the end of the connection ends
-	stateEnd        // the message is complete and this has not been reported
+	stateHead state = iota // head
+	// stateFixedContent is content of a known length.
+	stateFixedContent // fixed content
+	// stateChunkSize is the line that begins a chunk.
+	stateChunkSize // chunk size
+	stateChunkData // chunk data
+	// stateChunkEnd is the CRLF after a chunk's data.
+	stateChunkEnd // chunk end
+	stateTrailer  // trailer
+	// stateUntilClose is content that ends with the connection.
+	stateUntilClose // until close
+	// stateEnd is a complete message whose End was not yet returned.
+	stateEnd // end
 )
 
-// String returns the name of the state.
-func (s state) String() string {
-	switch s {
-	case stateHead:
-		return "head"
-	case stateFixedContent:
-		return "fixed content"
-	case stateChunkSize:
-		return "chunk size"
-	case stateChunkData:
-		return "chunk data"
-	case stateChunkEnd:
-		return "chunk end"
-	case stateTrailer:
-		return "trailer"
-	case stateUntilClose:
-		return "until close"
-	case stateEnd:
-		return "end"
-	}
-	return "unknown"
-}
-
-// Parser reads one message after another. Make it with NewRequests or NewResponses. It copies
-// none of the bytes that it is fed, and reuses the memory of Head.Fields for the next message.
+// Parser parses one message after another. Create it with NewRequests or NewResponses. It copies no
+// input, and reuses the memory of Head.Fields for the next message.
 type Parser struct {
-	// Head is the head of the message at hand, set from HeadDone on. Its slices are valid until
-	// the caller changes the bytes that were fed to the call of Next that returned HeadDone.
+	// Head is the head of the current message, valid once Next has returned HeadDone. Its slices are
+	// part of the input of that call and valid until the caller changes it.
 	Head Head
 
 	limits      *Limits
-	response    bool // parses responses, else requests
+	isResponse  bool // parses responses, else requests
 	state       state
-	scanned     int   // bytes of the unfinished head or line that need no second look
-	remaining   int64 // bytes of the content or the chunk yet to come
+	scanned     int   // bytes of the incomplete head or line that were searched for its end
+	remaining   int64 // bytes of the content or the chunk that are still to come
 	contentSize int64 // bytes of content so far
 	trailerSize int   // bytes of the trailer so far
 }
 
+// element is what one step of the parser found. The zero element stands for nothing consumed and
+// nothing found.
+type element struct {
+	consumed int
+	kind     Kind   // NeedMore for an element that the caller need not know of
+	data     []byte // of kind Data
+}
+
 // NewRequests returns a parser of requests, for a server.
 func NewRequests(limits *Limits) *Parser { return &Parser{limits: limits} }
 
-// NewResponses returns a parser of responses, for a client. It knows nothing of methods: it is
-// for requests whose responses have content (RFC 9112, section 6.3, rules 1 and 2).
-func NewResponses(limits *Limits) *Parser { return &Parser{limits: limits, response: true} }
+// NewResponses returns a parser of responses, for a client. It does not know the methods of the
+// requests: no response may be to HEAD or CONNECT (RFC 9112, section 6.3, rules 1 and 2).
+func NewResponses(limits *Limits) *Parser { return &Parser{limits: limits, isResponse: true} }
 
-// Idle reports whether the parser stands between messages.
+// Idle reports whether the parser is between two messages.
 func (p *Parser) Idle() bool { return p.state == stateHead && p.scanned == 0 }
 
-// Next looks at b, which begins with the first byte not consumed before, and returns how many
-// bytes it consumed and what they are. The caller owns b: data, set for Data alone, and Head are
-// slices of it. After an error the parser must not be used again.
-func (p *Parser) Next(b []byte) (used int, kind Kind, data []byte, err *Error) {
+// Next parses b, which begins with the first byte not consumed before. It returns how many bytes it
+// consumed and what it found in them. data is a slice of b and set for Data only. The caller owns b.
+// After an error the parser must not be used again.
+func (p *Parser) Next(b []byte) (consumed int, kind Kind, data []byte, err *Error) {
 	for {
-		n, kind, data, err := p.step(b[used:])
-		used += n
-		if kind != NeedMore || err != nil || n == 0 {
-			return used, kind, data, err
+		found, err := p.readElement(b[consumed:])
+		consumed += found.consumed
+		if found.kind != NeedMore || err != nil || found.consumed == 0 {
+			return consumed, found.kind, found.data, err
 		}
 	}
 }
 
-// EndOfInput tells a parser of responses that the connection has ended, and reports whether that
-// completes a message: one that the end of the connection delimits.
+// EndOfInput reports whether the end of the connection completes the current message. That is so for
+// a response without a length. Next returns End then.
 func (p *Parser) EndOfInput() bool {
 	complete := p.state == stateUntilClose
 	if complete {
@@ -115,59 +92,61 @@
 	return complete
 }
 
-// step consumes one element of the message. Its results are those of Next; a step that
-// consumes nothing and finds nothing needs more bytes.
-func (p *Parser) step(b []byte) (int, Kind, []byte, *Error) {
+// readElement consumes one element of the message. If it consumes nothing and finds nothing, it needs
+// more bytes.
+func (p *Parser) readElement(b []byte) (element, *Error) {
 	switch p.state {
 	case stateHead:
-		return p.head(b)
+		return p.readHead(b)
 	case stateFixedContent:
 		if p.remaining == 0 {
-			return p.end()
+			return p.endMessage(), nil
 		}
-		return p.content(b)
+		return p.readContent(b), nil
 	case stateUntilClose:
-		return p.contentUntilClose(b)
+		return p.readUntilClose(b)
 	case stateChunkSize:
-		return p.chunkSize(b)
+		return p.readChunkSize(b)
 	case stateChunkData:
 		if p.remaining == 0 {
 			p.state = stateChunkEnd
-			return p.chunkEnd(b)
+			return p.readChunkEnd(b)
 		}
-		return p.content(b)
+		return p.readContent(b), nil
 	case stateChunkEnd:
-		return p.chunkEnd(b)
+		return p.readChunkEnd(b)
 	case stateTrailer:
-		return p.trailerLine(b)
-	default:
-		return p.end()
+		return p.readTrailerLine(b)
+	case stateEnd:
+		return p.endMessage(), nil
 	}
+	panic("http1: unknown state " + p.state.String())
 }
 
-// end reports the end of the message and expects the head of the next one.
-func (p *Parser) end() (int, Kind, []byte, *Error) {
+// endMessage returns the end of the message. The head of the next one follows.
+func (p *Parser) endMessage() element {
 	p.state = stateHead
-	return 0, End, nil, nil
+	return element{kind: End}
 }
 
-// content takes bytes of the content or the chunk that remains.
-func (p *Parser) content(b []byte) (int, Kind, []byte, *Error) {
+// readContent consumes content of a known length or of a chunk.
+func (p *Parser) readContent(b []byte) element {
 	n := int(min(int64(len(b)), p.remaining))
 	if n == 0 {
-		return 0, NeedMore, nil, nil
+		return element{}
 	}
 	p.remaining -= int64(n)
-	return n, Data, b[:n], nil
+	return element{consumed: n, kind: Data, data: b[:n]}
 }
 
-func (p *Parser) contentUntilClose(b []byte) (int, Kind, []byte, *Error) {
+// readUntilClose consumes content that ends with the connection.
+func (p *Parser) readUntilClose(b []byte) (element, *Error) {
 	p.contentSize += int64(len(b))
 	if p.contentSize > p.limits.Body {
-		return 0, NeedMore, nil, contentTooLong()
+		return element{}, contentTooLong()
 	}
 	if len(b) == 0 {
-		return 0, NeedMore, nil, nil
+		return element{}, nil
 	}
-	return len(b), Data, b, nil
+	return element{consumed: len(b), kind: Data, data: b}, nil
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/parser_test.go
@@ -1,64 +1,62 @@
 package http1
 
 import (
-	"bufio"
-	"bytes"
 	"fmt"
-	"io"
-	"net/http"
 	"strings"
 	"testing"
 )
 
 var limits = Limits{Line: 200, Headers: 600, Fields: 8, Body: 1000}
 
-// message is what a parser found in one message.
+// message is what a parser found of one message.
 type message struct {
 	line, body string
 	chunked    bool
 	keepAlive  bool
 }
 
-// parseAll parses all messages of a stream that comes in pieces of a size.
-func parseAll(p *Parser, in []byte, piece int) (got []message, err *Error) {
+// parseAll parses all messages of in, which arrives in pieces of a given size.
+func parseAll(p *Parser, in []byte, piece int) ([]message, *Error) {
+	var messages []message
 	var current message
 	from := 0
 	for to := min(piece, len(in)); ; to = min(to+piece, len(in)) {
-		for {
+		for needMore := false; !needMore; {
 			window := append([]byte(nil), in[from:to]...) // a fresh copy: the parser must not depend on older bytes
-			used, kind, data, err := p.Next(window)
-			from += used
+			consumed, kind, data, err := p.Next(window)
+			from += consumed
 			if err != nil {
-				return got, err
-			}
-			if kind == NeedMore {
-				break
+				return messages, err
 			}
 			switch kind {
+			case NeedMore:
+				needMore = true
 			case HeadDone:
 				h := &p.Head
 				current = message{line: fmt.Sprintf("%s %s %d", h.Method, h.Target, h.Status), chunked: h.Chunked, keepAlive: h.KeepAlive}
 			case Data:
 				current.body += string(data)
 			case End:
-				got = append(got, current)
+				messages = append(messages, current)
 			}
 		}
 		if to == len(in) {
-			if p.response && p.EndOfInput() {
-				got = append(got, current)
+			if p.isResponse && p.EndOfInput() {
+				messages = append(messages, current)
 			}
-			return got, nil
+			return messages, nil
 		}
 	}
 }
 
+// TestRequestsParsedOrRejectedAlikeInPiecesOfAnySize: what a parser accepts, and the status with which it
+// rejects the rest, does not depend on how the input is split.
 func TestRequestsParsedOrRejectedAlikeInPiecesOfAnySize(t *testing.T) {
 	const host = "Host: a\r\n"
 	post := func(rest string) string { return "POST /p HTTP/1.1\r\n" + host + rest }
 	for _, c := range []struct {
 		name, in string
-		status   int // 0 for good
+		status   int // 0 if accepted
 		bodies   string
 	}{
 		{"plain", "GET / HTTP/1.1\r\n" + host + "\r\n", 0, "|"},
@@ -93,10 +91,10 @@
 		{"chunk size 0x", post("Transfer-Encoding: chunked\r\n\r\n0x1\r\na\r\n"), 400, ""},
 		{"chunk size overflow", post("Transfer-Encoding: chunked\r\n\r\nffffffffffffffff1\r\n"), 400, ""},
 		{"space after chunk size", post("Transfer-Encoding: chunked\r\n\r\n1 \r\na\r\n"), 400, ""},
-		{"chunk longer than told", post("Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"), 400, ""},
+		{"chunk longer than its size", post("Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"), 400, ""},
 		{"chunk bare LF", post("Transfer-Encoding: chunked\r\n\r\n1\na\r\n"), 400, ""},
 		{"long line", "GET /" + strings.Repeat("x", 300), 414, ""},
-		{"long line whole", "GET /" + strings.Repeat("x", 300) + " HTTP/1.1\r\n" + host + "\r\n", 414, ""},
+		{"complete long line", "GET /" + strings.Repeat("x", 300) + " HTTP/1.1\r\n" + host + "\r\n", 414, ""},
 		{"large fields", "GET / HTTP/1.1\r\n" + host + "A: " + strings.Repeat("x", 700), 431, ""},
 		{"many fields", "GET / HTTP/1.1\r\n" + host + strings.Repeat("A: b\r\n", 9) + "\r\n", 431, ""},
 		{"large trailer", post("Transfer-Encoding: chunked\r\n\r\n0\r\n" + strings.Repeat("A: bbbbbbbbbb\r\n", 60)), 431, ""},
@@ -116,6 +114,8 @@
 	}
 }
 
+// TestResponsesParsedOrRejectedAlikeInPiecesOfAnySize is the same for responses, of which some have no length
+// of their own.
 func TestResponsesParsedOrRejectedAlikeInPiecesOfAnySize(t *testing.T) {
 	in := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi" +
 		"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\nHTTP/1.0 503 Busy\r\n\r\ntill the end"
@@ -136,64 +136,13 @@
 	}
 }
 
-// FuzzRequests takes net/http as the oracle: what both accept, both must parse alike,
-// and the size of the pieces must not matter.
-func FuzzRequests(f *testing.F) {
-	f.Add([]byte("POST /p?q HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: a\r\n\r\n"), 3)
-	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\nA: b\r\n\r\n"), 1)
-	f.Add([]byte("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n"), 2)
-	f.Fuzz(func(t *testing.T, in []byte, piece int) {
-		piece = max(piece&0xff, 1)
-		got, err := parseAll(NewRequests(&limits), in, len(in)+1)
-		inPieces, inPiecesErr := parseAll(NewRequests(&limits), in, piece)
-		if fmt.Sprint(got) != fmt.Sprint(inPieces) || (err == nil) != (inPiecesErr == nil) {
-			t.Fatalf("whole: %v %v\nin pieces of %d: %v %v", got, err, piece, inPieces, inPiecesErr)
-		}
-		r := bufio.NewReader(bytes.NewReader(in))
-		for i, m := range got {
-			req, err := http.ReadRequest(r)
-			if err != nil {
-				return
-			}
-			body, err := io.ReadAll(req.Body)
-			if err != nil {
-				return
-			}
-			line := req.Method + " " + req.RequestURI + " 0"
-			if line != m.line || string(body) != m.body {
-				t.Fatalf("message %d: net/http parses %q %q, we %q %q", i, line, body, m.line, m.body)
-			}
-		}
-	})
-}
-
-func BenchmarkRequest(b *testing.B) {
-	in := []byte("POST /v1/embeddings HTTP/1.1\r\nHost: 127.0.0.1:8080\r\nUser-Agent: x/1.0\r\nAccept: application/json\r\n" +
-		"Content-Type: application/json\r\nAuthorization: Bearer abc\r\nContent-Length: 40\r\n\r\n" + strings.Repeat("x", 40))
-	p := NewRequests(&limits)
-	b.SetBytes(int64(len(in)))
-	b.ReportAllocs()
-	for b.Loop() {
-		for rest := in; ; {
-			used, kind, _, err := p.Next(rest)
-			if err != nil {
-				b.Fatal(err)
-			}
-			rest = rest[used:]
-			if kind == End {
-				break
-			}
-		}
-	}
-}
-
 // TestControlCharactersInFieldRejectRequestNotResponse: in a response only NUL and a bare CR are
 // rejected.
 func TestControlCharactersInFieldRejectRequestNotResponse(t *testing.T) {
 	limits := &Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1000}
-	for value, good := range map[string]bool{"a\x01b\x7f": true, "a\x00b": false, "a\rb": false, "ab": true} {
+	for value, inResponse := range map[string]bool{"a\x01b\x7f": true, "a\x00b": false, "a\rb": false, "ab": true} {
 		_, _, _, err := NewResponses(limits).Next([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX: " + value + "\r\n\r\n"))
-		if (err == nil) != good {
+		if (err == nil) != inResponse {
 			t.Errorf("response with %q: %v", value, err)
 		}
 		_, _, _, err = NewRequests(limits).Next([]byte("GET / HTTP/1.1\r\nHost: x\r\nX: " + value + "\r\n\r\n"))
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -1,60 +1,54 @@
 package http1
 
-// The status codes that the parser knows, RFC 9110 section 15.
+import "net/http"
+
+// Bounds of status codes, RFC 9110 section 15.
 const (
-	statusSwitchingProtocols  = 101
-	firstFinalStatus          = 200 // those below are of interim responses
-	statusNoContent           = 204
-	statusNotModified         = 304
-	statusBadRequest          = 400
-	statusContentTooLarge     = 413
-	statusURITooLong          = 414
-	statusExpectationFailed   = 417
-	statusHeadersTooLarge     = 431
-	statusNotImplemented      = 501
-	statusVersionNotSupported = 505
+	minStatusCode    = 100
+	firstFinalStatus = 200 // codes below it are of interim responses
 )
 
-// StatusText returns the reason phrase of a status code that this program sends, and "Status"
-// for others.
+// StatusText returns the reason phrase of RFC 9110 for the status codes that this program sends, and
+// "Status" for others. The phrases of net/http are partly those of older RFCs.
 func StatusText(status int) string {
 	switch status {
-	case 100:
+	case http.StatusContinue:
 		return "Continue"
-	case 200:
+	case http.StatusOK:
 		return "OK"
-	case 400:
+	case http.StatusBadRequest:
 		return "Bad Request"
-	case 404:
+	case http.StatusNotFound:
 		return "Not Found"
-	case 405:
+	case http.StatusMethodNotAllowed:
 		return "Method Not Allowed"
-	case 408:
+	case http.StatusRequestTimeout:
 		return "Request Timeout"
-	case 413:
+	case http.StatusRequestEntityTooLarge:
 		return "Content Too Large"
-	case 414:
+	case http.StatusRequestURITooLong:
 		return "URI Too Long"
-	case 417:
+	case http.StatusExpectationFailed:
 		return "Expectation Failed"
-	case 424:
+	case http.StatusFailedDependency:
 		return "Failed Dependency"
-	case 429:
+	case http.StatusTooManyRequests:
 		return "Too Many Requests"
-	case 431:
+	case http.StatusRequestHeaderFieldsTooLarge:
 		return "Request Header Fields Too Large"
-	case 500:
+	case http.StatusInternalServerError:
 		return "Internal Server Error"
-	case 501:
+	case http.StatusNotImplemented:
 		return "Not Implemented"
-	case 502:
+	case http.StatusBadGateway:
 		return "Bad Gateway"
-	case 503:
+	case http.StatusServiceUnavailable:
 		return "Service Unavailable"
-	case 504:
+	case http.StatusGatewayTimeout:
 		return "Gateway Timeout"
-	case 505:
+	case http.StatusHTTPVersionNotSupported:
 		return "HTTP Version Not Supported"
+	default:
+		return "Status"
 	}
-	return "Status"
 }
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,10 +2,11 @@
 
 import "strconv"
 
-// The Append functions add to a buffer of the caller and return it as append does: they keep
-// neither it nor their arguments. They check nothing: names and values must be free of CR and LF.
+// The Append functions append to a buffer of the caller and return it as append does. They keep
+// neither it nor their arguments. They check nothing: names and values must not contain CR or LF.
 
-// AppendRequest adds the start line of a request; fields and the empty line follow.
+// AppendRequest appends the start line of a request. The caller appends the fields and the empty line
+// that ends the head.
 func AppendRequest(b []byte, method, target string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -13,7 +14,8 @@
 	return append(b, " HTTP/1.1\r\n"...)
 }
 
-// AppendStatus adds the status line of a response; fields and the empty line follow.
+// AppendStatus appends the status line of a response. The caller appends the fields and the empty line
+// that ends the head.
 func AppendStatus(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -22,7 +24,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendField adds a header field.
+// AppendField appends a header field.
 func AppendField[T string | []byte](b []byte, name string, value T) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -30,14 +32,15 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendContentLength adds Content-Length and the empty line that ends the head.
+// AppendContentLength appends a Content-Length field and the empty line that ends the head.
 func AppendContentLength(b []byte, n int) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(n), 10)
 	return append(b, "\r\n\r\n"...)
 }
 
-// AppendChunk adds a chunk; an empty one would end the content and is left out.
+// AppendChunk appends a chunk. If data is empty it appends nothing, as an empty chunk would end the
+// content.
 func AppendChunk(b, data []byte) []byte {
 	if len(data) == 0 {
 		return b
@@ -48,5 +51,5 @@
 	return append(b, "\r\n"...)
 }
 
-// LastChunk ends chunked content.
+// LastChunk ends chunked content without a trailer.
 const LastChunk = "0\r\n\r\n"
