--- a/control/capacity.go
+++ b/control/capacity.go
@@ -1,161 +1,137 @@
 package control
 
 import (
-	"cmp"
-	"maps"
 	"math"
+	"math/rand/v2"
 	"slices"
 	"time"
 )
 
-// Our share of the service's capacity, and the balance of cells and zones.
 const (
-	fullMemory        = 0.9             // share of an engine's memory above which it has no capacity
-	fullQueue         = 3.0             // requests queued at an engine with which it has no capacity
-	shareMargin       = 1.3             // our share of memory, over 1/routers: clients spread unevenly
-	reportAlpha       = 0.1             // weight of a new load report in the mean over the endpoints
-	reportTTL         = 4 * time.Second // an older load report is no longer believed
-	sentDecay         = 0.5             // share of our demand that reports a second later do not show yet
-	prefillSkew       = 1.4             // most of a prefill engine beside many decode engines, over its weight
-	colocatedShare    = 0.6             // what a colocated engine answers, over what a decode engine does
-	colocatedSlowdown = 1.3             // times a decode engine's, that its answers may take before it gets less
+	// fullMemory is the share of an engine's memory above which it has no capacity.
+	fullMemory = 0.9
+	// fullQueue is the number of requests queued at an engine with which it has no capacity.
+	fullQueue = 3.0
+	// shareMargin is the factor on our share of memory, 1/routers. Clients spread unevenly over routers.
+	shareMargin = 1.3
+	// reportAlpha is the weight of a load report in the mean over all endpoints.
+	reportAlpha = 0.1
+	// reportTTL is the age from which a load report is ignored.
+	reportTTL = 4 * time.Second
+	// sentDecay is the share of our demand that load reports do not show yet a second later.
+	sentDecay = 0.5
 )
 
-// freeCapacity is our share, in mean requests, of the free memory of all decode and colocated engines, less
-// prefills in flight: the least that pooled reports, which come late, and our own answers leave.
-func (r *Router) freeCapacity() float64 {
-	view := &r.capacity
-	perRequest := max(r.traffic.meanDemand.value, 1)
-	free := r.capacityShare(view.memoryTokens) - float64(view.demand/perRequest)
-	if r.now.Sub(view.reportedAt) < reportTTL && view.reportedAt != 0 {
-		reported := view.reportedFree.value * Tokens(view.endpoints) / Tokens(r.settings.Identity.Routers)
-		free = min(free, float64((reported-view.sentSinceReport)/perRequest))
+// capacityView is what is known of the KV memory of all decode and colocated engines together.
+type capacityView struct {
+	routers          int           // of the service
+	reportFields     []ReportField // the values of a load report, in order
+	meanDemand       ewma[Tokens]  // KV memory of a request
+	memoryTokens     Tokens        // of all these engines, by the settings; 0 for unknown
+	engines          int           // number of these engines
+	reportedFree     ewma[Tokens]  // free memory of one of them, by load reports
+	reportedAt       Time          // latest load report; 0 for never
+	sentSinceReport  Tokens        // demand that load reports do not show yet
+	demand           Tokens        // of our attempts in flight
+	prefillsInFlight int           // our attempts at prefill engines
+	releaseThreshold float64       // share of a mean request that must be free for a release, from 0 to 1
+}
+
+// demandPerRequest returns the mean demand of a request, at least one token.
+func (c *capacityView) demandPerRequest() Tokens { return max(c.meanDemand.value, 1) }
+
+// freeRequests returns how many mean requests fit in our share of the free memory, less our prefills in
+// flight. Load reports come late, so our own attempts bound it too: the lesser of the two counts.
+func (c *capacityView) freeRequests(now Time) float64 {
+	perRequest := c.demandPerRequest()
+	free := c.share(c.memoryTokens) - float64(c.demand/perRequest)
+	if now.Sub(c.reportedAt) < reportTTL && c.reportedAt != 0 {
+		reported := c.reportedFree.value * Tokens(c.engines) / Tokens(c.routers)
+		free = min(free, float64((reported-c.sentSinceReport)/perRequest))
 	}
-	return free - view.prefillsInFlight
+	return free - float64(c.prefillsInFlight)
 }
 
-// capacityShare is our share of so much memory in mean requests, with slack for chance, which weighs more
-// the smaller the share is. Memory of unknown size has no bound.
-func (r *Router) capacityShare(memoryTokens Tokens) float64 {
-	if memoryTokens <= 0 {
+// share returns our share of an amount of memory, in mean requests. Its slack for chance weighs more the
+// smaller the share is. Memory of unknown size, 0, has no bound.
+func (c *capacityView) share(memory Tokens) float64 {
+	if memory <= 0 {
 		return math.Inf(1)
 	}
-	perRequest := max(r.traffic.meanDemand.value, 1)
-	share := float64(fullMemory * memoryTokens / Tokens(r.settings.Identity.Routers) / perRequest)
-	return min(shareMargin*share+math.Sqrt(share), float64(fullMemory*memoryTokens/perRequest))
+	perRequest := c.demandPerRequest()
+	share := float64(fullMemory * memory / Tokens(c.routers) / perRequest)
+	return min(shareMargin*share+math.Sqrt(share), float64(fullMemory*memory/perRequest))
+}
+
+// drawReleaseThreshold draws the free share of a request that the next release needs. With a fixed threshold
+// of one request, many routers with a small share each could all release nothing.
+func (c *capacityView) drawReleaseThreshold(rng *rand.Rand) {
+	c.releaseThreshold = 1 - rng.Float64()*(1-1/float64(c.routers))
 }
 
-// recordReport takes in a load report. It joins a mean: in a large service a single endpoint is heard from
-// too seldom.
-func (r *Router) recordReport(source *endpoint, values []float64) {
-	report, ok := parseReport(r.settings.Engines.ReportFields, values)
-	if !ok {
+// addAttempt counts an attempt that is forwarded to an endpoint of a role.
+func (c *capacityView) addAttempt(role Role, demand Tokens) {
+	if role == RolePrefill {
+		c.prefillsInFlight++
 		return
 	}
-	free := r.reportedFree(source, report)
-	if source.role != RolePrefill && !math.IsInf(float64(free), 1) {
-		r.capacity.reportedFree.observe(free, reportAlpha)
-		r.capacity.reportedAt = r.now
-	}
+	c.demand += demand
+	c.sentSinceReport += demand
 }
 
-// reportedFree is the free memory that a load report shows, in tokens: the capacity of AIBrix's request for
-// comments where the fields for it exist, else known memory less its part in use; infinite for unknown.
-func (r *Router) reportedFree(source *endpoint, report loadReport) Tokens {
-	utilization := report[ReportUtilization]
-	switch {
-	case report[ReportMemory] > fullMemory || report[ReportQueued] >= fullQueue:
-		return 0
-	case report[ReportInFlight]*utilization > 0:
-		return Tokens(report[ReportInFlight]*(1-utilization)/utilization) * r.traffic.meanDemand.value
-	case source.memoryTokens > 0 && slices.Contains(r.settings.Engines.ReportFields, ReportMemory):
-		return Tokens(max(fullMemory-report[ReportMemory], 0)) * source.memoryTokens
+// removeAttempt counts the end of an attempt.
+func (c *capacityView) removeAttempt(role Role, demand Tokens) {
+	if role == RolePrefill {
+		c.prefillsInFlight--
+		return
 	}
-	return Tokens(math.Inf(1))
+	c.demand -= demand
 }
 
-// rebalance works out what each endpoint takes of all traffic, and each cell of prefills and answers. Every
-// router comes to the same.
-func (r *Router) rebalance() {
-	weights := r.collectReady()
-	decode := max(weights[RoleDecode], minWeight)
-	prefill := r.skewPrefill(weights[RolePrefill], decode)
-	for _, cell := range r.topology.cells {
-		cell.prefill = 0
-		cell.decode /= decode
+// recordReport adds a load report to the mean over all endpoints. In a large service a router hears too
+// seldom from a single one. Reports of prefill engines and unusable ones have no effect.
+func (c *capacityView) recordReport(source *endpoint, values []float64, now Time) {
+	report, ok := parseReport(c.reportFields, values)
+	if !ok || source.role == RolePrefill {
+		return
 	}
-	colocated := r.colocatedWeight()
-	all := decode + colocated*weights[RoleColocated]
-	for _, e := range r.endpoints.ready {
-		switch e.role {
-		case RolePrefill:
-			r.topology.cells[e.Cell].prefill += e.trafficShare / prefill
-			e.trafficShare *= decode / prefill / all
-		case RoleColocated:
-			e.trafficShare *= colocated / all
-		}
+	if free, known := c.freeMemory(source, report); known {
+		c.reportedFree.observe(free, reportAlpha)
+		c.reportedAt = now
 	}
-	r.topology.poolZones()
 }
 
-// collectReady lists the ready endpoints, with their weights as shares, and sums these up by cell and role.
-func (r *Router) collectReady() (weights [roleCount]float64) {
-	r.topology = topology{cells: map[uint16]*stageShares{}, zones: map[uint16]*stageShares{}}
-	r.capacity.memoryTokens = 0
-	r.capacity.endpoints = 0
-	r.endpoints.ready = r.endpoints.ready[:0]
-	for _, e := range r.endpoints.all {
-		cell := r.topology.open(e)
-		if e.State != Ready {
-			continue
-		}
-		r.endpoints.ready = append(r.endpoints.ready, e)
-		e.trafficShare = e.Weight
-		switch e.role {
-		case RolePrefill:
-			cell.prefill += e.trafficShare
-		case RoleDecode:
-			if !r.warmedUp(e) {
-				e.trafficShare *= r.slowStartShare(e.role)
-			}
-			cell.decode += e.trafficShare
-		}
-		weights[e.role] += e.trafficShare
-		if e.role != RolePrefill {
-			r.capacity.memoryTokens += e.memoryTokens
-			r.capacity.endpoints++
-		}
+// freeMemory returns the free memory of an endpoint by its load report. It uses the capacity formula of
+// AIBrix's request for comments if the report has the fields for it, else the known memory less the part in
+// use. It returns false if the report says neither.
+func (c *capacityView) freeMemory(source *endpoint, report loadReport) (free Tokens, known bool) {
+	utilization := report[ReportUtilization]
+	switch {
+	case report[ReportMemory] > fullMemory || report[ReportQueued] >= fullQueue:
+		return 0, true
+	case report[ReportInFlight]*utilization > 0:
+		free = Tokens(report[ReportInFlight]*(1-utilization)/utilization) * c.meanDemand.value
+		return free, !math.IsInf(float64(free), 1) // a utilization next to 0 says nothing
+	case source.memoryTokens > 0 && slices.Contains(c.reportFields, ReportMemory):
+		return Tokens(max(fullMemory-report[ReportMemory], 0)) * source.memoryTokens, true
 	}
-	return weights
+	return 0, false
 }
 
-// skewPrefill gives prefill engines beside many decode engines more, as far as the pool has reserves, and
-// returns the sum of their shares.
-func (r *Router) skewPrefill(prefillWeight, decodeWeight float64) (sum float64) {
-	for _, e := range r.endpoints.ready {
-		if e.role == RolePrefill {
-			cell := r.topology.cells[e.Cell]
-			skew := math.Sqrt(cell.decode / cell.prefill * prefillWeight / decodeWeight)
-			e.trafficShare *= min(max(skew, 1/prefillSkew), prefillSkew)
-			sum += e.trafficShare
-		}
-	}
-	return sum
-}
+// decay reduces the demand that load reports do not show yet.
+func (c *capacityView) decay() { c.sentSinceReport *= sentDecay }
 
-// colocatedWeight is the weight of a colocated engine's answers over that of a decode engine's.
-func (r *Router) colocatedWeight() float64 {
-	decode := cmp.Or(r.latency.roles[RoleDecode].relativeLatency.value, 1)
-	colocated := cmp.Or(r.latency.roles[RoleColocated].relativeLatency.value, 1)
-	return colocatedShare * min(colocatedSlowdown*decode/colocated, 1)
-}
+// loadReport is a load report by field.
+type loadReport [ReportBacklog + 1]float64
 
-// poolZones adds what cells leave over to their zones.
-func (t *topology) poolZones() {
-	for _, id := range slices.Sorted(maps.Keys(t.cells)) {
-		cell := t.cells[id]
-		zone := t.zones[cell.zone]
-		zone.prefill += max(cell.prefill-cell.decode, 0)
-		zone.decode += max(cell.decode-cell.prefill, 0)
+// parseReport returns the values of a load report by field. It returns false if the report is missing or too
+// short.
+func parseReport(fields []ReportField, values []float64) (report loadReport, ok bool) {
+	if len(values) == 0 || len(values) < len(fields) {
+		return report, false
+	}
+	for i, field := range fields {
+		report[field] = values[i]
 	}
+	return report, true
 }
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -1,24 +1,171 @@
 package control
 
 import (
-	"maps"
+	"cmp"
+	"slices"
 	"time"
 )
 
-// Updates of the endpoint list, expiry and decay.
 const (
-	expiryInterval     = time.Second      // between expiries
-	sessionIdleTimeout = 60 * time.Second // a session without a request for so long is forgotten
-	healthCheckJitter  = 1000             // microseconds; each router checks new endpoints in its own order
+	// expiryInterval is the time between expiries.
+	expiryInterval = time.Second
+	// healthCheckJitter is the range of the random first check times of endpoints, in microseconds. Each router
+	// checks new endpoints in an order of its own.
+	healthCheckJitter = 1000
 )
 
+// roleCount is the number of roles.
+const roleCount = int(RoleColocated) + 1
+
+// perRole holds a number for each role.
+type perRole [roleCount]float64
+
+// endpoint is an entry of the endpoint list and what this router knows of its engine.
+type endpoint struct {
+	listEntry
+	load   endpointLoad
+	health endpointHealth
+	warmUp warmUp
+}
+
+// listEntry is an entry of the endpoint list with the properties of its kind.
+type listEntry struct {
+	Endpoint
+	role         Role
+	memoryTokens Tokens // KV memory; 0 for unknown
+}
+
+// endpointLoad is the load that this router puts on an endpoint.
+type endpointLoad struct {
+	attempts     []*request // requests with an attempt in flight there
+	demand       Tokens     // KV memory that they need; 0 for prefill engines
+	trafficShare float64    // of all requests, that the endpoint should take
+}
+
+// addAttempt starts the next attempt of a request at an endpoint.
+func (e *endpoint) addAttempt(request *request, next attempt) {
+	request.attempts++
+	request.latest = next
+	e.load.attempts = append(e.load.attempts, request)
+	if e.role != RolePrefill {
+		e.load.demand += request.demand
+	}
+}
+
+// removeAttempt ends the latest attempt of a request.
+func (e *endpoint) removeAttempt(ended *request) {
+	ended.latest.inFlight = false
+	e.load.attempts = slices.DeleteFunc(e.load.attempts, func(other *request) bool { return other == ended })
+	if e.role != RolePrefill {
+		e.load.demand -= ended.demand
+	}
+}
+
+// relativeLoad returns the number of our attempts over the endpoint's weight.
+func (e *endpoint) relativeLoad() float64 { return float64(len(e.load.attempts)) / e.Weight }
+
+// update applies an entry of the endpoint list. A new start of the engine voids what was known of its health.
+func (e *endpoint) update(entry Endpoint, kind EngineKind) {
+	if entry.StartedAt > e.warmUp.startedAt && entry.State == Ready {
+		e.warmUp.startedAt = entry.StartedAt
+		e.health.restart()
+	}
+	e.Endpoint = entry
+	e.Weight = max(entry.Weight, minWeight)
+	e.role = kind.Role
+	e.memoryTokens = kind.MemoryTokens
+}
+
+// endpointTable holds the endpoints that are listed or have an attempt in flight.
+type endpointTable struct {
+	byID  map[EndpointID]*endpoint
+	all   []*endpoint // by id
+	ready []*endpoint // those listed as ready, by id
+}
+
+// add adds an endpoint. The caller restores the order by removeGone.
+func (t *endpointTable) add(id EndpointID, added *endpoint) {
+	t.byID[id] = added
+	t.all = append(t.all, added)
+}
+
+// removeGone drops the endpoints that are gone and have no attempt in flight, and sorts the others.
+func (t *endpointTable) removeGone() {
+	slices.SortFunc(t.all, func(a, b *endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	t.all = slices.DeleteFunc(t.all, func(e *endpoint) bool {
+		gone := e.State == Gone && len(e.load.attempts) == 0
+		if gone {
+			delete(t.byID, e.ID)
+		}
+		return gone
+	})
+}
+
+// ejectionLimitReached reports whether so many endpoints of the target's role are ejected that it may not
+// follow for errors, slowness or silence. A fault that most endpoints share is not their own.
+func (t *endpointTable) ejectionLimitReached(target *endpoint) bool {
+	all, healthy := 0.0, 0.0
+	for _, e := range t.ready {
+		if e.role == target.role {
+			all++
+			if e != target && !e.health.ejected() {
+				healthy++
+			}
+		}
+	}
+	return healthy < all*(1-maxEjectedShare)
+}
+
+// medianLoads returns the load of each role with which the loads of its endpoints are compared. Colocated
+// engines are compared with decode engines, if there are any.
+func (t *endpointTable) medianLoads() perRole {
+	colocated := colocatedShare * t.medianLoad(RoleDecode)
+	if !slices.ContainsFunc(t.ready, func(e *endpoint) bool { return e.role == RoleDecode }) {
+		colocated = t.medianLoad(RoleColocated)
+	}
+	return perRole{RolePrefill: t.medianLoad(RolePrefill), RoleColocated: colocated}
+}
+
+// medianLoad returns the lower median of the loads of a role's endpoints that are not ejected; 0 if there are
+// none.
+func (t *endpointTable) medianLoad(role Role) float64 {
+	loads := []float64{}
+	for _, e := range t.ready {
+		if e.role == role && !e.health.ejected() {
+			loads = append(loads, e.relativeLoad())
+		}
+	}
+	slices.Sort(loads)
+	loads = append(loads, 0)
+	return loads[(len(loads)-1)/2]
+}
+
+// nextToCheck returns the endpoint whose latest health check is the oldest; nil for none.
+func (t *endpointTable) nextToCheck() *endpoint {
+	var next *endpoint
+	for _, e := range t.all {
+		if e.State == Gone || e.health.checkInFlight {
+			continue
+		}
+		if next == nil || e.health.checkedAt < next.health.checkedAt {
+			next = e
+		}
+	}
+	return next
+}
+
 // updateEndpoints applies changes of the endpoint list. An endpoint that drains or is gone gets nothing more
-// from this moment on, which keeps the rule of drains at once.
+// from this event on.
 func (r *Router) updateEndpoints(event EndpointUpdate) {
 	listed := map[EndpointID]bool{}
 	for _, entry := range event.Endpoints {
 		listed[entry.ID] = true
-		r.updateEndpoint(entry)
+		known := r.endpoints.byID[entry.ID]
+		if known == nil {
+			known = &endpoint{health: endpointHealth{checkedAt: Time(r.rng.Uint64N(healthCheckJitter))}}
+			r.endpoints.add(entry.ID, known)
+		}
+		known.update(entry, r.settings.Engines.Kinds[entry.Kind])
 	}
 	for _, e := range r.endpoints.all {
 		if event.Full && !listed[e.ID] {
@@ -29,34 +176,12 @@
 	r.rebalance()
 }
 
-// updateEndpoint applies one entry of the list.
-func (r *Router) updateEndpoint(entry Endpoint) {
-	known := r.endpoints.byID[entry.ID]
-	if known == nil {
-		known = &endpoint{healthCheckedAt: Time(r.rng.Uint64N(healthCheckJitter))}
-		r.endpoints.byID[entry.ID] = known
-		r.endpoints.all = append(r.endpoints.all, known)
-	}
-	if entry.StartedAt > known.slowStartSince && entry.State == Ready { // a new process: what we knew is void
-		known.slowStartSince = entry.StartedAt
-		known.failureRate = 0
-		known.relativeLatency = ewma[float64]{}
-	}
-	known.Endpoint = entry
-	known.Weight = max(entry.Weight, minWeight)
-	known.role = r.settings.Engines.Kinds[entry.Kind].Role
-	known.memoryTokens = r.settings.Engines.Kinds[entry.Kind].MemoryTokens
-}
-
-// expireAndDecay drops idle sessions and lets what was counted fade.
+// expireAndDecay drops what is idle and reduces what was counted.
 func (r *Router) expireAndDecay() {
-	seconds := r.now.Sub(r.expiredAt).Seconds()
+	r.releases.update(r.now.Sub(r.expiredAt))
 	r.expiredAt = r.now
-	r.traffic.releaseRate.observe(r.traffic.released/seconds, latencyAlpha)
-	r.traffic.released = 0
-	idle := func(_ uint64, row *session) bool { return r.now.Sub(row.seenAt) > sessionIdleTimeout }
-	maps.DeleteFunc(r.sessions, idle)
-	r.prefixes.decay(popularityDecay, minWeight)
-	r.capacity.sentSinceReport *= sentDecay
+	r.sessions.expire(r.now)
+	r.prefixes.decay()
+	r.capacity.decay()
 	r.rebalance()
 }
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -79,16 +79,16 @@
 	for range 10 { // the later ones on probation
 		serveOnFirst(500 * ms)
 	}
-	if !first.ejected() {
+	if !first.health.ejected() {
 		t.Fatal("a slow engine is not ejected")
 	}
 	s.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Ready, Kind: 0, StartedAt: s.now, Weight: 1}}})
-	if first.ejected() {
+	if first.health.ejected() {
 		t.Fatal("ejected when it has just restarted")
 	}
 	for i, took := range []time.Duration{20 * ms, 500 * ms, 500 * ms, 500 * ms} {
 		serveOnFirst(took)
-		if first.ejected() {
+		if first.health.ejected() {
 			t.Fatalf("ejected by prefill %d after the restart, of %v", i+1, took)
 		}
 	}
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -4,7 +4,7 @@
 func (r *Router) EntryCount() int {
 	n := len(r.requests) + len(r.sessions) + len(r.queue) + len(r.parked)
 	for _, e := range r.endpoints.all {
-		n += len(e.attempts)
+		n += len(e.load.attempts)
 	}
 	return n
 }
--- a/control/hash.go
+++ b/control/hash.go
@@ -1,7 +1,7 @@
 package control
 
-// hashFraction is a number between 0 and 1 that depends on a key and an endpoint alone: the finalizer of
-// SplitMix64, with its usual constants. Other routers come to the same number.
+// hashFraction returns a number between 0 and 1 that depends on a key and an endpoint alone, so that all
+// routers compute the same. It is the finalizer of SplitMix64 with its usual constants.
 func hashFraction(key uint64, id EndpointID) float64 {
 	x := key ^ uint64(id)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/control/health.go
+++ b/control/health.go
@@ -5,37 +5,107 @@
 	"time"
 )
 
-// Which endpoints are ejected, and when they are tried again.
+// Ejection and probation.
 const (
-	failureAlpha       = 0.3  // weight of one outcome in an endpoint's failure rate
-	unresponsiveAlpha  = 0.5  // weight of long silence: ejected until two attempts go well
-	certainAlpha       = 1.0  // weight of what ejects at once
-	ejectionThreshold  = 0.35 // failure rate above which an endpoint is ejected: two of the last four
-	maxEjectedShare    = 0.5  // share of a role that may be ejected for errors, slowness or silence
-	slowLatency        = 3.0  // times the mean; a relative latency above it counts as a failure
-	relativeLatencyCap = 1.5  // times slowLatency; no sample of a relative latency counts as more
-
-	probationInterval   = 2 * time.Second        // before an ejected endpoint gets an attempt, and between these
-	rejectionPause      = 200 * time.Millisecond // an endpoint that rejected us gets nothing for so long
-	healthCheckInterval = time.Second            // between health checks of one endpoint
-
-	healthChecksPerRequest = 1.0 // checks that may be sent for each request that comes
-
-	silenceObjective  = 1.5 // times a request's objective for the first token; a shorter silence means nothing
-	silenceMultiple   = 4.0 // times the usual time of its role; a shorter silence of an endpoint means nothing
-	overtakenLimit    = 2   // so many later requests answered first: an attempt is lost with its connection
-	overtakenPatience = 3   // such an attempt waits for one part in so many of the time of silence
+	// failureAlpha is the weight of one outcome in an endpoint's failure rate.
+	failureAlpha = 0.3
+	// unresponsiveAlpha is the weight of unresponsiveness. It ejects until two attempts succeed.
+	unresponsiveAlpha = 0.5
+	// certainAlpha is the weight of a failure that ejects at once.
+	certainAlpha = 1.0
+	// ejectionThreshold is the failure rate above which an endpoint is ejected: two failures of the last four.
+	ejectionThreshold = 0.35
+	// maxEjectedShare is the share of a role that may be ejected for errors, slowness or silence.
+	maxEjectedShare = 0.5
+	// slowLatency is the relative latency above which a time counts as a failure.
+	slowLatency = 3.0
+	// relativeLatencyCap is the multiple of slowLatency as which a relative latency counts at most. One prefill
+	// that waited behind those of other routers is not slowness.
+	relativeLatencyCap = 1.5
+	// probationInterval is the time until an ejected endpoint gets an attempt, and between such attempts.
+	probationInterval = 2 * time.Second
+	// rejectionPause is the time for which an endpoint that rejected an attempt gets none.
+	rejectionPause = 200 * time.Millisecond
 )
 
-// ejected tells that an endpoint gets no attempts but those of its probation.
-func (e *endpoint) ejected() bool { return e.failureRate > ejectionThreshold }
+// Progress and health checks.
+const (
+	// silenceMultiple is the multiple of the usual time of a role before which silence of an endpoint means
+	// nothing.
+	silenceMultiple = 4.0
+	// overtakenLimit is the number of later requests with earlier progress that shows an attempt to be lost.
+	overtakenLimit = 2
+	// overtakenPatience divides the progress time-out of such an attempt.
+	overtakenPatience = 3
+	// healthCheckInterval is the least time between health checks of one endpoint.
+	healthCheckInterval = time.Second
+	// healthChecksPerRequest is the number of health checks that may be sent for each request.
+	healthChecksPerRequest = 1.0
+)
+
+// endpointHealth is what outcomes, progress and health checks say of an endpoint.
+type endpointHealth struct {
+	failureRate     float64       // share of recent attempts that failed
+	relativeLatency ewma[float64] // its better times over the mean of its role, or of the answer's class
+	lastProgress    Time          // latest outcome or start of an answer
+	nextProbation   Time          // while ejected, it gets no attempt before
+	rejectingUntil  Time          // after a rejection, it gets no attempt before
+	checkedAt       Time          // latest health check
+	checkInFlight   bool
+}
 
-// onProbation tells whether an ejected endpoint may be tried with a request.
-func (r *Router) onProbation(e *endpoint, request *request) bool {
-	return r.now >= e.nextProbation && len(e.attempts) == 0 && request.class.Idempotency == Idempotent
+// ejected reports whether an endpoint gets no attempts but those of its probation.
+func (h *endpointHealth) ejected() bool { return h.failureRate > ejectionThreshold }
+
+// restart forgets what was observed before the engine started anew.
+func (h *endpointHealth) restart() {
+	h.failureRate = 0
+	h.relativeLatency = ewma[float64]{}
+}
+
+// recordSuccess records an attempt that succeeded. An ejected endpoint may be tried again at once.
+func (h *endpointHealth) recordSuccess(now Time) {
+	h.failureRate *= 1 - failureAlpha
+	h.nextProbation = now
 }
 
-// recordOutcome takes an outcome into the health of its endpoint.
+// recordFailure records a failure. Weight certainAlpha ejects the endpoint at once. It reports whether the
+// failure ejected the endpoint.
+func (h *endpointHealth) recordFailure(weight float64, now Time) (ejectedNow bool) {
+	wasEjected := h.ejected()
+	h.failureRate += weight * (1 - h.failureRate)
+	h.nextProbation = now.Add(probationInterval)
+	return !wasEjected && h.ejected()
+}
+
+// recordRejection records that the endpoint rejected an attempt.
+func (h *endpointHealth) recordRejection(now Time) { h.rejectingUntil = now.Add(rejectionPause) }
+
+// observeLatency records a time over the mean of the endpoint's role. It reports whether the endpoint is
+// slow. The comparison is with its peers, not with its own past, so that an endpoint that slows ever more
+// shows too.
+func (h *endpointHealth) observeLatency(relative float64) (slow bool) {
+	h.relativeLatency.observeLow(min(relative, relativeLatencyCap*slowLatency), bestAlpha, latencyAlpha)
+	return min(relative, h.relativeLatency.value) > slowLatency
+}
+
+// onProbation reports whether an ejected endpoint may be tried with a request.
+func (e *endpoint) onProbation(request *request, now Time) bool {
+	return now >= e.health.nextProbation && len(e.load.attempts) == 0 && request.class.Idempotency == Idempotent
+}
+
+// recordProgress records that an endpoint made progress on a request. Requests sent there earlier without
+// progress may have been lost with their connection while the endpoint lives.
+func (e *endpoint) recordProgress(progressed *request, now Time) {
+	e.health.lastProgress = now
+	for _, request := range e.load.attempts {
+		if request.latest.sentAt < progressed.latest.sentAt {
+			request.latest.overtakenBy++
+		}
+	}
+}
+
+// recordOutcome records what the end of an attempt says of its endpoint's health.
 func (r *Router) recordOutcome(request *request, target *endpoint, event Outcome) {
 	rejected := 0.0
 	switch event.Result {
@@ -44,111 +114,82 @@
 	case Failed:
 		r.recordFailure(target, failureAlpha, EjectedForErrors)
 	case TimedOut:
-		if target.lastProgress < request.latest.sentAt {
+		if target.health.lastProgress < request.latest.sentAt {
 			r.recordFailure(target, failureAlpha, EjectedForTimeouts)
 		}
 	case ConnectFailed, Reset:
 		weight := certainAlpha
-		if event.ReusedConnection { // else engines that close idle connections all look dead
+		if event.ReusedConnection { // engines that close idle connections are not unreachable
 			weight = failureAlpha
 		}
 		r.recordFailure(target, weight, EjectedAsUnreachable)
 	case Rejected:
 		if !event.KVMissing {
-			target.rejectingUntil = r.now.Add(rejectionPause)
+			target.health.recordRejection(r.now)
 			rejected = 1
 		}
+	case Cancelled, NotSent: // our own doing
 	}
 	r.latency.roles[target.role].rejectionRate.approach(rejected, latencyAlpha)
-	target.lastProgress = r.now
+	target.health.lastProgress = r.now
 	if event.Result == PrefillDone {
 		target.recordProgress(request, r.now)
 	}
 }
 
-// recordSuccess takes in the time of a prefill or of an answer.
+// recordSuccess records the time of a prefill or of a whole answer.
 func (r *Router) recordSuccess(request *request, target *endpoint, event Outcome) {
-	target.failureRate *= 1 - failureAlpha
-	target.nextProbation = r.now
+	target.health.recordSuccess(r.now)
+	var relative float64
 	if event.Result == PrefillDone {
 		computed := max(request.PromptTokens-Tokens(event.CachedTokens), 0)
 		perToken := r.latency.observe(target.role, event.Elapsed, computed, r.now)
-		mean := cmp.Or(r.latency.roles[RolePrefill].secondsPerToken.value, perToken)
-		r.checkLatency(target, float64(perToken/mean))
-		return
+		relative = float64(perToken / cmp.Or(r.latency.roles[RolePrefill].mean.value, perToken))
+	} else {
+		relative = r.latency.observeAnswer(target.role, request.Class, event.Elapsed)
 	}
-	seconds := event.Elapsed.Seconds()
-	mean := &r.latency.answerSeconds[request.Class]
-	relative := seconds / cmp.Or(mean.value, seconds)
-	r.checkLatency(target, relative)
-	r.latency.roles[target.role].relativeLatency.observe(relative, latencyAlpha)
-	mean.observe(seconds, meanAlpha)
-}
-
-// checkLatency ejects an endpoint whose better times are slow against its role's mean: peers, not its own
-// past, so that one that slows ever more shows too.
-func (r *Router) checkLatency(target *endpoint, relative float64) {
-	capped := min(relative, relativeLatencyCap*slowLatency) // one wait behind others' prefills is not slowness
-	target.relativeLatency.observeLow(capped, bestAlpha, latencyAlpha)
-	if min(relative, target.relativeLatency.value) > slowLatency {
+	if target.health.observeLatency(relative) {
 		r.recordFailure(target, failureAlpha, EjectedAsSlow)
 	}
 }
 
-// recordFailure notes a failure. Weight 1 ejects the endpoint at once.
+// recordFailure records a failure of an endpoint, unless the ejection limit is reached and the failure is not
+// certain. It logs an ejection.
 func (r *Router) recordFailure(target *endpoint, weight float64, reason EjectionReason) {
-	if weight < certainAlpha && r.ejectionLimitReached(target) {
+	if weight < certainAlpha && r.endpoints.ejectionLimitReached(target) {
 		return
 	}
-	wasEjected := target.ejected()
-	target.failureRate += weight * (1 - target.failureRate)
-	if !wasEjected && target.ejected() {
-		r.do(Log{Kind: EndpointEjected, Endpoint: target.ID, Reason: reason})
-	}
-	target.nextProbation = r.now.Add(probationInterval)
-}
-
-// ejectionLimitReached tells that so much of a role is ejected that no more may follow for errors, slowness
-// or silence: a fault that most share is not the endpoints'.
-func (r *Router) ejectionLimitReached(target *endpoint) bool {
-	all, healthy := 0.0, 0.0
-	for _, e := range r.endpoints.ready {
-		if e.role == target.role {
-			all++
-			if e != target && !e.ejected() {
-				healthy++
-			}
-		}
+	if target.health.recordFailure(weight, r.now) {
+		r.emit(Log{Kind: EndpointEjected, Endpoint: target.ID, Reason: reason})
 	}
-	return healthy < all*(1-maxEjectedShare)
 }
 
-// checkProgress ejects an endpoint that is unresponsive, and cancels what may be sent elsewhere.
+// checkProgress ejects an endpoint that is unresponsive, and cancels the attempts that may be made elsewhere.
 func (r *Router) checkProgress(target *endpoint) {
 	r.cancelOvertaken(target)
-	if !r.unresponsive(target) || r.ejectionLimitReached(target) {
+	if !r.unresponsive(target) || r.endpoints.ejectionLimitReached(target) {
 		return
 	}
-	target.lastProgress = r.now
+	target.health.lastProgress = r.now
 	r.recordFailure(target, unresponsiveAlpha, EjectedAsUnresponsive)
-	for _, request := range target.attempts {
+	for _, request := range target.load.attempts {
 		r.cancelAttempt(request, target)
 	}
 }
 
-// unresponsive tells that an endpoint has had an attempt without any progress for longer than its role needs
-// for all that we sent there. Any attempt will do: the first may be one whose client waits for longer.
+// unresponsive reports whether an attempt at an endpoint has made no progress for longer than its role needs
+// for all that we sent there. Every attempt counts: the client of the first may wait longer than the others.
 func (r *Router) unresponsive(target *endpoint) bool {
 	tokens := Tokens(0)
-	for _, request := range target.attempts {
+	for _, request := range target.load.attempts {
 		if !request.hasFirstToken {
 			tokens += request.latest.tokensToPrefill + overheadTokens
 		}
 	}
 	usual := r.latency.expectedTime(target.role, tokens, silenceMultiple)
-	for _, request := range target.attempts {
-		silence := r.now.Sub(max(target.lastProgress, request.latest.sentAt))
-		if request.awaitsFirstToken() && silence >= max(request.patience(), usual) {
+	for _, request := range target.load.attempts {
+		silence := r.now.Sub(max(target.health.lastProgress, request.latest.sentAt))
+		if request.awaitsFirstToken() && silence >= max(request.progressTimeout(), usual) {
 			return true
 		}
 	}
@@ -157,57 +198,50 @@
 
 // cancelOvertaken cancels attempts that were lost with their connection while their endpoint lives.
 func (r *Router) cancelOvertaken(target *endpoint) {
-	for _, request := range target.attempts {
-		usual := r.latency.expectedTime(target.role, request.latest.tokensToPrefill+overheadTokens, silenceMultiple)
-		waited := r.now.Sub(request.latest.sentAt) >= max(request.patience()/overtakenPatience, usual)
+	for _, request := range target.load.attempts {
+		tokens := request.latest.tokensToPrefill + overheadTokens
+		usual := r.latency.expectedTime(target.role, tokens, silenceMultiple)
+		waited := r.now.Sub(request.latest.sentAt) >= max(request.progressTimeout()/overtakenPatience, usual)
 		if request.awaitsFirstToken() && request.latest.overtakenBy >= overtakenLimit && waited {
 			r.cancelAttempt(request, target)
 		}
 	}
 }
 
-// patience is how long an attempt of a request may show nothing.
-func (q *request) patience() time.Duration {
-	return time.Duration(silenceObjective * float64(q.firstTokenDue.Sub(q.arrivedAt)))
-}
-
-// cancelAttempt cancels an attempt that may be made again.
+// cancelAttempt cancels the attempt of a request at an endpoint, if the request may have another.
 func (r *Router) cancelAttempt(request *request, target *endpoint) {
 	cancellable := r.settings.Caller.CanCancel && request.awaitsFirstToken() && !request.latest.cancelRequested
 	harmless := target.role == RolePrefill || request.class.Idempotency == Idempotent
 	if cancellable && harmless && request.attempts < request.maxAttempts {
 		request.latest.cancelRequested = true
-		r.do(CancelAttempt{ID: request.ID, Attempt: AttemptNumber(request.attempts - 1)})
+		r.emit(CancelAttempt{ID: request.ID, Attempt: AttemptNumber(request.attempts - 1)})
 	}
 }
 
-// sendHealthCheck checks the endpoint not checked for longest, no more often than requests come: among many
-// routers one check a second of each endpoint would be a load of its own.
+// sendHealthCheck checks the endpoint whose latest check is the oldest. Checks are no more frequent than
+// requests: among many routers, one check of each endpoint a second would be a load of its own.
 func (r *Router) sendHealthCheck() {
-	var next *endpoint
-	for _, e := range r.endpoints.all {
-		if e.State != Gone && !e.healthCheckInFlight && (next == nil || e.healthCheckedAt < next.healthCheckedAt) {
-			next = e
-		}
+	if !r.settings.Caller.CanHealthCheck || r.healthCheckBudget < 1 {
+		return
 	}
-	if !r.settings.Caller.CanHealthCheck || r.healthCheckBudget < 1 || next == nil ||
-		r.now.Sub(next.healthCheckedAt) < healthCheckInterval {
+	next := r.endpoints.nextToCheck()
+	if next == nil || r.now.Sub(next.health.checkedAt) < healthCheckInterval {
 		return
 	}
 	r.healthCheckBudget = 0
-	next.healthCheckInFlight = true
-	next.healthCheckedAt = r.now
-	r.do(HealthCheck{Endpoint: next.ID})
+	next.health.checkInFlight = true
+	next.health.checkedAt = r.now
+	r.emit(HealthCheck{Endpoint: next.ID})
 }
 
-// handleHealthCheck takes in a health check: at some sites the only source of load reports.
+// handleHealthCheck processes the result of a health check. Some sites have no other source of load reports.
 func (r *Router) handleHealthCheck(event HealthCheckResult) {
 	target := r.endpoints.byID[event.Endpoint]
 	if target == nil {
 		return
 	}
-	target.healthCheckInFlight = false
-	r.recordReport(target, event.Report)
+	target.health.checkInFlight = false
+	r.capacity.recordReport(target, event.Report, r.now)
 	if event.Result == TimedOut || event.Result == ConnectFailed || event.Result == Reset {
 		r.recordFailure(target, certainAlpha, EjectedForHealthCheck)
 	}
--- a/control/health_test.go
+++ b/control/health_test.go
@@ -184,7 +184,7 @@
 		}
 		s.handle(took, Outcome{ID: id, Endpoint: forward.Endpoint, Result: PrefillDone, Elapsed: took})
 		s.handle(0, Outcome{ID: id, Attempt: 1, Endpoint: 4, Result: OK, Elapsed: 10 * ms, Final: true})
-		if s.router.endpoints.byID[1].ejected() {
+		if s.router.endpoints.byID[1].health.ejected() {
 			t.Fatalf("request %d: ejected after %d waits", id, waits)
 		}
 	}
@@ -202,7 +202,7 @@
 			actions = s.handle(ms, Outcome{ID: 1, Attempt: attempt, Endpoint: forward.Endpoint, Result: Reset, ReusedConnection: reused})
 		}
 		for _, v := range s.router.endpoints.all {
-			if v.ejected() {
+			if v.health.ejected() {
 				ejected++
 			}
 		}
@@ -247,8 +247,8 @@
 			s.handle(0, Outcome{ID: id, Attempt: 1, Endpoint: 2, Result: OK, Elapsed: 10 * ms, Final: true})
 		}
 		cancelled := actionsOf[CancelAttempt](s.ticks(600 * ms))
-		if want := later >= overtakenLimit; want != (len(cancelled) == 1 && cancelled[0].ID == 1) || s.router.endpoints.byID[1].ejected() {
-			t.Errorf("%d later ones: %v, ejected %v", later, cancelled, s.router.endpoints.byID[1].ejected())
+		if want := later >= overtakenLimit; want != (len(cancelled) == 1 && cancelled[0].ID == 1) || s.router.endpoints.byID[1].health.ejected() {
+			t.Errorf("%d later ones: %v, ejected %v", later, cancelled, s.router.endpoints.byID[1].health.ejected())
 		}
 	}
 	s := startRouter(t, testSettings(RolePrefill, RoleDecode), 0, 1)
--- a/control/retention.go
+++ b/control/retention.go
@@ -5,49 +5,57 @@
 	"time"
 )
 
-// When KV state that a request's attempts have left at engines is released.
-//
-// A retained KV state has to be used or released within a limit. An attempt that is in flight uses it only
-// where it has reached its engine, and of that there is no proof but an answer: connections may be open and
-// silent, and take all that is written to them. So the age of the state is counted from the latest proof, and
-// as the limit comes near the state is released although an attempt is in flight. An engine that has the
-// attempt and waits for the state keeps it.
+// A retained KV state has to be used or released within a limit. An attempt in flight uses it only if the
+// attempt has reached its engine, and only a response proves that: a connection may be open and accept all
+// that is written without delivering it. So the age of the state counts from the latest proof. As the limit
+// comes near, the state is released although an attempt is in flight. An engine that has the attempt and
+// waits for the state keeps it.
 const (
-	releaseShare   = 0.6          // of the limit, after which a state is released under an attempt without proof
-	attemptTransit = tickInterval // an attempt that was sent later than this may yet be on its way
+	// releaseShare is the share of the limit after which a state is released under an attempt without proof.
+	releaseShare = 0.6
+	// attemptTransit is the time for which an attempt may still be on its way to its engine.
+	attemptTransit = tickInterval
 )
 
 // kvRetention is what is known of the KV state that a request's attempts may have left at engines.
 type kvRetention struct {
-	mayRetain bool // an engine may retain a state
-	since     Time // end of the latest attempt that is known to have reached its engine
-	released  bool // under the attempt in flight
+	holder    *endpoint // the prefill engine that retains a usable state; nil for none
+	mayRetain bool      // an engine may retain a state, usable or not
+	since     Time      // end of the latest attempt that is known to have reached its engine
+	released  bool      // under the attempt in flight
 }
 
-// provesArrival tells whether an attempt that ended so had reached its engine.
+// provesArrival reports whether an attempt with this result had reached its engine.
 func (r Result) provesArrival() bool {
 	return r == OK || r == PrefillDone || r == Failed || r == Rejected
 }
 
-// recordOutcome takes in the end of an attempt at an engine of a role.
-func (k *kvRetention) recordOutcome(result Result, role Role, now Time) {
+// recordOutcome records the end of an attempt at an endpoint.
+func (k *kvRetention) recordOutcome(result Result, target *endpoint, now Time) {
 	k.released = false
 	if !k.mayRetain || result.provesArrival() {
 		k.since = now
 	}
-	prefillMayHaveEnded := role == RolePrefill && (result == PrefillDone || result.MayHaveExecuted())
-	k.mayRetain = k.mayRetain || prefillMayHaveEnded
+	if target.role == RolePrefill && (result == PrefillDone || result.MayHaveExecuted()) {
+		k.mayRetain = true
+	}
+	if result == PrefillDone {
+		k.holder = target
+	}
 }
 
-// releaseDeadline is when a release of a request's KV state has to be asked for, so that it reaches an engine
-// within the retention limit.
-func (r *Router) releaseDeadline(request *request) Time {
-	limit := r.settings.Limits.KVRetentionLimit
+// releaseDeadline returns when the release has to be emitted to reach an engine within the retention limit.
+// It is never if there is no limit.
+func (k *kvRetention) releaseDeadline(limit time.Duration) Time {
 	if limit <= 0 {
 		return math.MaxInt64
 	}
-	early := limit - finishReserve
-	return request.retention.since.Add(max(early, shareOf(limit, releaseShare)))
+	return k.since.Add(max(limit-finishReserve, shareOf(limit, releaseShare)))
+}
+
+// unprovenDeadline returns when the state is released under an attempt without proof of arrival.
+func (k *kvRetention) unprovenDeadline(limit time.Duration) Time {
+	return k.since.Add(shareOf(limit, releaseShare))
 }
 
 // releaseUnproven releases the KV states whose age comes near the limit while nothing proves that the attempt
@@ -57,55 +65,57 @@
 		return
 	}
 	for _, e := range r.endpoints.all {
-		for _, request := range e.attempts {
+		for _, request := range e.load.attempts {
 			if r.mustReleaseUnproven(request) {
-				request.retention.released = true
-				r.do(ReleaseKV{ID: request.ID, Reason: ReleasedWithoutProof})
+				request.kv.released = true
+				r.emit(ReleaseKV{ID: request.ID, Reason: ReleasedWithoutProof})
 			}
 		}
 	}
 }
 
-// mustReleaseUnproven tells whether a request's KV state can't wait for the next look. One whose attempt was
-// sent just now waits a little longer: most prove to have arrived.
+// mustReleaseUnproven reports whether a request's KV state has to be released before the next tick. If the
+// attempt was sent just now, the state is kept a little longer: most attempts prove to have arrived.
 func (r *Router) mustReleaseUnproven(request *request) bool {
-	retention := &request.retention
+	kv := &request.kv
 	limit := r.settings.Limits.KVRetentionLimit
-	if limit <= 0 || !retention.mayRetain || retention.released || !request.awaitsFirstToken() {
+	if limit <= 0 || !kv.mayRetain || kv.released || !request.awaitsFirstToken() {
 		return false
 	}
-	nextLook := r.now.Add(tickInterval)
+	nextTick := r.now.Add(tickInterval)
 	if r.now.Sub(request.latest.sentAt) < attemptTransit {
-		return nextLook > r.releaseDeadline(request)
+		return nextTick > kv.releaseDeadline(limit)
 	}
-	return nextLook > retention.since.Add(shareOf(limit, releaseShare))
+	return nextTick > kv.unprovenDeadline(limit)
 }
 
-// forfeitKV gives up a KV state that was released, or has to be, under an attempt that then ended without
-// proof of having reached its engine: none may count on it. It tells whether it did so.
-func (r *Router) forfeitKV(request *request, outcome Result, wasReleased bool) bool {
-	isStale := wasReleased || r.now >= r.releaseDeadline(request)
-	isUnproven := outcome.MayHaveExecuted() && !outcome.provesArrival()
-	if request.kvHolder == nil || !isStale || !isUnproven {
+// forfeitKV drops a request's KV state if its attempt ended without proof of arrival while the state was
+// released, or has to be. No further attempt may rely on it. It reports whether it dropped the state.
+func (r *Router) forfeitKV(request *request, result Result, wasReleased bool) bool {
+	stale := wasReleased || r.now >= request.kv.releaseDeadline(r.settings.Limits.KVRetentionLimit)
+	unproven := result.MayHaveExecuted() && !result.provesArrival()
+	if request.kv.holder == nil || !stale || !unproven {
 		return false
 	}
-	request.kvHolder = nil
-	r.do(ReleaseKV{ID: request.ID, Reason: ReleasedWithoutProof})
-	request.retention = kvRetention{}
+	r.releaseKV(request, ReleasedWithoutProof)
 	return true
 }
 
-// releaseBeforePrefill releases what an earlier prefill may have left before the prompt is computed again: a
-// release that comes while that goes on would take the new state too.
+// releaseBeforePrefill releases what an earlier prefill may have left before the prompt is computed again. A
+// later release would take the new state too.
 func (r *Router) releaseBeforePrefill(request *request) {
-	if !r.settings.Caller.ReleaseSparesAttempts || !request.retention.mayRetain {
-		return
+	if r.settings.Caller.ReleaseSparesAttempts && request.kv.mayRetain {
+		r.releaseKV(request, ReleasedBeforeRetry)
 	}
-	r.do(ReleaseKV{ID: request.ID, Reason: ReleasedBeforeRetry})
-	request.retention = kvRetention{}
 }
 
-// shareOf is a share of a span.
-func shareOf(span time.Duration, share float64) time.Duration {
-	return time.Duration(share * float64(span))
+// releaseKV releases all KV states of a request, which continues without one.
+func (r *Router) releaseKV(request *request, reason ReleaseReason) {
+	r.emit(ReleaseKV{ID: request.ID, Reason: reason})
+	request.kv = kvRetention{}
+}
+
+// shareOf returns a share of a duration.
+func shareOf(duration time.Duration, share float64) time.Duration {
+	return time.Duration(share * float64(duration))
 }
--- a/control/router.go
+++ b/control/router.go
@@ -1,23 +1,72 @@
 package control
 
 import (
-	"cmp"
-	"container/heap"
+	"math/rand/v2"
 	"time"
 )
 
-// tickInterval is the period of the router's own timer.
-const tickInterval = 50 * time.Millisecond
+const (
+	// tickInterval is the period of the router's own timer.
+	tickInterval = 50 * time.Millisecond
+	// finishReserve is the time before a deadline in which a request is finished without service. A request
+	// that passes one tick just outside it is finished at the next, still a tick before its deadline.
+	finishReserve = 2 * tickInterval
+)
+
+// Router makes the decisions of one router. It is not safe for concurrent use.
+type Router struct {
+	settings     Settings
+	rng          *rand.Rand
+	now          Time     // of the events being handled
+	actions      []Action // of this instant, in order
+	timerStarted bool
+
+	endpoints endpointTable
+	sessions  sessionTable
+	requests  map[RequestID]*request // without a final answer, or with an attempt in flight
+	queue     requestQueue           // not yet released
+	arrivals  []*request             // of this instant
+	parked    []*request             // prefilled, while no decode engine can take them
+
+	releases releaseCounter
+	latency  latencyEstimator
+	capacity capacityView
+	topology topology
+	prefixes prefixPopularity
 
-// Handle takes the events of one instant and returns what is to be done, in order.
+	lastSequence      uint64  // of the latest request
+	healthCheckBudget float64 // health checks that may be sent
+	expiredAt         Time    // latest expiry and decay
+}
+
+// New returns a router that knows no endpoint yet.
+func New(settings Settings, now Time) *Router {
+	settings.Identity.Routers = max(settings.Identity.Routers, 1)
+	settings.Limits.MaxAttempts = max(settings.Limits.MaxAttempts, 1)
+	return &Router{
+		settings:  settings,
+		rng:       rand.New(rand.NewPCG(settings.Identity.Seed, settings.Identity.Seed>>32)),
+		now:       now,
+		expiredAt: now,
+		endpoints: endpointTable{byID: map[EndpointID]*endpoint{}},
+		sessions:  sessionTable{},
+		requests:  map[RequestID]*request{},
+		prefixes:  prefixPopularity{requests: map[uint64]float64{}},
+		latency:   latencyEstimator{answerSeconds: make([]ewma[float64], len(settings.Classes))},
+		capacity:  capacityView{routers: settings.Identity.Routers, reportFields: settings.Engines.ReportFields},
+	}
+}
+
+// Handle processes the events of one instant and returns the actions to carry out, in order. The caller
+// owns the returned slice.
 func (r *Router) Handle(now Time, events []Event) []Action {
 	r.now = max(now, r.now)
 	r.actions = nil
 	if !r.timerStarted {
 		r.timerStarted = true
-		r.do(SetTimer{After: tickInterval})
+		r.emit(SetTimer{After: tickInterval})
 		if r.settings.Caller.MustSubscribe {
-			r.do(SubscribeEndpoints{})
+			r.emit(SubscribeEndpoints{})
 		}
 	}
 	for _, event := range events {
@@ -34,7 +83,7 @@
 	case EndpointUpdate:
 		r.updateEndpoints(event)
 	case SubscriptionFailed:
-		r.do(SubscribeEndpoints{})
+		r.emit(SubscribeEndpoints{})
 	case Request:
 		r.enqueue(event)
 	case AnswerStarted:
@@ -52,39 +101,12 @@
 	}
 }
 
-// enqueue takes in a new request.
-func (r *Router) enqueue(event Request) {
-	class := &r.settings.Classes[event.Class]
-	maxAttempts := min(r.settings.Limits.MaxAttempts, cmp.Or(class.MaxAttempts, r.settings.Limits.MaxAttempts))
-	r.lastSequence++
-	request := &request{
-		Request: event, class: class, session: r.openSession(event.SessionID),
-		arrivedAt: r.now, firstTokenDue: r.now.Add(class.FirstTokenObjective(event.PromptTokens)), sequence: r.lastSequence,
-		demand:      event.PromptTokens + outputShare*event.MaxTokens,
-		maxAttempts: maxAttempts - event.PriorAttempts, connectionsLost: event.PriorResets,
-	}
-	r.requests[event.ID] = request
-	r.prefixes.observe(event.PrefixHash)
-	r.healthCheckBudget += healthChecksPerRequest
-	r.traffic.meanDemand.observe(request.demand, meanAlpha)
-	heap.Push(&r.queue, request)
-	r.arrivals = append(r.arrivals, request)
-}
-
-// rejectLateArrivals gives up the arrivals of this instant that miss their objective. It comes after the
-// release: many that arrive at once and all find capacity are no queue.
-func (r *Router) rejectLateArrivals() {
-	for _, request := range r.arrivals {
-		if !request.finished && request.heapIndex >= 0 && r.missesObjective(request) {
-			r.finishWithoutService(request, FinishedMissingObjective)
-		}
-	}
-	r.arrivals = nil
-}
+// emit adds an action to those of this instant.
+func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// tick does what time alone brings about.
+// tick does the periodic work.
 func (r *Router) tick() {
-	r.do(SetTimer{After: tickInterval})
+	r.emit(SetTimer{After: tickInterval})
 	r.promote()
 	r.retryParked()
 	r.releaseUnproven()
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -8,24 +8,16 @@
 	"time"
 )
 
-// The order of the queue, and the estimates of times.
-const (
-	promotionRatio  = 4.0              // wait over service time of a session above which a request is promoted
-	finishReserve   = 2 * tickInterval // before a deadline in which a request is finished without service
-	chanceQueue     = 3                // so many ahead in the queue say nothing of how fast it moves
-	outputShare     = 0.3              // share of MaxTokens that an answer is taken to need, before it is known
-	overheadTokens  = 500              // fixed cost of a prefill, in prompt tokens
-	latencyAlpha    = 0.2              // weight of a new sample in averages of a role, an endpoint, our releases
-	bestAlpha       = 0.5              // weight of a time that is better than the better times
-	meanAlpha       = 0.05             // weight of a new sample in the means over all requests
-	sampleCap       = 1.5              // times the mean, as which a sample counts at most
-	estimateMargin  = 1.25             // an estimate may be so much too low: rejected early beats failed late
-	estimateMax     = 60.0             // seconds; no estimate is longer
-	estimateFadesIn = 2 * time.Second  // time constant with which an estimate without new samples fades
-)
+// promotionRatio is the ratio of a session's waiting time to its service time above which its requests are
+// promoted.
+const promotionRatio = 4.0
+
+// requestQueue is a heap of the requests that are not yet released, ordered by servedBefore. It implements
+// heap.Interface. Other code uses add, removeFirst, remove and restoreOrder.
+type requestQueue []*request
 
-// servedBefore orders the queue: promoted requests in order of arrival, then those of the session with the
-// least accumulated service time.
+// servedBefore orders the queue. Promoted requests come first, in order of arrival. The others follow in
+// order of their session's accumulated service time.
 func servedBefore(a, b *request) bool {
 	switch {
 	case a.promoted != b.promoted:
@@ -36,31 +28,122 @@
 	return a.sequence < b.sequence
 }
 
-// release forwards queued requests while decode engines have capacity. Prefills in flight are counted as
-// load that these will get, or KV states would pile up at the prefill engines.
+// Len implements heap.Interface.
+func (q requestQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q requestQueue) Less(i, j int) bool { return servedBefore(q[i], q[j]) }
+
+// Swap implements heap.Interface.
+func (q requestQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].heapIndex = i
+	q[j].heapIndex = j
+}
+
+// Push implements heap.Interface.
+func (q *requestQueue) Push(x any) {
+	added := x.(*request) //nolint:forcetypeassert // only add calls it, through heap.Push
+	added.heapIndex = len(*q)
+	*q = append(*q, added)
+}
+
+// Pop implements heap.Interface.
+func (q *requestQueue) Pop() any {
+	last := len(*q) - 1
+	removed := (*q)[last]
+	*q = (*q)[:last]
+	removed.heapIndex = -1
+	return removed
+}
+
+// add puts a request in the queue.
+func (q *requestQueue) add(request *request) { heap.Push(q, request) }
+
+// removeFirst removes and returns the request that is served next. The queue must not be empty.
+func (q *requestQueue) removeFirst() *request {
+	return heap.Pop(q).(*request) //nolint:forcetypeassert // Pop returns nothing else
+}
+
+// remove takes a request out of the queue, if it is there.
+func (q *requestQueue) remove(request *request) {
+	if request.heapIndex >= 0 {
+		heap.Remove(q, request.heapIndex)
+	}
+}
+
+// restoreOrder puts the queue in order after promotions.
+func (q *requestQueue) restoreOrder() { heap.Init(q) }
+
+// releaseCounter measures how fast requests leave the queue.
+type releaseCounter struct {
+	perSecond ewma[float64]
+	count     float64 // since the latest update
+}
+
+// update ends an interval of the measurement.
+func (c *releaseCounter) update(elapsed time.Duration) {
+	c.perSecond.observe(c.count/elapsed.Seconds(), latencyAlpha)
+	c.count = 0
+}
+
+// timeFor returns how long the release of a number of requests takes. It is 0 while the rate is unknown.
+func (c *releaseCounter) timeFor(requests float64) time.Duration {
+	seconds := requests / cmp.Or(c.perSecond.value, math.Inf(1))
+	return time.Duration(seconds * float64(time.Second))
+}
+
+// enqueue adds a new request to the queue.
+func (r *Router) enqueue(event Request) {
+	class := &r.settings.Classes[event.Class]
+	session := r.sessions.open(event.SessionID, r.now)
+	added := newRequest(event, class, session, r.settings.Limits.MaxAttempts, r.now)
+	r.lastSequence++
+	added.sequence = r.lastSequence
+	r.requests[event.ID] = added
+	r.prefixes.observe(event.PrefixHash)
+	r.healthCheckBudget += healthChecksPerRequest
+	r.capacity.meanDemand.observe(added.demand, meanAlpha)
+	r.queue.add(added)
+	r.arrivals = append(r.arrivals, added)
+}
+
+// release forwards queued requests while decode engines have capacity. Prefills in flight count as load of
+// the decode engines. Without this, KV states would pile up at the prefill engines.
 func (r *Router) release() {
-	capacity := r.freeCapacity()
-	for len(r.queue) > 0 && capacity >= r.capacity.releaseThreshold {
-		request := heap.Pop(&r.queue).(*request)
+	free := r.capacity.freeRequests(r.now)
+	for len(r.queue) > 0 && free >= r.capacity.releaseThreshold {
+		request := r.queue.removeFirst()
 		if r.missesObjective(request) {
 			r.finishWithoutService(request, FinishedMissingObjective)
 			continue
 		}
 		target := r.placePrefill(request)
 		if target == nil {
-			heap.Push(&r.queue, request)
+			r.queue.add(request)
 			return
 		}
 		request.session.waitTime += r.now.Sub(request.arrivedAt)
 		r.forward(request, target)
-		r.traffic.released++
-		r.capacity.releaseThreshold = 1 - r.rng.Float64()*(1-1/float64(r.settings.Identity.Routers))
-		capacity -= float64(request.demand / r.traffic.meanDemand.value)
+		r.releases.count++
+		r.capacity.drawReleaseThreshold(r.rng)
+		free -= float64(request.demand / r.capacity.meanDemand.value)
 	}
 }
 
-// promote guards against starvation: long waiters go first, and those that miss their objective are
-// finished without service.
+// rejectLateArrivals rejects the arrivals of this instant that miss their objective. It follows release:
+// simultaneous arrivals that all find capacity do not queue.
+func (r *Router) rejectLateArrivals() {
+	for _, request := range r.arrivals {
+		if !request.finished && request.heapIndex >= 0 && r.missesObjective(request) {
+			r.finishWithoutService(request, FinishedMissingObjective)
+		}
+	}
+	r.arrivals = nil
+}
+
+// promote guards against starvation: requests that have waited long go first. It also finishes those that
+// miss their objective.
 func (r *Router) promote() {
 	var late []*request
 	for _, request := range r.queue {
@@ -70,65 +153,9 @@
 			late = append(late, request)
 		}
 	}
-	heap.Init(&r.queue)
+	r.queue.restoreOrder()
 	slices.SortFunc(late, func(a, b *request) int { return cmp.Compare(a.sequence, b.sequence) })
 	for _, request := range late {
 		r.finishWithoutService(request, FinishedMissingObjective)
 	}
 }
-
-// missesObjective tells that a queued request can't have its first token in time, or that its client leaves
-// before the next look.
-func (r *Router) missesObjective(request *request) bool {
-	ahead := float64(max(request.heapIndex-chanceQueue, 0))
-	queueSeconds := ahead / cmp.Or(r.traffic.releaseRate.value, math.Inf(1))
-	firstToken := r.now.Add(r.estimateFirstToken(request) + time.Duration(queueSeconds*float64(time.Second)))
-	late := firstToken > min(request.firstTokenDue, request.Deadline)
-	return r.now.Add(finishReserve) >= request.Deadline || !request.Resumed && late
-}
-
-// estimateFirstToken is the least time in which a request could yet get its first token.
-func (r *Router) estimateFirstToken(request *request) time.Duration {
-	uncached := request.uncachedTokens(request.session.lastPrefill)
-	seconds := 0.0
-	for role, tokens := range []Tokens{RolePrefill: uncached, RoleDecode: request.PromptTokens} {
-		stats := &r.latency.roles[role]
-		age := r.now.Sub(stats.observedAt).Seconds() / estimateFadesIn.Seconds()
-		seconds += stats.bestSecondsPerToken.value.times(tokens+overheadTokens) * math.Exp(-age)
-	}
-	return time.Duration(estimateMargin * min(seconds, estimateMax) * float64(time.Second))
-}
-
-// uncachedTokens is how much of a prompt an endpoint is thought to have to compute.
-func (q *request) uncachedTokens(target *endpoint) Tokens {
-	cached := q.PrefixTokens
-	if q.session.lastPrefill == target {
-		cached = max(cached, q.session.cachedTokens)
-	}
-	return max(q.PromptTokens-cached, 0)
-}
-
-// observe takes in the time that an endpoint of a role took for a prefill, or to a first token, and returns
-// it in seconds per token.
-func (l *latencyEstimator) observe(role Role, elapsed time.Duration, tokens Tokens, now Time) secondsPerToken {
-	perToken := secondsPerToken(elapsed.Seconds() / float64(tokens+overheadTokens))
-	stats := &l.roles[role]
-	capped := min(perToken, sampleCap*cmp.Or(stats.secondsPerToken.value, perToken))
-	stats.secondsPerToken.observe(capped, latencyAlpha)
-	riseAlpha := 1 - math.Exp(-now.Sub(stats.observedAt).Seconds()/estimateFadesIn.Seconds())
-	stats.bestSecondsPerToken.observeLow(perToken, bestAlpha, riseAlpha)
-	stats.observedAt = now
-	return perToken
-}
-
-// expectedTime is so many times what an endpoint of a role takes for so many tokens.
-func (l *latencyEstimator) expectedTime(role Role, tokens Tokens, multiple float64) time.Duration {
-	mean := secondsPerToken(multiple) * l.roles[role].secondsPerToken.value
-	return time.Duration(mean.times(tokens) * float64(time.Second))
-}
-
-// secondsPerToken is a time of prefill or fetch for each token.
-type secondsPerToken float64
-
-// times returns the seconds for a number of tokens.
-func (s secondsPerToken) times(tokens Tokens) float64 { return float64(s) * float64(tokens) }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -1,24 +1,35 @@
 package control
 
-// slowStartMargin is the sent share of what would overload a new endpoint: the rest is for chance.
+// slowStartMargin is the share of an overload that an endpoint in slow start is sent. The rest is a reserve
+// for chance.
 const slowStartMargin = 0.4
 
-// warmedUp tells that an endpoint does its full work.
-func (r *Router) warmedUp(e *endpoint) bool {
-	return e.slowStartSince == 0 || r.now.Sub(e.slowStartSince) >= r.settings.SlowStart.Duration
+// warmUp is the state of an endpoint's slow start.
+type warmUp struct {
+	startedAt Time // latest start of the engine; 0 for long ago
 }
 
-// slowStartShare is what an endpoint in slow start may be sent of what others take: less where many attempts
-// are rejected.
+// done reports whether the endpoint has its full capacity.
+func (w warmUp) done(now Time, settings SlowStart) bool {
+	return w.startedAt == 0 || now.Sub(w.startedAt) >= settings.Duration
+}
+
+// warmedUp reports whether an endpoint has its full capacity.
+func (r *Router) warmedUp(e *endpoint) bool { return e.warmUp.done(r.now, r.settings.SlowStart) }
+
+// slowStartShare returns the share of others' traffic that an endpoint in slow start may get. It is lower
+// while its role rejects many attempts.
 func (r *Router) slowStartShare(role Role) float64 {
 	accepted := 1 - r.latency.roles[role].rejectionRate.value
 	return r.settings.SlowStart.InitialShare * r.settings.SlowStart.OverloadMultiple * slowStartMargin * accepted
 }
 
-// admittedInSlowStart tells whether a request may go to endpoints in slow start at all. The danger is one
-// that has just started and is overloaded. Chance decides, for the request's first attempt at a stage alone:
-// so all routers together send it a share of what its warm peers are sent, however few requests each has. It
-// hurts where all of a role has just started: then few requests are taken.
+// admittedInSlowStart reports whether a request may go to endpoints in slow start. Without this limit all
+// routers together could overload an engine that has just started.
+//
+// The draw depends on the request and the router alone, and holds for its first attempt at a stage only. So
+// all routers together send such an endpoint a share of what warmed-up ones get, however few requests each
+// has. If all engines of a role have just started, few requests are taken.
 func (r *Router) admittedInSlowStart(e *endpoint, request *request) bool {
 	firstOfStage := request.attempts <= min(int(e.role), 1)
 	draw := hashFraction(uint64(request.ID)^r.settings.Identity.Seed, EndpointID(e.role))
--- a/control/view.go
+++ b/control/status.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// EndpointStatus is what a router believes of an endpoint, for operators to compare with its traffic.
+// EndpointStatus is what a router knows of an endpoint, for operators to compare with its traffic.
 type EndpointStatus struct {
 	State           EndpointState
 	InFlight        int           // our attempts there
 	Streaming       int           // those of them whose answer has begun
 	FailureRate     float64       // share of recent attempts that failed, from 0 to 1
-	Ejected         bool          // it gets nothing but single attempts on probation
+	Ejected         bool          // gets nothing but single attempts on probation
 	RelativeLatency float64       // its better times over the mean of its role; 0 for unknown
-	RejectingFor    time.Duration // it has rejected an attempt: it gets nothing for so long yet
-	SlowStart       bool          // it has started lately and is not warmed up
+	RejectingFor    time.Duration // for which it gets nothing more, since it rejected an attempt
+	SlowStart       bool          // started recently and not warmed up
 }
 
-// EndpointStatus returns what is believed of an endpoint; false for an unknown one.
+// EndpointStatus returns the status of an endpoint. It returns false if the endpoint is unknown.
 func (r *Router) EndpointStatus(id EndpointID) (status EndpointStatus, ok bool) {
 	e := r.endpoints.byID[id]
 	if e == nil {
@@ -22,14 +22,14 @@
 	}
 	status = EndpointStatus{
 		State:           e.State,
-		InFlight:        len(e.attempts),
-		FailureRate:     e.failureRate,
-		Ejected:         e.ejected(),
-		RelativeLatency: e.relativeLatency.value,
-		RejectingFor:    max(e.rejectingUntil.Sub(r.now), 0),
+		InFlight:        len(e.load.attempts),
+		FailureRate:     e.health.failureRate,
+		Ejected:         e.health.ejected(),
+		RelativeLatency: e.health.relativeLatency.value,
+		RejectingFor:    max(e.health.rejectingUntil.Sub(r.now), 0),
 		SlowStart:       !r.warmedUp(e),
 	}
-	for _, request := range e.attempts {
+	for _, request := range e.load.attempts {
 		if request.hasFirstToken {
 			status.Streaming++
 		}
