--- a/cmd/martenlock/demo.go
+++ b/cmd/martenlock/demo.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"os"
 	"os/signal"
@@ -13,26 +12,25 @@
 	"martenlock/internal/demo"
 )
 
-// errRuleBroken is the outcome of a fault scenario whose report names a broken rule.
+// errRuleBroken ends the command if the report of a fault scenario names a broken rule.
 var errRuleBroken = errors.New("a rule was broken")
 
-// demoHelp is the help of the command demo.
 const demoHelp = `Run a router and 17 fake engines in one process: prefill, decode, embeddings and rerank
-engines whose answers are made up. Without further flags it prints example requests and
-where its settings lie, and serves until Ctrl-C.
+engines with made-up answers. Without further flags the demo prints example requests and
+the directory of its settings, and serves until Ctrl-C.
 
-With --faults it runs a fault scenario: it sends load to the router while engines crash,
-hang, reset connections, slow down and are replaced, then checks five rules by what
-clients and engines saw on their sockets:
+With --faults it runs a fault scenario. Clients send requests to the router while engines
+crash, hang, reset connections, slow down and are replaced. The demo then checks five
+rules against what clients and engines saw on their sockets:
 
   one answer    each request gets exactly one final answer before its deadline
-  no repeats    nothing that must not be executed twice is
-  draining      nothing new goes to an engine that drains
-  slow start    engines that have just started get no more than they can take
-  no leaks      no KV cache is retained past its limit
+  no repeats    a request that must not be repeated is executed at most once
+  draining      a draining engine gets no new requests
+  slow start    an engine that has just started gets no more than it can serve
+  no leaks      no KV state is retained past its limit
 
-The built-in scenario takes 30 seconds. Exits with 0 if all rules held, with 1 if one was
-broken.`
+The built-in scenario takes 30 seconds. The exit code is 0 if all rules held, or 1 if one
+was broken.`
 
 // demoFlags are the flags of the command demo.
 type demoFlags struct {
@@ -42,12 +40,12 @@
 	runFaults bool
 }
 
-// demoCommand is the command demo.
+// demoCommand returns the command demo.
 func demoCommand() *cobra.Command {
 	var options demoFlags
 	command := &cobra.Command{
 		Use:   "demo",
-		Short: "Run a router before fake engines, or a fault scenario on them",
+		Short: "Run a router with fake engines, or a fault scenario on them",
 		Long:  demoHelp,
 		Example: `  martenlock demo --listen 127.0.0.1:8080
   martenlock demo --faults
@@ -63,14 +61,15 @@
 	flags := command.Flags()
 	flags.BoolVar(&options.runFaults, "faults", false, "run a fault scenario and check the five rules (also --bad-day)")
 	flags.BoolVar(&options.runFaults, "bad-day", false, "another name of --faults")
-	_ = flags.MarkHidden("bad-day") // fails for a flag that does not exist alone
-	flags.StringVar(&options.script, "script", "", "with --faults: scenario `FILE` (INI; see docs/operating.md) in place of the built-in one")
-	flags.StringVar(&options.listen, "listen", "127.0.0.1:0", "`ADDRESS` of the router; port 0 lets the kernel pick one")
-	flags.StringVar(&options.logLevel, "log-level", "warn", "the least `LEVEL` that the router logs: debug, info, warn or error")
+	_ = flags.MarkHidden("bad-day") // fails only if there is no such flag
+	flags.StringVar(&options.script, "script", "", "with --faults: `FILE` of a scenario to run in place of the built-in one (INI; see docs/operating.md)")
+	flags.StringVar(&options.listen, "listen", "127.0.0.1:0", "`ADDRESS` of the router; with port 0 the kernel chooses a port")
+	flags.StringVar(&options.logLevel, "log-level", "warn", "lowest `LEVEL` that the router logs: debug, info, warn or error")
 	return command
 }
 
-// runFaultScenario runs a fault scenario and prints its report.
+// runFaultScenario runs a fault scenario and prints its report. It returns errRuleBroken if a rule
+// was broken.
 func runFaultScenario(options demoFlags, out io.Writer) error {
 	report, err := demo.RunFaultScenario(options.script, demo.RunOptions{
 		Rules:    demo.Rules,
@@ -82,21 +81,21 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprint(out, report)
+	printf(out, "%s", report)
 	if !report.Kept() {
 		return errRuleBroken
 	}
 	return nil
 }
 
-// runDemo runs a router and fake engines until a signal ends it.
+// runDemo runs a router and fake engines until SIGTERM or SIGINT.
 func runDemo(options demoFlags, out io.Writer) error {
 	cluster, err := demo.Start(demo.Options{Listen: options.listen, Seed: 1, LogLevel: options.logLevel, Log: os.Stderr})
 	if err != nil {
 		return err
 	}
 	address := cluster.Service.Router.Addr()
-	fmt.Fprintf(out, "martenlock listens on http://%s (settings and node list in %s); Ctrl-C ends it. Try:\n\n%s\n",
+	printf(out, "martenlock listens on http://%s (settings and node list in %s); Ctrl-C ends it. Try:\n\n%s\n",
 		address, cluster.Dir(), demo.ExampleRequests(address))
 	shutdown := make(chan os.Signal, 1)
 	signal.Notify(shutdown, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/martenlock/main.go
+++ b/cmd/martenlock/main.go
@@ -1,34 +1,35 @@
 // Martenlock is a router for serving language models with prefill (computing the prompt's KV
-// cache) and decode (streaming the answer) on separate engines. This package is its command
-// line alone: flags, help and exit codes.
+// state) and decode (streaming the answer) on separate engines. This package is its command
+// line: flags, help and exit codes.
 package main
 
 import (
 	"fmt"
+	"io"
 	"os"
 
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 )
 
-// rootHelp is what `martenlock --help` explains before its list of commands.
 const rootHelp = `Martenlock is a router for serving language models with prefill (computing the prompt's
-KV cache) and decode (streaming the answer) on separate engines, such as vLLM's. Clients
-talk OpenAI's API to it: chat, completions, embeddings, and rerank.
+KV state) and decode (streaming the answer) on separate engines, such as vLLM's. Clients
+use OpenAI's API (chat, completions, embeddings) and rerank.
 
-To see it work without engines or settings:
+To try it without engines or settings:
 
   martenlock demo                  a router and fake engines in one process
-  martenlock demo --faults         30 seconds of faults under load, checked by rules
+  martenlock demo --faults         30 seconds of faults under load, checked against rules
 
-To run it, write a settings file (the demo prints where it keeps its own, a good start):
+To run it, write a settings file. The demo prints the path of its own, which is a good start:
 
   martenlock check martenlock.ini
   martenlock serve -c martenlock.ini
 
-Every command exits with 0 on success and with 1 and a message on standard error otherwise.`
+The exit code is 0 on success. On an error it is 1, with a message on standard error.`
 
-// logTimeFormat has milliseconds: whole seconds do not order the events of an incident.
+// logTimeFormat is RFC 3339 with milliseconds. Whole seconds would not show the order of events in
+// an incident.
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func main() {
@@ -55,3 +56,9 @@
 		os.Exit(1)
 	}
 }
+
+// printf writes to the output of a command. It ignores errors: an output that is closed does not
+// change the command's result, which is its exit code.
+func printf(out io.Writer, format string, args ...any) {
+	_, _ = fmt.Fprintf(out, format, args...)
+}
