--- a/internal/enginecall/call.go
+++ b/internal/enginecall/call.go
@@ -1,5 +1,5 @@
-// Package enginecall makes short calls to engines, of whose response only the head matters: health checks and
-// releases of KV state.
+// Package enginecall makes short calls to engines whose response matters only by its head, such as health checks
+// and releases of KV state.
 package enginecall
 
 import (
@@ -10,35 +10,42 @@
 	"martenlock/internal/upstream"
 )
 
-// Outcome is how a short call ended.
+//go:generate go tool stringer -linecomment -type=Outcome -output=enum_string.go
+
+// Outcome is how a call ended.
 type Outcome uint8
 
 // The outcomes of a call.
 const (
-	NoConnection Outcome = iota // this process could not make a connection
-	Responded                   // the response is whole
-	Broken                      // the connection ended before that
-	TimedOut
+	// NoConnection means that this process could not make a connection. The engine is not at fault.
+	NoConnection Outcome = iota // no connection
+	// Responded means that the response is complete, whatever its status.
+	Responded // responded
+	// ConnFailed means that the connection failed before the response was complete.
+	ConnFailed // connection failed
+	// TimedOut means that the response was not complete within Call.Timeout.
+	TimedOut // timed out
 )
 
-// Result is what came of a short call.
+// Result is the result of a Call.
 type Result struct {
-	Outcome              Outcome
-	Status               int                // of the response; 0 where its head has not come
-	ConnError            upstream.ConnError // where Outcome is Broken
-	WrittenBeforeTimeout bool               // where Outcome is TimedOut: the engine may have the call; Break tells it of Broken
+	Outcome   Outcome
+	Status    int                // of the response; 0 if its head has not arrived
+	ConnError upstream.ConnError // set if Outcome is ConnFailed
+	// WrittenBeforeTimeout is set if Outcome is TimedOut and the engine may have the whole call. For
+	// ConnFailed see ConnError.RequestWritten.
+	WrittenBeforeTimeout bool
 }
 
-// Call is a short call to an engine, of whose response only the head matters: a health check, or
-// a release of KV state.
+// Call is a request to an engine. The engine may get it twice without harm.
 type Call struct {
-	Head, Body []byte
-	Timeout    time.Duration
-	OnHead     func(*http1.Head) // takes the response's head; nil where the status is enough
-	OnDone     func(Result)      // takes the result, once; it may run before Start returns
+	Head, Body []byte            // as for upstream.Pool.Start
+	Timeout    time.Duration     // from Start until the response is complete
+	OnHead     func(*http1.Head) // receives the response's head, valid during the call; may be nil
+	OnDone     func(Result)      // receives the result, once; it may be called before Start returns
 }
 
-// Start makes the call.
+// Start sends the call over a connection of pool.
 func (c Call) Start(pool *upstream.Pool) {
 	running := &runningCall{Call: c, pool: pool}
 	conn, err := pool.Start(running, c.Head, c.Body, false)
@@ -51,25 +58,25 @@
 	pool.Loop.StartTimer(&running.timer, c.Timeout)
 }
 
-// runningCall is a call under way. It is the upstream.Sink of the response.
+// runningCall is a Call that was started.
 type runningCall struct {
 	Call
-	pool     *upstream.Pool
-	conn     *upstream.Conn // nil before it is had, and after the response
-	timer    timerwheel.Timer
-	status   int
-	hasEnded bool
+	pool   *upstream.Pool
+	conn   *upstream.Conn // nil until assigned and after the response has ended
+	timer  timerwheel.Timer
+	status int
+	ended  bool
 }
 
-// handleTimeout gives the call up.
+// handleTimeout abandons the call.
 func (c *runningCall) handleTimeout() {
 	c.finish(Result{Outcome: TimedOut, WrittenBeforeTimeout: c.conn == nil || c.conn.RequestWritten()})
 }
 
-// Connected does nothing.
+// Connected implements upstream.ResponseHandler. What was sent matters only at the end of the call.
 func (c *runningCall) Connected() {}
 
-// Head takes the response's head.
+// Head implements upstream.ResponseHandler.
 func (c *runningCall) Head(head *http1.Head) {
 	c.status = head.Status
 	if c.OnHead != nil {
@@ -77,27 +84,28 @@
 	}
 }
 
-// Data ignores the response's body.
+// Data implements upstream.ResponseHandler. The body is ignored.
 func (c *runningCall) Data([]byte) {}
 
-// Complete takes in that the response is whole.
+// Complete implements upstream.ResponseHandler.
 func (c *runningCall) Complete() {
 	c.conn = nil
 	c.finish(Result{Outcome: Responded})
 }
 
-// Failed takes in that the connection ended before that.
-func (c *runningCall) Failed(how upstream.ConnError) {
+// Failed implements upstream.ResponseHandler.
+func (c *runningCall) Failed(err upstream.ConnError) {
 	c.conn = nil
-	c.finish(Result{Outcome: Broken, ConnError: how})
+	c.finish(Result{Outcome: ConnFailed, ConnError: err})
 }
 
-// finish ends the call, once.
+// finish ends the call and reports its result. Later calls have no effect. A connection that is still
+// in use is aborted.
 func (c *runningCall) finish(result Result) {
-	if c.hasEnded {
+	if c.ended {
 		return
 	}
-	c.hasEnded = true
+	c.ended = true
 	c.pool.Loop.StopTimer(&c.timer)
 	if c.conn != nil {
 		c.conn.Abort()
--- a/internal/enginecall/call_test.go
+++ b/internal/enginecall/call_test.go
@@ -18,7 +18,7 @@
 // never is a time-out that no test reaches.
 const never = time.Hour
 
-// callFixture is a pool of connections on a loop, to an engine of the test.
+// callFixture is a pool of connections on a loop, to an engine that the test acts as.
 type callFixture struct {
 	t       *testing.T
 	loop    eventlooptest.Loop
@@ -40,7 +40,8 @@
 	return &callFixture{t: t, loop: loop, pool: pool, results: make(chan Result, 10)}
 }
 
-// call makes a call and returns its result, having checked that no second one came with it.
+// call makes a call and returns its result. It checks that no second result follows in the same
+// iteration.
 func (f *callFixture) call(timeout time.Duration, body []byte) Result {
 	f.t.Helper()
 	head := http1.AppendField(http1.AppendRequest(nil, http.MethodPost, "/"), "Host", "engine")
@@ -54,17 +55,17 @@
 	result := <-f.results
 	f.loop.DoIteration(func() {})
 	if len(f.results) != 0 {
-		f.t.Errorf("the call ended again: %+v", <-f.results)
+		f.t.Errorf("a second result: %+v", <-f.results)
 	}
 	return result
 }
 
-// expectLeft checks which connections and timers are left.
-func (f *callFixture) expectLeft(open, idle, timers int) {
+// expectRemaining checks which connections and timers remain.
+func (f *callFixture) expectRemaining(open, idle, timers int) {
 	f.t.Helper()
 	f.loop.Do(func() {
 		if f.pool.Open() != open || f.pool.Idle() != idle || f.loop.RunningTimers() != timers {
-			f.t.Errorf("left are %d connections, %d of them idle, and %d timers; want %d, %d, %d",
+			f.t.Errorf("%d connections, %d of them idle, and %d timers remain; want %d, %d, %d",
 				f.pool.Open(), f.pool.Idle(), f.loop.RunningTimers(), open, idle, timers)
 		}
 	})
@@ -83,12 +84,12 @@
 	}
 }
 
-// unsendableBody returns more bytes than the system takes for a peer that does not read.
+// unsendableBody returns more bytes than the kernel buffers for a peer that does not read.
 func unsendableBody() []byte { return make([]byte, 64<<20) }
 
-// TestCallEndsWithWholeResponse: the status comes with the result, the head with OnHead, and the
+// TestCallEndsWithCompleteResponse: the result has the status, OnHead gets the head, and the
 // connection is kept for the next call.
-func TestCallEndsWithWholeResponse(t *testing.T) {
+func TestCallEndsWithCompleteResponse(t *testing.T) {
 	f := newCallFixture(t, enginetest.Listen(t, func(conn *net.TCPConn) {
 		reader := bufio.NewReader(conn)
 		for range 2 {
@@ -101,7 +102,7 @@
 	if got := f.call(never, []byte("ids")); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	f.expectLeft(1, 1, 1) // the timer closes the idle connection
+	f.expectRemaining(1, 1, 1) // the timer closes the idle connection
 	var load string
 	f.loop.Do(func() {
 		Call{
@@ -121,17 +122,18 @@
 	})
 }
 
-// TestCallEndsWithBreak: a break is told with how far the call had come, and leaves nothing.
-func TestCallEndsWithBreak(t *testing.T) {
+// TestCallEndsWithFailedConnection: the result says how far the call came, and no connection or timer
+// remains.
+func TestCallEndsWithFailedConnection(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		body   []byte
-		engine func(*net.TCPConn) // nil refuses connections
+		engine func(*net.TCPConn) // nil if connections are refused
 		want   Result
 	}{
 		{
 			name: "connection refused",
-			want: Result{Outcome: Broken},
+			want: Result{Outcome: ConnFailed},
 		},
 		{
 			name: "reset before it was written",
@@ -142,14 +144,14 @@
 				}
 				enginetest.Reset(conn)
 			},
-			want: Result{Outcome: Broken, ConnError: upstream.ConnError{Established: true}},
+			want: Result{Outcome: ConnFailed, ConnError: upstream.ConnError{Established: true}},
 		},
 		{
 			name: "closed after it was written",
 			engine: func(conn *net.TCPConn) {
 				readRequest(t, bufio.NewReader(conn))
 			},
-			want: Result{Outcome: Broken, ConnError: upstream.ConnError{Established: true, RequestWritten: true}},
+			want: Result{Outcome: ConnFailed, ConnError: upstream.ConnError{Established: true, RequestWritten: true}},
 		},
 		{
 			name: "closed within the response",
@@ -158,7 +160,7 @@
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nok")
 			},
 			want: Result{
-				Outcome:   Broken,
+				Outcome:   ConnFailed,
 				Status:    http.StatusOK,
 				ConnError: upstream.ConnError{Established: true, RequestWritten: true},
 			},
@@ -173,12 +175,13 @@
 			if got := f.call(never, c.body); got != c.want {
 				t.Errorf("%+v, want %+v", got, c.want)
 			}
-			f.expectLeft(0, 0, 0)
+			f.expectRemaining(0, 0, 0)
 		})
 	}
 }
 
-// TestCallTimesOutBeforeItWasWritten: the engine reads nothing, so the body's end never leaves.
+// TestCallTimesOutBeforeItWasWritten: the engine reads nothing, so the end of the body never leaves this
+// process.
 func TestCallTimesOutBeforeItWasWritten(t *testing.T) {
 	testEnds := make(chan struct{})
 	engine := enginetest.Listen(t, func(*net.TCPConn) { <-testEnds })
@@ -188,11 +191,11 @@
 	if got := f.call(time.Millisecond, unsendableBody()); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	f.expectLeft(0, 0, 0)
+	f.expectRemaining(0, 0, 0)
 }
 
-// TestCallTimesOutAfterItWasWritten: on a connection from an earlier call, the request leaves in
-// the iteration that starts the timer, so that the time-out comes after it on any machine.
+// TestCallTimesOutAfterItWasWritten: on a connection of an earlier call, the request is written in the
+// iteration that starts the timer. So the time-out follows it on any machine.
 func TestCallTimesOutAfterItWasWritten(t *testing.T) {
 	f := newCallFixture(t, enginetest.Listen(t, func(conn *net.TCPConn) {
 		readRequest(t, bufio.NewReader(conn))
@@ -207,10 +210,11 @@
 	if got := f.call(time.Millisecond, []byte("ids")); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	f.expectLeft(0, 0, 0)
+	f.expectRemaining(0, 0, 0)
 }
 
-// TestCallWithoutConnectionEndsWithinStart: the pool may make none.
+// TestCallWithoutConnectionEndsWithinStart: if the pool allows no connection, OnDone is called before
+// Start returns.
 func TestCallWithoutConnectionEndsWithinStart(t *testing.T) {
 	f := newCallFixture(t, enginetest.RefusingAddress(t))
 	f.pool.Options.MaxPerEngine = 0
@@ -223,14 +227,14 @@
 	if got := <-f.results; got != (Result{Outcome: NoConnection}) {
 		t.Errorf("%+v, want NoConnection", got)
 	}
-	f.expectLeft(0, 0, 0)
+	f.expectRemaining(0, 0, 0)
 }
 
-// TestCallEndsOnceWhateverFollows: after its first end, a call tells no other.
+// TestCallEndsOnceWhateverFollows: a call reports its first end and no other.
 func TestCallEndsOnceWhateverFollows(t *testing.T) {
 	ends := map[string]func(*runningCall){
 		"response": (*runningCall).Complete,
-		"break":    func(c *runningCall) { c.Failed(upstream.ConnError{}) },
+		"failure":  func(c *runningCall) { c.Failed(upstream.ConnError{}) },
 		"time-out": (*runningCall).handleTimeout,
 	}
 	for name, end := range ends {
--- a/internal/openaiserver/engine.go
+++ b/internal/openaiserver/engine.go
@@ -133,9 +133,9 @@
 		return control.NotSent
 	case call.Outcome == enginecall.TimedOut:
 		return control.TimedOut
-	case call.Outcome == enginecall.Broken && call.ConnError.Established:
+	case call.Outcome == enginecall.ConnFailed && call.ConnError.Established:
 		return control.Reset
-	case call.Outcome == enginecall.Broken:
+	case call.Outcome == enginecall.ConnFailed:
 		return control.ConnectFailed
 	case call.Status != http.StatusOK:
 		return control.Failed
