--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -11,19 +11,19 @@
 	"martenlock/internal/simwire"
 )
 
-// inputBufferBytes lets a batch of a large site take few reads.
+// inputBufferBytes is the size of the input buffer: a batch of a large site is read in few calls.
 const inputBufferBytes = 1 << 20
 
-// errUnknownInstance is the reason of an event for an instance that has not been started.
+// errUnknownInstance reports an event for an instance that was not started or has been stopped.
 var errUnknownInstance = errors.New("unknown instance")
 
-// batchError reports which batch cannot be answered, and why.
+// batchError reports that a batch cannot be answered.
 type batchError struct {
 	Number uint32
 	Err    error
 }
 
-// Error names the batch and the reason.
+// Error implements error.
 func (e *batchError) Error() string { return fmt.Sprintf("batch %d: %v", e.Number, e.Err) }
 
 // Unwrap returns the reason.
@@ -45,14 +45,13 @@
 		if err != nil {
 			return err
 		}
-		_, err = out.Write(encoded)
-		if err != nil {
+		if _, err = out.Write(encoded); err != nil {
 			return err
 		}
 	}
 }
 
-// host holds the instances of this process and the endpoint lists that they are pointed at.
+// host holds the instances of this process and the endpoint tables that their updates refer to.
 type host struct {
 	routers map[uint16]*control.Router    // by instance
 	tables  map[uint16][]control.Endpoint // by number
@@ -71,12 +70,12 @@
 	return simwire.AppendReply(nil, reply)
 }
 
-// answer hands each instance its events of the batch, in order, and collects the actions. The
-// instances act in the order of their first events.
+// answer passes each instance its events of the batch, in order, and collects the actions. The instances
+// act in the order of their first events.
 func (h *host) answer(batch simwire.Batch) (simwire.Reply, error) {
 	queues := instanceQueues{byInstance: map[uint16]*instanceQueue{}}
 	for _, record := range batch.Records {
-		err := h.takeRecord(batch.Clock, record, &queues)
+		err := h.handleRecord(batch.Clock, record, &queues)
 		if err != nil {
 			return simwire.Reply{}, err
 		}
@@ -90,9 +89,8 @@
 	return reply, nil
 }
 
-// takeRecord carries out a record that concerns the host, and queues what an instance is to
-// handle.
-func (h *host) takeRecord(now control.Time, record simwire.Event, queues *instanceQueues) error {
+// handleRecord applies a record that concerns the host, and queues an event for its instance.
+func (h *host) handleRecord(now control.Time, record simwire.Event, queues *instanceQueues) error {
 	switch body := record.Body.(type) {
 	case simwire.EndpointTable:
 		h.tables[body.Number] = body.Endpoints
@@ -107,7 +105,7 @@
 	}
 	router := h.routers[record.Router]
 	if router == nil {
-		return fmt.Errorf("event %T for %w %d", record.Body, errUnknownInstance, record.Router)
+		return fmt.Errorf("event %s for %w %d", typeName(record.Body), errUnknownInstance, record.Router)
 	}
 	queue := queues.forInstance(record.Router)
 	queue.router = router
@@ -121,8 +119,8 @@
 	return nil
 }
 
-// start starts an instance. Where one of this number is running, it takes its place, and what
-// came for that one in this batch is discarded.
+// start starts an instance. If one with this number is running, the new one replaces it, and the events
+// for the old one in this batch are discarded.
 func (h *host) start(now control.Time, instance uint16, body simwire.Start, queues *instanceQueues) error {
 	settings, err := platformsettings.Parse(body.Seed, body.Settings)
 	if err != nil {
@@ -136,7 +134,7 @@
 	return nil
 }
 
-// stop ends an instance. What came for it in this batch is discarded.
+// stop stops an instance. The events for it in this batch are discarded.
 func (h *host) stop(instance uint16, queues *instanceQueues) error {
 	if h.routers[instance] == nil {
 		return fmt.Errorf("stop of %w %d", errUnknownInstance, instance)
@@ -150,27 +148,35 @@
 	return nil
 }
 
-// translate turns a record into an event of the module; nil where the module has no use for it.
-func (h *host) translate(body any) (control.Event, error) {
-	switch event := body.(type) {
+// translate returns the module's event for a record, or nil if the module ignores the record.
+func (h *host) translate(body simwire.EventBody) (control.Event, error) {
+	switch body := body.(type) {
 	case simwire.Start, simwire.Peer:
 		return nil, nil
 	case simwire.EndpointListUpdate:
-		return h.translateMembers(event)
-	case control.Event:
-		return event, nil
+		return h.endpointUpdate(body)
+	case simwire.ModuleEvent:
+		return body.Event, nil
 	}
-	return nil, fmt.Errorf("unexpected record %T", body)
+	return nil, fmt.Errorf("unexpected record %s", typeName(body))
 }
 
-// translateMembers turns a pointer to an endpoint list into the list.
-func (h *host) translateMembers(members simwire.EndpointListUpdate) (control.Event, error) {
-	if members.Scope == simwire.ScopeFailed {
+// endpointUpdate returns the event for an update that refers to an endpoint table.
+func (h *host) endpointUpdate(update simwire.EndpointListUpdate) (control.Event, error) {
+	if update.Scope == simwire.ScopeFailed {
 		return control.SubscriptionFailed{}, nil
 	}
-	endpoints, isKnown := h.tables[members.Table]
+	endpoints, isKnown := h.tables[update.Table]
 	if !isKnown {
-		return nil, fmt.Errorf("unknown server list %d", members.Table)
+		return nil, fmt.Errorf("unknown endpoint table %d", update.Table)
+	}
+	return control.EndpointUpdate{Endpoints: endpoints, Full: update.Scope != simwire.ScopeDelta}, nil
+}
+
+// typeName returns the name of a record's type for error messages.
+func typeName(body simwire.EventBody) string {
+	if module, ok := body.(simwire.ModuleEvent); ok {
+		return fmt.Sprintf("%T", module.Event)
 	}
-	return control.EndpointUpdate{Endpoints: endpoints, Full: members.Scope != simwire.ScopeDelta}, nil
+	return fmt.Sprintf("%T", body)
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter is the adapter between the simulator's protocol and the control package. It
-// hosts one control.Router for each instance; instances share nothing.
+// Command simadapter connects the simulator's protocol to the control package. It reads batches of events
+// from standard input and writes one reply each to standard output. It hosts one control.Router for each
+// instance. Instances share nothing but the endpoint tables of the protocol.
 package main
 
 import (
--- a/cmd/simadapter/queue.go
+++ b/cmd/simadapter/queue.go
@@ -10,17 +10,17 @@
 // instanceQueue holds the events of one instance in one batch.
 type instanceQueue struct {
 	instance uint16
-	router   *control.Router // nil where the instance has stopped
+	router   *control.Router // nil if the instance was stopped
 	events   []control.Event
 }
 
 // instanceQueues holds the queues of one batch.
 type instanceQueues struct {
-	inOrder    []*instanceQueue // of the instances' first events
+	inOrder    []*instanceQueue // in the order of the instances' first events
 	byInstance map[uint16]*instanceQueue
 }
 
-// forInstance returns the queue of an instance.
+// forInstance returns the queue of an instance. It adds one if there is none.
 func (q *instanceQueues) forInstance(instance uint16) *instanceQueue {
 	queue := q.byInstance[instance]
 	if queue == nil {
@@ -31,8 +31,8 @@
 	return queue
 }
 
-// handle runs the module for one instance. A panic becomes the protocol's declaration of
-// failure.
+// handle passes the events to the module and returns its actions as records. A panic of the module becomes
+// an InternalError.
 func (q *instanceQueue) handle(now control.Time) (records []simwire.Action) {
 	defer func() {
 		reason := recover()
@@ -41,12 +41,12 @@
 		}
 	}()
 	for _, action := range q.router.Handle(now, q.events) {
-		records = append(records, q.action(action))
+		records = append(records, q.action(simwire.ModuleAction{Action: action}))
 	}
 	return records
 }
 
 // action returns the record of an action of this instance.
-func (q *instanceQueue) action(body any) simwire.Action {
+func (q *instanceQueue) action(body simwire.ActionBody) simwire.Action {
 	return simwire.Action{Router: q.instance, Body: body}
 }
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -43,7 +43,7 @@
 	rec.number++
 	reply := simwire.Reply{Number: rec.number}
 	for _, a := range actions {
-		reply.Records = append(reply.Records, simwire.Action{Router: uint16(router), Body: a})
+		reply.Records = append(reply.Records, simwire.Action{Router: uint16(router), Body: simwire.ModuleAction{Action: a}})
 		rec.counts.add(a)
 		if rec.full {
 			rec.lines = append(rec.lines, fmt.Sprintf("  %v %s", now.Sub(rec.began), describe(a)))
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -2,7 +2,7 @@
 
 import "martenlock/control"
 
-// actionCode tells the kind of an action's record.
+// actionCode identifies the kind of an action's record.
 type actionCode uint8
 
 // The codes of actions.
@@ -21,8 +21,19 @@
 )
 
 // actionCodeOf returns the code of an action's body.
-func actionCodeOf(body any) actionCode {
-	switch body.(type) {
+func actionCodeOf(body ActionBody) actionCode {
+	switch body := body.(type) {
+	case ModuleAction:
+		return moduleActionCode(body.Action)
+	case InternalError:
+		return actionInternalError
+	}
+	return actionNone
+}
+
+// moduleActionCode returns the code of an action of the control package.
+func moduleActionCode(action control.Action) actionCode {
+	switch action.(type) {
 	case control.Fail:
 		return actionFail
 	case control.HealthCheck:
@@ -33,8 +44,6 @@
 		return actionSubscribeEndpoints
 	case control.Forward:
 		return actionForward
-	case InternalError:
-		return actionInternalError
 	case control.ReleaseKV:
 		return actionReleaseKV
 	case control.CancelAttempt:
@@ -49,76 +58,82 @@
 
 // code codes an action.
 func (a *Action) code(c *coder) {
-	code := actionCodeOf(a.Body)
-	integer(c, &code)
+	kind := actionCodeOf(a.Body)
+	integer(c, &kind)
 	if c.err != nil {
 		return
 	}
-	switch code {
+	switch kind {
 	case actionFail:
-		record(c, &a.Router, &a.Body, fail)
+		a.Body = moduleAction(c, a, failFields)
 	case actionHealthCheck:
-		record(c, &a.Router, &a.Body, healthCheck)
+		a.Body = moduleAction(c, a, healthCheckFields)
 	case actionReject:
-		record(c, &a.Router, &a.Body, reject)
+		a.Body = moduleAction(c, a, rejectFields)
 	case actionSubscribeEndpoints:
-		record(c, &a.Router, &a.Body, subscribeEndpoints)
+		a.Body = moduleAction(c, a, subscribeEndpointsFields)
 	case actionForward:
-		record(c, &a.Router, &a.Body, forward)
+		a.Body = moduleAction(c, a, forwardFields)
 	case actionInternalError:
-		record(c, &a.Router, &a.Body, internalError)
+		a.Body = record(c, &a.Router, a.Body, internalErrorFields)
 	case actionReleaseKV:
-		record(c, &a.Router, &a.Body, releaseKV)
+		a.Body = moduleAction(c, a, releaseKVFields)
 	case actionCancelAttempt:
-		record(c, &a.Router, &a.Body, cancelAttempt)
+		a.Body = moduleAction(c, a, cancelAttemptFields)
 	case actionSetTimer:
-		record(c, &a.Router, &a.Body, setTimer)
+		a.Body = moduleAction(c, a, setTimerFields)
 	case actionLog:
-		record(c, &a.Router, &a.Body, logLine)
+		a.Body = moduleAction(c, a, logLine)
 	default:
-		c.fail(&UnknownValueError{Field: "action code", Value: uint64(code)})
+		c.fail(&UnknownValueError{Field: "action code", Value: uint64(kind)})
 	}
 }
 
-// fail codes the fields of a request's failure.
-func fail(c *coder, v *control.Fail) { integer(c, &v.ID) }
+// moduleAction codes the record of an action of the control package.
+func moduleAction[T control.Action](c *coder, a *Action, fields func(*coder, *T)) ModuleAction {
+	body, _ := a.Body.(ModuleAction) // none when reading
+	return ModuleAction{record(c, &a.Router, body.Action, fields)}
+}
+
+// failFields codes the fields of a request's failure.
+func failFields(c *coder, v *control.Fail) { integer(c, &v.ID) }
 
-// healthCheck codes the fields of a health check.
-func healthCheck(c *coder, v *control.HealthCheck) { endpointID(c, &v.Endpoint) }
+// healthCheckFields codes the fields of a health check.
+func healthCheckFields(c *coder, v *control.HealthCheck) { endpointID(c, &v.Endpoint) }
 
-// reject codes the fields of a request's rejection.
-func reject(c *coder, v *control.Reject) {
+// rejectFields codes the fields of a request's rejection.
+func rejectFields(c *coder, v *control.Reject) {
 	integer(c, &v.ID)
 	duration(c, &v.RetryAfter)
 }
 
-// subscribeEndpoints codes that the endpoint list is asked for. The wire could also end it.
-func subscribeEndpoints(c *coder, _ *control.SubscribeEndpoints) {
+// subscribeEndpointsFields codes that the endpoint list is requested. On the wire it could also be cancelled.
+func subscribeEndpointsFields(c *coder, _ *control.SubscribeEndpoints) {
 	isSubscribed := true
 	boolean(c, &isSubscribed)
 }
 
-// forward codes the fields of an attempt.
-func forward(c *coder, v *control.Forward) {
+// forwardFields codes the fields of an attempt.
+func forwardFields(c *coder, v *control.Forward) {
 	integer(c, &v.ID)
 	duration(c, &v.Timeout)
 	endpointID(c, &v.Endpoint)
 }
 
-// internalError codes the fields of an InternalError.
-func internalError(c *coder, v *InternalError) { text(c, &v.Text) }
+// internalErrorFields codes the fields of an InternalError.
+func internalErrorFields(c *coder, v *InternalError) { text(c, &v.Text) }
 
-// releaseKV codes the fields of a KV state's release.
-func releaseKV(c *coder, v *control.ReleaseKV) { integer(c, &v.ID) }
+// releaseKVFields codes the fields of a KV state's release.
+func releaseKVFields(c *coder, v *control.ReleaseKV) { integer(c, &v.ID) }
 
-// cancelAttempt codes the fields of an attempt's cancellation.
-func cancelAttempt(c *coder, v *control.CancelAttempt) {
+// cancelAttemptFields codes the fields of an attempt's cancellation.
+func cancelAttemptFields(c *coder, v *control.CancelAttempt) {
 	integer(c, &v.ID)
 	index[uint16](c, &v.Attempt)
 }
 
-// setTimer codes the fields of a timer.
-func setTimer(c *coder, v *control.SetTimer) {
+// setTimerFields codes the fields of a timer.
+func setTimerFields(c *coder, v *control.SetTimer) {
 	integer(c, &v.Token)
 	duration(c, &v.After)
 }
--- a/internal/simwire/coder.go
+++ b/internal/simwire/coder.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// coder walks a frame and reads or writes one field after another. The first error stays, and
-// ends the reading.
+// coder reads or writes one field of a frame after another. To code a value is to append it to the frame
+// if isWriting is set, and to replace it by the next field otherwise. After the first error nothing
+// more is read.
 type coder struct {
 	buf       []byte
 	offset    int // of the next field to read
 	isWriting bool
-	err       error
+	err       error // the first one
 }
 
-// take returns the next n bytes of a frame, or nil where they are missing.
+// take returns the next n bytes of the frame. It returns nil if they are missing.
 func (c *coder) take(n int) []byte {
 	if c.err != nil {
 		return nil
 	}
 	left := len(c.buf) - c.offset
 	if n < 0 || left < n {
-		c.err = &TruncatedError{Wanted: n, Left: left}
+		c.err = &TruncatedError{Want: n, Left: left}
 		return nil
 	}
 	start := c.offset
@@ -30,14 +31,14 @@
 	return c.buf[start:c.offset]
 }
 
-// fail records an error that was found while reading; where one was found before, that stays.
+// fail records an error. An earlier one takes precedence.
 func (c *coder) fail(err error) {
 	if c.err == nil {
 		c.err = err
 	}
 }
 
-// unsigned is the types that go on the wire as they are.
+// unsigned is the constraint of types that are coded in their own width.
 type unsigned interface {
 	~uint8 | ~uint16 | ~uint32 | ~uint64
 }
@@ -76,7 +77,7 @@
 	*value = T(wire)
 }
 
-// float codes a number in 32 bits. One that is not finite is read as 0.
+// float codes a number in 32 bits. A number that is not finite is read as 0.
 func float[T ~float64](c *coder, value *T) {
 	bits := math.Float32bits(float32(*value))
 	integer(c, &bits)
@@ -87,7 +88,7 @@
 	*value = T(number)
 }
 
-// duration codes a duration in microseconds, cut to what 32 bits hold.
+// duration codes a duration in microseconds, limited to the range of 32 bits.
 func duration(c *coder, value *time.Duration) {
 	microseconds := uint32(min(max(value.Microseconds(), 0), math.MaxUint32))
 	integer(c, &microseconds)
@@ -104,7 +105,7 @@
 	*value = wire != 0
 }
 
-// byteString codes bytes after their number, which is in the width of W.
+// byteString codes bytes preceded by their number, in the width of W.
 func byteString[W unsigned](c *coder, value *[]byte) {
 	length := W(len(*value))
 	integer(c, &length)
@@ -115,7 +116,7 @@
 	*value = append([]byte(nil), c.take(int(length))...)
 }
 
-// text codes a string, cut to what its 16-bit length can tell.
+// text codes a string, truncated to the range of its 16-bit length.
 func text(c *coder, value *string) {
 	encoded := []byte(*value)
 	encoded = encoded[:min(len(encoded), math.MaxUint16)]
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// RecordError reports which record of a batch cannot be decoded, and why.
+// RecordError reports that a record of a batch cannot be decoded.
 type RecordError struct {
 	Index  uint32 // of the record in its batch
 	Offset int    // of the record in its frame, in bytes
 	Err    error
 }
 
-// Error names the record and the reason.
+// Error implements error.
 func (e *RecordError) Error() string {
 	return fmt.Sprintf("record %d at byte %d: %v", e.Index, e.Offset, e.Err)
 }
@@ -23,28 +23,28 @@
 	Value uint64
 }
 
-// Error names the field and the number.
+// Error implements error.
 func (e *UnknownValueError) Error() string { return fmt.Sprintf("unknown %s %d", e.Field, e.Value) }
 
-// LengthError reports a frame that is not as long as it says.
+// LengthError reports a frame whose length differs from the one in its header.
 type LengthError struct {
 	Frame string // "frame" or "reply"
-	Said  uint32 // bytes
-	Has   int    // bytes
+	Want  uint32 // bytes, by the header
+	Got   int    // bytes
 }
 
-// Error names both lengths.
+// Error implements error.
 func (e *LengthError) Error() string {
-	return fmt.Sprintf("%s says %d bytes and has %d", e.Frame, e.Said, e.Has)
+	return fmt.Sprintf("%s of %d bytes, its header says %d", e.Frame, e.Got, e.Want)
 }
 
-// TruncatedError reports a field that goes beyond the end of its frame.
+// TruncatedError reports a field that extends beyond the end of its frame.
 type TruncatedError struct {
-	Wanted int // bytes
-	Left   int // bytes
+	Want int // bytes
+	Left int // bytes
 }
 
-// Error names both lengths.
+// Error implements error.
 func (e *TruncatedError) Error() string {
-	return fmt.Sprintf("%d bytes wanted, %d left", e.Wanted, e.Left)
+	return fmt.Sprintf("field of %d bytes, %d are left", e.Want, e.Left)
 }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -14,10 +14,10 @@
 	*value = control.EndpointID(host)<<portBits | control.EndpointID(port)
 }
 
-// statusCode is the wire's number of a result: mostly the gRPC status of it.
+// statusCode is the code of a result on the wire, with few exceptions a gRPC status.
 type statusCode uint8
 
-// resultByStatus is the module's results by their codes on the wire.
+// resultByStatus maps the codes on the wire to the module's results.
 var resultByStatus = [...]struct {
 	status statusCode
 	result control.Result
@@ -61,6 +61,6 @@
 	integerAs[uint8](c, &value.Zone)
 	integer(c, &value.StartedAt)
 	if value.State > control.Draining {
-		c.fail(&UnknownValueError{Field: "server state", Value: uint64(value.State)})
+		c.fail(&UnknownValueError{Field: "endpoint state", Value: uint64(value.State)})
 	}
 }
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 )
@@ -11,15 +12,16 @@
 	batchHeaderBytes = 20
 	replyHeaderBytes = 8
 	batchSizeOffset  = 8       // of the frame's length in a batch's header
-	maxFrameBytes    = 1 << 30 // a longer frame is taken for damage
-	typicalAction    = 24      // of most actions, so that a reply is mostly allocated once
+	maxFrameBytes    = 1 << 30 // a longer frame counts as damaged
+	typicalAction    = 24      // size of most actions, so that most replies are allocated once
 )
 
-// ReadFrame reads one batch frame. It returns io.EOF where the input ends between frames.
+// ReadFrame reads one batch frame. It returns io.EOF if the input ends between frames, and an error that
+// wraps io.ErrUnexpectedEOF if it ends within one.
 func ReadFrame(r io.Reader) ([]byte, error) {
 	header := make([]byte, batchHeaderBytes)
 	n, err := io.ReadFull(r, header)
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	}
 	if err != nil {
@@ -38,7 +40,7 @@
 	return frame, nil
 }
 
-// batchHeader codes a batch's header: everything but the records.
+// batchHeader codes the header of a batch.
 func batchHeader(c *coder, b *Batch, size, count *uint32) {
 	integer(c, &b.Clock)
 	integer(c, size)
@@ -46,14 +48,14 @@
 	integer(c, &b.Number)
 }
 
-// ParseBatch decodes a whole batch frame.
+// ParseBatch decodes a complete batch frame. It returns a RecordError if a record cannot be decoded.
 func ParseBatch(frame []byte) (Batch, error) {
 	c := &coder{buf: frame}
 	var b Batch
 	var size, count uint32
 	batchHeader(c, &b, &size, &count)
 	if c.err == nil && int(size) != len(frame) {
-		return b, &LengthError{Frame: "frame", Said: size, Has: len(frame)}
+		return b, &LengthError{Frame: "frame", Want: size, Got: len(frame)}
 	}
 	for i := uint32(0); i < count && c.err == nil; i++ {
 		offset := c.offset
@@ -96,7 +98,7 @@
 	return append(dst, c.buf...), c.err
 }
 
-// ParseReply decodes a whole reply frame, for tests and tools.
+// ParseReply decodes a complete reply frame, for tests and tools.
 func ParseReply(frame []byte) (Reply, error) {
 	c := &coder{buf: frame}
 	var r Reply
@@ -104,7 +106,7 @@
 	integer(c, &size)
 	integer(c, &r.Number)
 	if c.err == nil && int(size) != len(frame) {
-		return r, &LengthError{Frame: "reply", Said: size, Has: len(frame)}
+		return r, &LengthError{Frame: "reply", Want: size, Got: len(frame)}
 	}
 	for c.err == nil && c.offset < len(frame) {
 		var action Action
--- a/internal/simwire/logline.go
+++ b/internal/simwire/logline.go
@@ -6,11 +6,10 @@
 	"martenlock/control"
 )
 
-// ejectionLine is the simulator's wording of an ejection: the endpoint, and its reason as
-// ejectionWords has it.
+// ejectionLine is the simulator's text of an ejection: the endpoint and its reason in ejectionWords.
 const ejectionLine = "server %x set aside: %s"
 
-// ejectionWords is the simulator's wording of the reasons of an ejection.
+// ejectionWords are the simulator's texts of the reasons of an ejection.
 var ejectionWords = [...]struct {
 	reason control.EjectionReason
 	words  string
@@ -36,7 +35,7 @@
 	*v, c.err = parseLog(line)
 }
 
-// formatLog words a log. A kind or a reason that has no words here keeps its own name.
+// formatLog returns the text of a log. A kind or a reason without a text here keeps its own name.
 func formatLog(log control.Log) string {
 	if log.Kind != control.EndpointEjected {
 		return log.Kind.String()
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,93 +1,102 @@
-// Package simwire is the codec of the simulator's protocol: little-endian frames of records,
-// decoded into the control package's events and encoded from its actions. It makes no decisions.
-// Every layout stands once and serves both directions.
+// Package simwire is the codec of the simulator's protocol: little-endian frames of records, decoded
+// into the control package's events and encoded from its actions. It makes no decisions. Each layout
+// is written once and serves both directions.
 package simwire
 
-import (
-	"fmt"
+import "martenlock/control"
 
-	"martenlock/control"
-)
+// Batch is a frame of events.
+type Batch struct {
+	Clock   control.Time
+	Number  uint32
+	Records []Event
+}
+
+// Reply is the frame of actions that answers a batch.
+type Reply struct {
+	Number  uint32
+	Records []Action
+}
 
-// Start tells that an instance begins with these settings and no state.
+// Event is one record of a batch.
+type Event struct {
+	Router uint16 // the instance; 0 for an EndpointTable, which belongs to none
+	Body   EventBody
+}
+
+// EventBody is the content of an Event: a ModuleEvent, Start, Stop, EndpointTable, EndpointListUpdate or
+// Peer.
+type EventBody interface{ eventBody() }
+
+// ModuleEvent is an event of the control package.
+type ModuleEvent struct{ Event control.Event }
+
+// Start begins an instance without state.
 type Start struct {
 	Seed     uint64
-	Settings []byte // the settings, in the form that package platformsettings parses
+	Settings []byte // in the form that package platformsettings parses
 }
 
-// Stop tells that an instance was killed.
+// Stop reports that an instance was killed.
 type Stop struct{}
 
-// EndpointTable is a numbered list of endpoints for the whole process.
+// EndpointTable is a numbered list of endpoints for all instances of the process.
 type EndpointTable struct {
 	Number    uint16
 	Endpoints []control.Endpoint
 }
 
-// EndpointListUpdate points an instance at an EndpointTable, or tells that asking for one failed.
+// EndpointListUpdate refers an instance to an EndpointTable, or reports that a request for one failed.
 type EndpointListUpdate struct {
 	Version uint64
 	Table   uint16
 	Scope   Scope
 }
 
-// Peer is a message from another instance; this project sends none.
+// Peer is a message from another instance. This project sends none.
 type Peer struct {
 	From uint32
 	Data []byte
 }
 
-// Event is one record of a batch. Body is a Start, Stop, EndpointTable, EndpointListUpdate, Peer or one of the
-// control package's events; an EndpointTable belongs to no instance.
-type Event struct {
-	Router uint16
-	Body   any
-}
+func (ModuleEvent) eventBody()        {}
+func (Start) eventBody()              {}
+func (Stop) eventBody()               {}
+func (EndpointTable) eventBody()      {}
+func (EndpointListUpdate) eventBody() {}
+func (Peer) eventBody()               {}
 
-// Batch is a frame of events.
-type Batch struct {
-	Clock   control.Time
-	Number  uint32
-	Records []Event
+// Action is one record of a reply.
+type Action struct {
+	Router uint16 // the instance
+	Body   ActionBody
 }
 
-// InternalError declares that the decision code has failed.
+// ActionBody is the content of an Action: a ModuleAction or an InternalError.
+type ActionBody interface{ actionBody() }
+
+// ModuleAction is an action of the control package.
+type ModuleAction struct{ Action control.Action }
+
+// InternalError reports that the decision code has failed.
 type InternalError struct{ Text string }
 
-// Action is one record of a reply: an InternalError or a control.Action.
-type Action struct {
-	Router uint16
-	Body   any
-}
+func (ModuleAction) actionBody()  {}
+func (InternalError) actionBody() {}
 
-// Reply answers a batch.
-type Reply struct {
-	Number  uint32
-	Records []Action
-}
+//go:generate go tool stringer -linecomment -type=Scope -output=enum_string.go
 
-// Scope tells what the EndpointTable that an EndpointListUpdate points at is.
+// Scope is what the EndpointTable of an EndpointListUpdate contains.
 type Scope uint8
 
 // The scopes of an EndpointListUpdate.
 const (
-	ScopeDelta  Scope = iota // what has changed
-	ScopeFull                // the whole list
-	ScopeCached              // the whole list, from a cache
-	ScopeFailed              // nothing: asking failed
+	// ScopeDelta is a table of the endpoints that have changed.
+	ScopeDelta Scope = iota // delta
+	// ScopeFull is a table of all endpoints.
+	ScopeFull // full
+	// ScopeCached is a table of all endpoints from a cache.
+	ScopeCached // cached
+	// ScopeFailed is no table: the request for one failed.
+	ScopeFailed // failed
 )
-
-// String names the scope for tests and logs.
-func (s Scope) String() string {
-	switch s {
-	case ScopeDelta:
-		return "delta"
-	case ScopeFull:
-		return "full"
-	case ScopeCached:
-		return "cached"
-	case ScopeFailed:
-		return "failed"
-	}
-	return fmt.Sprintf("Scope(%d)", uint8(s))
-}
