--- a/internal/platformsettings/object.go
+++ b/internal/platformsettings/object.go
@@ -2,8 +2,8 @@
 
 import "martenlock/control"
 
-// object is the JSON form of the settings. Keys that it lacks stay zero; keys that are not
-// named here are ignored. The tags are the platform's names, the fields those of this program.
+// object is the JSON form of the settings. Missing keys are zero and unknown keys are ignored. The tags
+// are the platform's names, the fields those of this program.
 type object struct {
 	Tenants        []tenantObject `json:"Accounts"`
 	Routers        int            `json:"Balancers"`
@@ -19,7 +19,7 @@
 	ZoneNames      []string `json:"Zones"`
 }
 
-// tenantObject is what one tenant may use.
+// tenantObject is the quota of one tenant.
 type tenantObject struct {
 	RateLimitPerSecond float64 `json:"AllowancePerS"`
 	Share              float64
@@ -33,12 +33,12 @@
 	MemoryTokensByKind        []float64 `json:"TokensByKind"`
 	KVRetentionLimitUs        float64   `json:"PinLimitUs"`
 	ResumesStreams            bool      `json:"Resume"`
-	ReportX0                  string    // what the site's first own field of the load report means
-	ReportX1                  string    // and its second
+	ReportX0                  string    // description of the site's first own field of the load report
+	ReportX1                  string    // description of its second one
 	DecodeCanPrefill          bool      `json:"WritersRead"`
 }
 
-// limitsObject is what a router may do, and how long and how often.
+// limitsObject holds the limits and capabilities of a router.
 type limitsObject struct {
 	MaxAttempts         int     `json:"AttemptsCap"`
 	CanCancel           bool    `json:"Cancelling"`
@@ -50,7 +50,7 @@
 	SendsRetryAfter     bool `json:"RetryAfter"`
 }
 
-// loadReportObject names the fields of an engine's load report.
+// loadReportObject holds the names of the fields of an engine's load report, in order.
 type loadReportObject struct{ Fields []string }
 
 // classObject is one class of requests.
@@ -65,7 +65,7 @@
 	DedupScope      string
 }
 
-// rulesObject is how engines start, drain and fail under overload.
+// rulesObject holds the rules by which engines start, drain and fail under overload.
 type rulesObject struct {
 	SlowStartShare   float64 `json:"ColdFrom"`
 	SlowStartUs      float64 `json:"ColdUs"`
@@ -75,8 +75,7 @@
 	AnswerGraceUs    float64 `json:"GraceToAnswerUs"`
 }
 
-// membershipModeSubscribe is the value of MembershipMode with which routers ask for the
-// endpoint list.
+// membershipModeSubscribe is the value of MembershipMode if routers must subscribe to the endpoint list.
 const membershipModeSubscribe = "ask"
 
 // The platform's names of enumerated values.
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -10,43 +10,65 @@
 	"martenlock/control"
 )
 
-// TestParseConvertsSettingsAndReportsUnusableOnes holds that the platform's keys reach the
-// decision module in its terms and units, that unknown keys are ignored, and that each object
-// that cannot be used is an *Error.
-func TestParseConvertsSettingsAndReportsUnusableOnes(t *testing.T) {
+// TestParseConvertsKeysToTermsAndUnitsOfControl also holds that unknown keys are ignored.
+func TestParseConvertsKeysToTermsAndUnitsOfControl(t *testing.T) {
 	text := `{"Balancers": 2, "NewKey": {"a": 1}, "FamilyInfo": {"KindRole": ["read", "both"], "TokensByKind": [5],
 		"ReportX0": "share of memory that is held", "ReportX1": "thousands of prompt tokens waiting"},
 		"LoadReport": {"Fields": ["rif", "lat_ms", "x1", "x0"]}, "Limits": {"MaxRetryAfterUs": 1000, "ConnIdleUs": 7000},
 		"HostTypes": ["r", "b"], "Zones": ["x"],
 		"RequestClasses": [{"Name": "talk", "AimUs": 1000, "Effect": "at_most_once"}]}`
+
 	settings, err := Parse(4, []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := settings.Control
-	if got.Identity.Routers != 2 || got.Identity.Seed != 4 || got.Limits.MaxRetryAfter != 0 ||
-		!reflect.DeepEqual(got.Engines.Kinds, []control.EngineKind{
+
+	for name, c := range map[string]struct{ got, want any }{
+		"routers":             {settings.Control.Identity.Routers, 2},
+		"seed":                {settings.Control.Identity.Seed, uint64(4)},
+		"max Retry-After":     {settings.Control.Limits.MaxRetryAfter, time.Duration(0)}, // RetryAfter is not set
+		"idempotency":         {settings.Control.Classes[0].Idempotency, control.NotIdempotent},
+		"TTFT objective":      {settings.Control.Classes[0].TTFTObjective, time.Millisecond},
+		"engine idle timeout": {settings.EngineIdleTimeout, 7 * time.Millisecond},
+		"class names":         {settings.ClassNames, []string{"talk"}},
+		"kind names":          {settings.KindNames, []string{"r", "b"}},
+		"zone names":          {settings.ZoneNames, []string{"x"}},
+		"kinds": {settings.Control.Engines.Kinds, []control.EngineKind{
 			{Role: control.RolePrefill, MemoryTokens: 5},
 			{Role: control.RoleColocated, MemoryTokens: 0},
-		}) ||
-		!reflect.DeepEqual(got.Engines.ReportFields, []control.ReportField{
-			control.ReportInFlight, control.ReportOther, control.ReportBacklog,
-			control.ReportMemory,
-		}) ||
-		got.Classes[0].Idempotency != control.NotIdempotent || got.Classes[0].TTFTObjective != time.Millisecond || settings.EngineIdleTimeout != 7*time.Millisecond ||
-		!reflect.DeepEqual([][]string{settings.ClassNames, settings.KindNames, settings.ZoneNames}, [][]string{{"talk"}, {"r", "b"}, {"x"}}) {
-		t.Fatalf("got %+v", settings)
+		}},
+		"report fields": {settings.Control.Engines.ReportFields, []control.ReportField{
+			control.ReportInFlight, control.ReportOther, control.ReportBacklog, control.ReportMemory,
+		}},
+	} {
+		if !reflect.DeepEqual(c.got, c.want) {
+			t.Errorf("%s: got %v, want %v", name, c.got, c.want)
+		}
 	}
-	for _, bad := range []struct{ text, key string }{
-		{"", ""},
-		{"[]", ""},
-		{`{"FamilyInfo": {"KindRole": ["paint"]}}`, "FamilyInfo.KindRole"},
-		{`{"RequestClasses": [{"Effect": "?"}]}`, "RequestClasses[0]"},
+}
+
+// TestParseErrorNamesUnusableKey holds for each source of an error, with the unknown value if there is one.
+func TestParseErrorNamesUnusableKey(t *testing.T) {
+	for _, c := range []struct {
+		text    string
+		key     string
+		unknown UnknownValueError
+	}{
+		{"", "", UnknownValueError{}},
+		{"[]", "", UnknownValueError{}},
+		{`{"FamilyInfo": {"KindRole": ["paint"]}}`, "FamilyInfo.KindRole", UnknownValueError{"role", "paint"}},
+		{`{"RequestClasses": [{"Effect": "?"}]}`, "RequestClasses[0]", UnknownValueError{"effect", "?"}},
+		{`{"RequestClasses": [{"Effect": "idempotent", "DedupScope": "rack"}]}`, "RequestClasses[0]", UnknownValueError{"deduplication scope", "rack"}},
 	} {
-		_, err := Parse(0, []byte(bad.text))
+		_, err := Parse(0, []byte(c.text))
+
 		var settingsErr *Error
-		if !errors.As(err, &settingsErr) || settingsErr.Key != bad.key || !strings.Contains(err.Error(), "settings") {
-			t.Errorf("%q: error %v", bad.text, err)
+		if !errors.As(err, &settingsErr) || settingsErr.Key != c.key || !strings.Contains(err.Error(), "settings") {
+			t.Errorf("%q: error %v", c.text, err)
+		}
+		unknown := &UnknownValueError{}
+		if isUnknown := errors.As(err, &unknown); isUnknown != (c.unknown != UnknownValueError{}) || *unknown != c.unknown {
+			t.Errorf("%q: error %v, want %v", c.text, err, &c.unknown)
 		}
 	}
 }
