--- a/internal/upstream/budget_test.go
+++ b/internal/upstream/budget_test.go
@@ -12,10 +12,10 @@
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 9, MaxTotal: 1})
 	f.request(false)
 	other := f.newPool(f.pool.Addr)
-	o, overBudget := newOutcome(), newOutcome()
+	response, overBudget := newRecordedResponse(), newRecordedResponse()
 
 	f.loop.Do(func() {
-		if _, err := other.Start(o, []byte(simpleRequest), nil, false); err != nil {
+		if _, err := other.Start(response, getRequest, nil, false); err != nil {
 			t.Error(err)
 		}
 		if _, err := f.pool.Start(overBudget, nil, nil, false); !errors.Is(err, ErrNoConn) {
@@ -26,5 +26,5 @@
 		}
 	})
 
-	f.expectComplete(o)
+	f.expectComplete(response)
 }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -1,9 +1,11 @@
 package upstream
 
 import (
+	"net"
 	"testing"
 	"time"
 
+	"martenlock/internal/enginetest"
 	"martenlock/internal/timerwheel"
 )
 
@@ -11,7 +13,10 @@
 // fails as not written, whatever the time to connect may be. One that has left does not.
 func TestRequestNotSentWithinDeadlineFails(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 9})
-	pool := f.newPool(addressOf(listenLocal(t))) // connections are established, and nothing is read
+	testEnds := make(chan struct{})
+	defer close(testEnds)
+	engine := enginetest.Listen(t, func(*net.TCPConn) { <-testEnds }) // reads nothing
+	pool := f.newPool(engine.Addr())
 	stillRunning := ConnError{Malformed: "still running"}
 	for _, c := range []struct {
 		name string
@@ -22,19 +27,19 @@
 		{"more than the kernel buffers", 32 << 20, ConnError{Established: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			o := newOutcome()
+			response := newRecordedResponse()
 			f.loop.Do(func() {
-				conn, err := pool.Start(o, []byte("POST / HTTP/1.1\r\n\r\n"), make([]byte, c.body), false)
+				conn, err := pool.Start(response, []byte("POST / HTTP/1.1\r\n\r\n"), make([]byte, c.body), false)
 				if err != nil {
 					t.Error(err)
-					o.Failed(ConnError{})
+					response.Failed(ConnError{})
 					return
 				}
 				conn.SendWithin(150 * time.Millisecond)
-				later := &timerwheel.Timer{Fire: func() { o.Failed(stillRunning) }}
+				later := &timerwheel.Timer{Fire: func() { response.Failed(stillRunning) }}
 				f.loop.StartTimer(later, 300*time.Millisecond)
 			})
-			if got := <-o.ended; got != c.want {
+			if got := <-response.ended; got != c.want {
 				t.Errorf("%+v, want %+v", got, c.want)
 			}
 		})
@@ -43,13 +48,13 @@
 
 // headBuilder builds its request's head, and counts how often.
 type headBuilder struct {
-	*outcome
+	*recordedResponse
 	headsBuilt int
 }
 
 func (b *headBuilder) RequestHead() []byte {
 	b.headsBuilt++
-	return []byte(simpleRequest)
+	return getRequest
 }
 
 // TestRequestHeadBuiltOnceWhenConnectionEstablished: a HeadBuilder's head is built when the connection
@@ -57,7 +62,7 @@
 func TestRequestHeadBuiltOnceWhenConnectionEstablished(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4})
 	for i := range 2 { // over a new connection, then over an idle one
-		b := &headBuilder{outcome: newOutcome()}
+		b := &headBuilder{recordedResponse: newRecordedResponse()}
 		f.loop.Do(func() {
 			if _, err := f.pool.Start(b, []byte("not this"), nil, false); err != nil {
 				t.Error(err)
@@ -66,7 +71,7 @@
 				t.Errorf("connection %d: head was built %d times within Start", i, b.headsBuilt)
 			}
 		})
-		f.expectComplete(b.outcome)
+		f.expectComplete(b.recordedResponse)
 		if b.headsBuilt != 1 {
 			t.Errorf("head was built %d times", b.headsBuilt)
 		}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -9,29 +9,30 @@
 	"testing"
 	"time"
 
+	"martenlock/internal/enginetest"
 	"martenlock/internal/eventloop/eventlooptest"
 	"martenlock/internal/http1"
 )
 
-const simpleRequest = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+// getRequest is the head of a request without a body.
+var getRequest = []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 
-// outcome is a ResponseHandler that reports how a request ended.
-type outcome struct {
+// recordedResponse is a ResponseHandler that reports how the response ended.
+type recordedResponse struct {
 	ended chan ConnError // the zero value for a complete response
 }
 
-func newOutcome() *outcome { return &outcome{make(chan ConnError, 1)} }
+func newRecordedResponse() *recordedResponse { return &recordedResponse{make(chan ConnError, 1)} }
 
-func (o *outcome) Connected()       {}
-func (o *outcome) Head(*http1.Head) {}
-func (o *outcome) Data([]byte)      {}
-func (o *outcome) Complete()        { o.ended <- ConnError{} }
+func (r *recordedResponse) Connected()       {}
+func (r *recordedResponse) Head(*http1.Head) {}
+func (r *recordedResponse) Data([]byte)      {}
+func (r *recordedResponse) Complete()        { r.ended <- ConnError{} }
 
-// Failed reports the first end only.
-func (o *outcome) Failed(err ConnError) {
+func (r *recordedResponse) Failed(err ConnError) {
 	select {
-	case o.ended <- err:
-	default:
+	case r.ended <- err:
+	default: // it has ended already
 	}
 }
 
@@ -45,59 +46,28 @@
 }
 
 // newFixture returns a pool with the given options, whose limits and time-out to connect it sets.
-func newFixture(t *testing.T, opts Options) *fixture {
+func newFixture(t *testing.T, options Options) *fixture {
 	t.Helper()
-	opts.Limits = http1.Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1 << 20}
-	opts.ConnectTimeout = 5 * time.Second
-	ln := listenLocal(t)
-	loop := eventlooptest.Start(t)
-	f := &fixture{
-		t:           t,
-		loop:        loop,
-		pool:        &Pool{Loop: loop.Loop, Options: &opts, Budget: &Budget{}, Addr: addressOf(ln)},
-		afterAnswer: make(chan func(net.Conn), 1),
-		engineSaw:   make(chan string, 100),
-	}
-	go f.acceptAsEngine(ln)
+	f := &fixture{t: t, afterAnswer: make(chan func(net.Conn), 1), engineSaw: make(chan string, 100)}
+	engine := enginetest.Listen(t, f.serveAsEngine)
+	f.loop = eventlooptest.Start(t)
+	options.Limits = http1.Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1 << 20}
+	options.ConnectTimeout = 5 * time.Second
+	f.pool = &Pool{Loop: f.loop.Loop, Options: &options, Budget: &Budget{}, Addr: engine.Addr()}
 	return f
 }
 
-// listenLocal opens a listener on loopback until the test ends.
-func listenLocal(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	return ln
-}
-
-func addressOf(ln net.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
-
 // newPool returns another pool with the fixture's loop, options and budget.
 func (f *fixture) newPool(addr netip.AddrPort) *Pool {
 	return &Pool{Loop: f.loop.Loop, Options: f.pool.Options, Budget: f.pool.Budget, Addr: addr}
 }
 
-// acceptAsEngine is the engine's listener.
-func (f *fixture) acceptAsEngine(ln net.Listener) {
-	for {
-		c, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		f.engineSaw <- "connection"
-		go f.answerAsEngine(c)
-	}
-}
-
-// answerAsEngine answers the requests on one connection.
-func (f *fixture) answerAsEngine(c net.Conn) {
-	for reader := bufio.NewReader(c); ; {
+// serveAsEngine answers the requests on one connection.
+func (f *fixture) serveAsEngine(conn *net.TCPConn) {
+	f.engineSaw <- "connection"
+	for reader := bufio.NewReader(conn); ; {
 		if _, err := http.ReadRequest(reader); err != nil {
 			f.engineSaw <- "gone"
-			c.Close()
 			return
 		}
 		f.engineSaw <- "request"
@@ -106,9 +76,9 @@
 		case after = <-f.afterAnswer:
 		default:
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		if after != nil {
-			after(c)
+			after(conn)
 		}
 	}
 }
@@ -116,20 +86,19 @@
 // request sends a request to the engine and expects a complete response.
 func (f *fixture) request(notIdempotent bool) {
 	f.t.Helper()
-	o := newOutcome()
+	response := newRecordedResponse()
 	f.loop.Do(func() {
-		if _, err := f.pool.Start(o, []byte(simpleRequest), nil, notIdempotent); err != nil {
-			f.t.Error(err)
-			o.ended <- ConnError{}
+		if _, err := f.pool.Start(response, getRequest, nil, notIdempotent); err != nil {
+			response.Failed(ConnError{Malformed: err.Error()})
 		}
 	})
-	f.expectComplete(o)
+	f.expectComplete(response)
 }
 
-// expectComplete waits for the end of a request and expects a complete response.
-func (f *fixture) expectComplete(o *outcome) {
+// expectComplete waits for the end of a response and expects it to be complete.
+func (f *fixture) expectComplete(response *recordedResponse) {
 	f.t.Helper()
-	if err := <-o.ended; err != (ConnError{}) {
+	if err := <-response.ended; err != (ConnError{}) {
 		f.t.Fatalf("%+v", err)
 	}
 }
@@ -144,7 +113,7 @@
 				f.t.Errorf("the engine saw %q, not %q", got, want)
 			}
 		case <-time.After(5 * time.Second):
-			f.t.Fatalf("no %q", want)
+			f.t.Fatalf("the engine saw no %q", want)
 		}
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -77,14 +77,14 @@
 // is not kept for the next request.
 func TestConnectionToFormerAddressNotKept(t *testing.T) {
 	f, other := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4}), newFixture(t, Options{})
-	o := newOutcome()
+	response := newRecordedResponse()
 	f.loop.Do(func() {
-		if _, err := f.pool.Start(o, []byte(simpleRequest), nil, false); err != nil {
+		if _, err := f.pool.Start(response, getRequest, nil, false); err != nil {
 			t.Error(err)
 		}
 		f.pool.Addr = other.pool.Addr
 	})
-	f.expectComplete(o)
+	f.expectComplete(response)
 	f.expectEngineSaw("connection", "request", "gone")
 
 	f.request(false)
