--- a/cmd/martenlock/serve.go
+++ b/cmd/martenlock/serve.go
@@ -38,7 +38,7 @@
 
 // runServe runs a router until SIGTERM or SIGINT.
 func runServe(path string) error {
-	serve.TuneCollector()
+	serve.TuneGC()
 	running, err := serve.Start(path, os.Stderr)
 	if err != nil {
 		return err
--- a/internal/bench/child.go
+++ b/internal/bench/child.go
@@ -94,7 +94,7 @@
 
 // startRouter starts the router in this process. cleanUp removes the router's files.
 func startRouter(backend string) (address string, cleanUp func(), err error) {
-	serve.TuneCollector()
+	serve.TuneGC()
 	dir, err := os.MkdirTemp("", "martenlock-bench-")
 	if err != nil {
 		return "", nil, err
@@ -129,7 +129,7 @@
 // startProxy starts net/http/httputil.ReverseProxy in this process, configured for speed: it keeps connections, reuses
 // buffers and flushes streams at once.
 func startProxy(backend string) (address string, err error) {
-	serve.TuneCollector()
+	serve.TuneGC()
 	target, err := url.Parse("http://" + backend)
 	if err != nil {
 		return "", err
--- a/internal/serve/log.go
+++ b/internal/serve/log.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"os"
 	"path/filepath"
@@ -16,36 +15,39 @@
 	"martenlock/internal/inifile"
 )
 
-// The log's ring. The loop must not wait for the disk.
+// Bounds of the log's ring buffer.
 const (
-	maxPendingLines = 10000                 // later ones are dropped and counted
-	logPollInterval = 10 * time.Millisecond // between two looks for new lines
+	maxPendingLines = 10000                 // further lines are dropped and counted: the event loop must not wait for the disk
+	logPollInterval = 10 * time.Millisecond // between two checks for new lines; bounds how late a line is written
 )
 
-// logFile is the log and where it is written. Lines cross to another goroutine in a ring that
-// never blocks the loop.
+// logFile is the log and its destination. A ring buffer hands lines to a goroutine that writes them, so that logging
+// never blocks the event loop.
 type logFile struct {
 	logger  zerolog.Logger
 	ring    diode.Writer
-	file    *os.File // nil where the log goes to standard error
+	file    *os.File // nil if the log goes to standard error
 	dropped atomic.Uint64
 }
 
-// openLog opens the log that the configuration at path names.
-func openLog(c *config.Config, path string, stderr io.Writer) (*logFile, error) {
+// openLog opens the log that the configuration names. configPath is the configuration's own path. Without a log file in
+// the configuration, lines go to stderr.
+func openLog(c *config.Config, configPath string, stderr io.Writer) (*logFile, error) {
 	l := &logFile{}
 	out := stderr
 	if c.LogPath != "" {
-		file, err := openLogFile(c.LogPath, path)
+		file, err := openLogFile(c.LogPath, configPath)
 		if err != nil {
 			return nil, err
 		}
 		l.file = file
 		out = file
 	}
-	l.ring = diode.NewWriter(uncloseable{out}, maxPendingLines, logPollInterval, func(missed int) {
+	l.ring = diode.NewWriter(nopCloser{out}, maxPendingLines, logPollInterval, func(missed int) {
 		l.dropped.Add(uint64(missed))
-		fmt.Fprintf(out, "{\"level\":\"warn\",\"message\":\"%d log lines dropped, %d in all\"}\n", missed, l.dropped.Load())
+		// Past the ring: it has just been full.
+		direct := zerolog.New(out)
+		direct.Warn().Msgf("%d log lines dropped, %d in all", missed, l.dropped.Load())
 	})
 	level, err := zerolog.ParseLevel(c.LogLevel)
 	if err != nil {
@@ -55,7 +57,7 @@
 	return l, nil
 }
 
-// openLogFile opens a file to append to. A relative name is one beside the configuration.
+// openLogFile opens a file for appending. A relative name is relative to the configuration's folder.
 func openLogFile(name, configPath string) (*os.File, error) {
 	if !filepath.IsAbs(name) {
 		name = filepath.Join(filepath.Dir(configPath), name)
@@ -67,7 +69,7 @@
 	return file, nil
 }
 
-// Close writes what is pending and closes the file.
+// Close writes the pending lines and closes the file.
 func (l *logFile) Close() error {
 	err := l.ring.Close()
 	if l.file != nil {
@@ -76,8 +78,8 @@
 	return err
 }
 
-// uncloseable hides a writer's Close from the ring, which would close standard error.
-type uncloseable struct{ io.Writer }
+// nopCloser hides a writer's Close method from the ring, which would close standard error.
+type nopCloser struct{ io.Writer }
 
 // Close implements io.Closer. It does nothing.
-func (uncloseable) Close() error { return nil }
+func (nopCloser) Close() error { return nil }
--- a/internal/serve/service.go
+++ b/internal/serve/service.go
@@ -15,17 +15,17 @@
 	"martenlock/internal/openaiserver"
 )
 
-// Service is a running router and what feeds it.
+// Service is a running router with its log and the files that it is configured by.
 type Service struct {
 	Router  *openaiserver.Server
-	path    string // of the configuration
-	config  atomic.Pointer[config.Config]
+	path    string                        // of the configuration
+	config  atomic.Pointer[config.Config] // in force
 	log     *logFile
 	watcher *nodes.Watcher
-	ended   chan error // receives what the router returns
+	ended   chan error // receives the result of Router.Run
 }
 
-// Check reads configuration and endpoint list without starting anything.
+// Check loads and checks the configuration at path and its endpoint list. It starts nothing.
 func Check(path string) (*config.Config, []nodes.Node, error) {
 	c, err := config.Load(path)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return c, list, err
 }
 
-// Start runs a router in the background. Log lines go to the file that the configuration names,
-// or to stderr where it names none.
+// Start starts a router in the background. Log lines go to the file that the configuration names, or to stderr if it
+// names none. The caller ends the service with Stop.
 func Start(path string, stderr io.Writer) (*Service, error) {
 	c, list, err := Check(path)
 	if err != nil {
@@ -56,40 +56,40 @@
 	if err != nil {
 		return nil, err
 	}
-	s.reloadNodes() // what was written between the first look and the watch
+	s.reloadNodes() // the list may have changed between Check and Watch
 	go func() { s.ended <- s.Router.Run() }()
 	s.log.logger.Info().Str("address", s.Router.Addr()).Msg("listening")
 	return s, nil
 }
 
-// reloadNodes reads the endpoint list again. An invalid one changes nothing.
+// reloadNodes loads the endpoint list again. An invalid list is rejected and logged.
 func (s *Service) reloadNodes() {
 	c := s.config.Load()
 	list, err := nodes.Load(c.EndpointListPath, c)
 	if err != nil {
-		s.log.logger.Error().Err(err).Msg("node list not taken; the old one stays")
+		s.log.logger.Error().Err(err).Msg("endpoint list rejected, the previous one stays in force")
 		return
 	}
 	s.Router.SetNodes(list)
 }
 
-// Reload reads the configuration again, and the endpoint list by it. Where one of them is
-// invalid, nothing changes.
+// Reload loads the configuration and the endpoint list again and applies them. If one of them is invalid or needs a
+// restart, nothing changes and the error names file, section and key.
 func (s *Service) Reload() error {
 	c, err := s.reload()
 	if err != nil {
-		s.log.logger.Error().Err(err).Msg("settings not taken; the old ones stay")
+		s.log.logger.Error().Err(err).Msg("configuration rejected, the previous one stays in force")
 		return err
 	}
 	s.config.Store(c)
-	s.log.logger.Info().Msg("settings taken")
+	s.log.logger.Info().Msg("configuration applied")
 	return nil
 }
 
-// errNeedsRestart is the reason why a key's change is rejected.
+// errNeedsRestart is the error of a change that Reload can't apply.
 var errNeedsRestart = errors.New("needs a restart")
 
-// reload hands the configuration and the endpoint list, read again, to the router.
+// reload is Reload without the log lines. It returns the configuration that it has applied.
 func (s *Service) reload() (*config.Config, error) {
 	c, list, err := Check(s.path)
 	if err != nil {
@@ -104,29 +104,28 @@
 	return c, err
 }
 
-// DroppedLogLines returns how many log lines were dropped.
+// DroppedLogLines returns the number of log lines dropped because the log's destination was slow.
 func (s *Service) DroppedLogLines() uint64 { return s.log.dropped.Load() }
 
-// gcPercent is how much the heap may grow before it is collected, in percent of what lives.
-// What lives is some ten megabytes: at the usual 100 collecting it takes a tenth of a busy
-// router's time.
+// gcPercent is the value of GOGC: by how many percent of the live heap the heap may grow before a collection. The live
+// heap is some ten megabytes. With Go's default of 100, collections take a tenth of a busy router's time.
 const gcPercent = 400
 
-// TuneCollector lets the heap grow to five times what lives before it is collected, unless GOGC
-// says otherwise.
-func TuneCollector() {
+// TuneGC sets the garbage collector's target to gcPercent unless the environment has GOGC.
+func TuneGC() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
 }
 
-// Stop lets every request that was received have its answer and ends the router.
+// Stop shuts the router down gracefully and waits until it has ended.
 func (s *Service) Stop() error {
 	s.Router.Shutdown()
 	return s.Wait()
 }
 
-// Wait waits until the router has ended.
+// Wait waits until the router has ended, and closes the watch and the log. It must be called once, by Stop or instead
+// of it.
 func (s *Service) Wait() error {
 	routerErr := <-s.ended
 	watcherErr := s.watcher.Close()
