--- a/internal/openaiserver/admissionqueue.go
+++ b/internal/openaiserver/admissionqueue.go
@@ -6,17 +6,17 @@
 	"martenlock/control/admission"
 )
 
-// admissionQueue is a pool's queue of large requests.
+// admissionQueue is a pool's queue of large requests. Package admission decides when their shards may start.
 type admissionQueue struct {
 	*deadlineTimer
 	pool     *pool
 	queue    *admission.Queue
 	requests map[admission.RequestID]*scatterRequest
 	lastID   admission.RequestID
-	rejected uint64 // requests
+	rejected uint64 // number of requests rejected
 }
 
-// newAdmissionQueue returns an empty queue by the pool's settings.
+// newAdmissionQueue returns an empty queue with the pool's settings.
 func newAdmissionQueue(p *pool) *admissionQueue {
 	settings := admission.Settings{
 		LargeTokens:     p.settings.LargeTokens,
@@ -32,7 +32,7 @@
 	return q
 }
 
-// enqueue takes in a large request.
+// enqueue adds a large request. A rejection reaches the client at the end of this iteration of the event loop.
 func (q *admissionQueue) enqueue(scattered *scatterRequest) {
 	s := q.pool.server
 	q.lastID++
@@ -47,7 +47,7 @@
 	q.schedulePoll()
 }
 
-// admissionRequest returns the request as the queue sees it.
+// admissionRequest returns what package admission needs to know of the request.
 func (r *scatterRequest) admissionRequest() admission.Request {
 	unitTokens := make([]float64, len(r.plan))
 	for i := range unitTokens {
@@ -61,7 +61,7 @@
 	}
 }
 
-// reject ends a request of which some shard has not started.
+// reject rejects a request. One of its shards at least has not started.
 func (q *admissionQueue) reject(scattered *scatterRequest, retryAfter time.Duration) {
 	if scattered.hasEnded {
 		return
@@ -75,14 +75,14 @@
 	}
 }
 
-// remove forgets a request that has ended.
+// remove removes a request that has ended.
 func (q *admissionQueue) remove(scattered *scatterRequest) {
 	delete(q.requests, scattered.admissionID)
 	q.queue.Cancel(q.pool.server.now(), scattered.admissionID)
 	q.schedulePoll()
 }
 
-// poll rejects requests that can't end in time, and starts the shards that are admitted.
+// poll rejects requests that would miss their deadlines and starts the shards that are admitted.
 func (q *admissionQueue) poll() {
 	result := q.queue.Poll(q.pool.server.now())
 	for _, rejection := range result.Rejected {
--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -11,7 +11,8 @@
 	"martenlock/internal/timerwheel"
 )
 
-// batchMember is a small embeddings request that may be batched with others.
+// batchMember is a small embeddings request that may share a batch with others. If its batch fails, it is retried by
+// itself.
 type batchMember struct {
 	bufferedResponder
 	request     *inferenceRequest
@@ -19,24 +20,24 @@
 	id          batching.RequestID
 	inputs      [][]byte
 	inputTokens []float64
-	exchange    *exchange        // its own, after its batch failed
-	retry       *sequentialRetry // waits there for those ahead of it then
-	deadline    timerwheel.Timer // of that wait
+	exchange    *exchange        // of its own retry; nil before
+	retry       *sequentialRetry // in which it waits for its retry; nil if it does not have to
+	deadline    timerwheel.Timer // bounds that wait
 }
 
-// batch is the responder of an exchange for several members.
+// batch computes the answers of one or several members with one exchange. It is the exchange's responder.
 type batch struct {
 	bufferedResponder
 	scheduler   *batchScheduler
 	id          batching.BatchID
 	exchange    *exchange
-	call        *openai.Request // nil where there is one member, whose answer is passed on as it is
-	firstInput  map[batching.RequestID]int
+	call        *openai.Request            // with the inputs of all members; nil for a single one, which gets the answer as it is
+	firstInput  map[batching.RequestID]int // index of each member's first input
 	inputTokens []float64
-	maxAttempts int // of its class
+	maxAttempts int // of the members' class
 }
 
-// batchScheduler is a pool's batches.
+// batchScheduler starts a pool's batches. Package batching decides which requests share one and when it starts.
 type batchScheduler struct {
 	*deadlineTimer
 	pool            *pool
@@ -44,10 +45,10 @@
 	members         map[batching.RequestID]*batchMember
 	inFlight        map[batching.BatchID]*batch
 	lastID          batching.RequestID
-	batchedRequests uint64 // answered by a batch of several
+	batchedRequests uint64 // requests answered by a batch of several
 }
 
-// newBatchScheduler returns one without members by the pool's settings.
+// newBatchScheduler returns a scheduler without members, with the pool's settings.
 func newBatchScheduler(p *pool) *batchScheduler {
 	settings := p.settings.Batching
 	settings.Routers = p.config.Control.Identity.Routers
@@ -61,14 +62,14 @@
 	return b
 }
 
-// mayBatch tells whether a request may share a batch.
+// mayBatch reports whether a request may share a batch. A part of a larger request may not.
 func (b *batchScheduler) mayBatch(r *inferenceRequest) bool {
-	return r.call.API == openai.Embeddings && r.partMark == "" &&
+	return r.call.API == openai.Embeddings && r.shardSuffix == "" &&
 		b.batcher.IsSmall(r.call.ItemCount, r.call.PromptTokens) &&
 		batching.MayBatch(*r.class(), b.pool.maxAttempts(r.class()))
 }
 
-// startBatched enqueues a request that may share a batch; nil where it may not.
+// startBatched enqueues a request that may share a batch. It returns nil if the request may not.
 func (r *inferenceRequest) startBatched(client responder) operation {
 	b := r.pool.batches
 	if !b.mayBatch(r) {
@@ -91,8 +92,8 @@
 	return m
 }
 
-// batchKey names what the requests of a batch have in common. Engines take no mixture of texts and
-// lists of tokens, which the first byte of an input tells apart.
+// batchKey returns the hash of what the requests of a batch must have in common. It includes the first byte of an input
+// because engines accept no mixture of texts and lists of tokens.
 func (m *batchMember) batchKey() (key batching.Key) {
 	r := m.request
 	class := r.moduleRequest.Class
@@ -104,7 +105,7 @@
 	return key
 }
 
-// startAlone hands a member to the module, after what its batch had come to.
+// startAlone retries a member by itself. The attempts of its failed batch count as its own.
 func (m *batchMember) startAlone(client responder, batchAnswer answer) {
 	request := *m.request
 	request.moduleRequest.PriorAttempts = batchAnswer.attempts
@@ -112,7 +113,7 @@
 	m.exchange = request.startExchange(client, request.pool.server.requestIDs.next())
 }
 
-// respond takes the answer to a member that was retried in sequence.
+// respond implements responder for the member's retry in sequence.
 func (m *batchMember) respond(a answer) {
 	m.retry.complete(m, a.lostConnections > 0)
 	m.client.respond(a)
@@ -143,10 +144,10 @@
 	b.schedulePoll()
 }
 
-// clientWritable does nothing: the answer is written whole.
+// clientWritable implements operation. It has no effect: the answer does not come in pieces.
 func (m *batchMember) clientWritable() {}
 
-// poll rejects members that waited for too long, and starts the batches that are due.
+// poll rejects members whose deadline has passed and starts the batches that are due.
 func (b *batchScheduler) poll() {
 	result := b.batcher.Poll(b.pool.server.now())
 	for _, id := range result.Expired {
@@ -161,7 +162,7 @@
 	}
 }
 
-// startBatch hands a batch to the module.
+// startBatch starts the exchange of a batch.
 func (b *batchScheduler) startBatch(due batching.Batch) {
 	started := &batch{scheduler: b, id: due.ID, firstInput: map[batching.RequestID]int{}}
 	b.inFlight[due.ID] = started
@@ -173,31 +174,31 @@
 	started.exchange = request.startExchange(started, b.pool.server.requestIDs.next())
 }
 
-// mergeRequests makes the first member's request that of all.
+// mergeRequests extends request, a copy of the first member's, by the inputs of the other members.
 func (b *batchScheduler) mergeRequests(started *batch, due batching.Batch, request *inferenceRequest) {
 	var inputs [][]byte
 	var headers [][]byte
-	prompt := 0.0
+	promptTokens := 0.0
 	for _, id := range due.Requests {
 		m := b.members[id]
 		started.firstInput[id] = len(inputs)
 		started.inputTokens = append(started.inputTokens, m.inputTokens...)
 		inputs = append(inputs, m.inputs...)
 		headers = append(headers, m.request.headers)
-		prompt += m.request.call.PromptTokens
+		promptTokens += m.request.call.PromptTokens
 	}
-	started.call = request.call.Batch(inputs, prompt)
+	started.call = request.call.Batch(inputs, promptTokens)
 	request.call = started.call
 	request.headers = commonHeaders(headers)
-	request.moduleRequest.PromptTokens = control.Tokens(prompt)
-	request.moduleRequest.SessionID = 0 // members are of several sessions
+	request.moduleRequest.PromptTokens = control.Tokens(promptTokens)
+	request.moduleRequest.SessionID = 0 // members belong to different sessions
 	request.moduleRequest.Deadline = due.Deadline
 }
 
-// isBatch tells whether several requests wait for the answer.
+// isBatch implements responder.
 func (b *batch) isBatch() bool { return b.call != nil }
 
-// respond takes the batch's answer and gives each member its own.
+// respond implements responder. It hands each member its part of the answer, or retries the members of a failed batch.
 func (b *batch) respond(a answer) {
 	scheduler := b.scheduler
 	s := scheduler.pool.server
@@ -232,7 +233,7 @@
 	retry.startNext()
 }
 
-// memberAnswer takes a member's answer out of the batch's.
+// memberAnswer returns a member's part of the batch's answer.
 func (b *batch) memberAnswer(m *batchMember, a answer, results []openai.EmbeddingResult) answer {
 	from := b.firstInput[m.id]
 	to := from + len(m.inputs)
--- a/internal/openaiserver/batchheaders.go
+++ b/internal/openaiserver/batchheaders.go
@@ -7,13 +7,14 @@
 	"martenlock/internal/http1"
 )
 
-// clientRequestIDHeader is a client's own id of a request. A batch lists those of its members.
+// clientRequestIDHeader is the header field with a client's own id of a request. A batch lists those of its members.
 const clientRequestIDHeader = "x-client-request-id"
 
-// maxClientRequestIDBytes bounds the list, which engines must accept in one field.
+// maxClientRequestIDBytes bounds the list of a batch: engines must accept it as one header field.
 const maxClientRequestIDBytes = 4 << 10
 
-// commonHeaders returns the header fields that all requests have, and the list of their own ids.
+// commonHeaders returns the header fields that all members of a batch have, and one with the list of their ids.
+// headers holds the fields of each member.
 func commonHeaders(headers [][]byte) (common []byte) {
 	for line := range bytes.Lines(headers[0]) {
 		name, _, _ := strings.Cut(string(line), ":")
@@ -28,7 +29,7 @@
 	return common
 }
 
-// clientRequestIDs returns the clients' own ids, as far as the list may have them.
+// clientRequestIDs returns the members' own ids, up to maxClientRequestIDBytes in total.
 func clientRequestIDs(headers [][]byte) (ids []string) {
 	size := 0
 	for _, lines := range headers {
@@ -43,7 +44,7 @@
 	return ids
 }
 
-// allContain tells whether a line is in all of the lists of header fields.
+// allContain reports whether each member's header fields contain the line.
 func allContain(headers [][]byte, line []byte) bool {
 	for _, lines := range headers {
 		if !bytes.HasPrefix(lines, line) && !bytes.Contains(lines, append([]byte("\n"), line...)) {
--- a/internal/openaiserver/cachefill.go
+++ b/internal/openaiserver/cachefill.go
@@ -2,29 +2,30 @@
 
 import (
 	"bytes"
+	"slices"
 
 	"martenlock/control/coalesce"
 	"martenlock/control/outcome"
 	"martenlock/internal/openai"
 )
 
-// cacheFill is the responder of the computation of some inputs of an embeddings request.
+// cacheFill is a computation of some or all inputs of an embeddings request, and the responder of its operation.
 type cacheFill struct {
 	bufferedResponder
 	request     *embeddingRequest
-	inputs      []int
+	inputs      []int // indices in the request
 	call        *openai.Request
 	operation   operation
-	copiedBytes int64 // of the inputs
+	copiedBytes int64 // size of the inputs' copy in the call
 }
 
-// follower is an input of another request that waited for a computation.
+// follower is an input of another request that waits for a cacheFill.
 type follower struct {
 	inputRef
-	position int // among the computed inputs
+	position int // index in cacheFill.inputs
 }
 
-// respond takes the answer of the computation and gives it to all who wait for its inputs.
+// respond implements responder. It hands the result to all requests that wait for one of the inputs.
 func (f *cacheFill) respond(a answer) {
 	e := f.request
 	cache := e.request.pool.embeddings
@@ -38,8 +39,8 @@
 		startFills(newLeaders)
 		return
 	}
-	if e.frame == nil {
-		e.frame = a.body
+	if e.envelope == nil {
+		e.envelope = a.body
 	}
 	isWholeRequest := len(f.inputs) == len(e.inputs) && len(followers) == 0
 	if isWholeRequest && cache.cache == nil {
@@ -56,20 +57,18 @@
 	}
 }
 
-// remove takes the computation out of its request's.
+// remove removes the fill from its request.
 func (f *cacheFill) remove() {
 	e := f.request
-	for i, other := range e.fills {
-		if other == f {
-			e.fills = append(e.fills[:i], e.fills[i+1:]...)
-			break
-		}
+	index := slices.Index(e.fills, f)
+	if index >= 0 {
+		e.fills = slices.Delete(e.fills, index, index+1)
 	}
 	e.request.pool.server.bufferedBytes -= f.copiedBytes
 }
 
-// completeInputs tells the coalescing group how the inputs ended. It returns the inputs of others
-// that share the result, and those that are to be computed for others.
+// completeInputs ends the inputs' computations in the coalescing group. It returns the inputs of other requests that share
+// the result, and those that another request now has to compute.
 func (f *cacheFill) completeInputs(result outcome.Outcome) (followers []follower, newLeaders []inputRef) {
 	cache := f.request.request.pool.embeddings
 	for position, index := range f.inputs {
@@ -88,7 +87,7 @@
 	return followers, newLeaders
 }
 
-// computedTokens returns the estimated tokens of the computed inputs.
+// computedTokens returns the estimated tokens of the fill's inputs.
 func (f *cacheFill) computedTokens() []float64 {
 	tokens := make([]float64, len(f.inputs))
 	for position, index := range f.inputs {
@@ -97,13 +96,15 @@
 	return tokens
 }
 
-// store caches the embeddings, and gives them to the request unless it gets the answer as it is.
+// store caches the embeddings. It hands them to the request too, unless the request gets the answer unchanged.
 func (f *cacheFill) store(results []openai.EmbeddingResult, isWholeRequest bool) {
 	e := f.request
 	cache := e.request.pool.embeddings.cache
 	for position, index := range f.inputs {
-		if cache != nil { // without the answer around it
-			cache.Set(e.keys[index], cachedEmbedding{piece: bytes.Clone(results[position].Embedding), usage: results[position].PromptTokens})
+		if cache != nil {
+			cached := results[position]
+			cached.Embedding = bytes.Clone(cached.Embedding) // so that the answer around it can be freed
+			cache.Set(e.keys[index], cached)
 		}
 		if !isWholeRequest {
 			e.setEmbedding(index, results[position])
@@ -111,7 +112,7 @@
 	}
 }
 
-// serveFollowers gives embeddings to those who waited for them.
+// serveFollowers hands embeddings to the other requests that wait for them.
 func serveFollowers(followers []follower, a answer, results []openai.EmbeddingResult) {
 	for _, waiting := range followers {
 		e := waiting.request
@@ -119,15 +120,15 @@
 		if e.hasEnded {
 			continue
 		}
-		if e.frame == nil {
-			e.frame = openai.ResponseTemplate(a.body)
+		if e.envelope == nil {
+			e.envelope = openai.ResponseTemplate(a.body)
 		}
 		e.setEmbedding(waiting.index, results[waiting.position])
 		e.respondIfComplete(a.requestID)
 	}
 }
 
-// endFollowers gives those who waited for a computation the answer that it failed with.
+// endFollowers answers the other requests that wait for a failed computation with its answer.
 func endFollowers(followers []follower, a answer) {
 	for _, waiting := range followers {
 		waiting.request.pendingIDs[waiting.index] = 0
@@ -135,7 +136,7 @@
 	}
 }
 
-// startFills has inputs computed by those who waited for another to do it.
+// startFills starts a fill for each request whose inputs no other request computes any more.
 func startFills(inputs []inputRef) {
 	for len(inputs) > 0 {
 		request := inputs[0].request
--- a/internal/openaiserver/deadlinetimer.go
+++ b/internal/openaiserver/deadlinetimer.go
@@ -5,24 +5,24 @@
 	"martenlock/internal/timerwheel"
 )
 
-// deadlineTimer polls a queue at the end of an iteration in which something changed, and at the
-// queue's next deadline.
+// deadlineTimer polls a queue at the queue's next deadline, and at the end of an iteration of the event loop in
+// which something changed.
 type deadlineTimer struct {
 	server        *Server
 	poll          func()
 	nextDeadline  func() (control.Time, bool)
 	timer         timerwheel.Timer
-	pollScheduled bool
+	pollScheduled bool // at the end of this iteration
 }
 
-// newDeadlineTimer returns a timer that is not set.
+// newDeadlineTimer returns a timer that is not running.
 func newDeadlineTimer(s *Server, poll func(), nextDeadline func() (control.Time, bool)) *deadlineTimer {
 	t := &deadlineTimer{server: s, poll: poll, nextDeadline: nextDeadline}
 	t.timer.Fire = t.fire
 	return t
 }
 
-// schedulePoll polls at the end of this iteration.
+// schedulePoll schedules a poll at the end of this iteration. Further calls in the iteration have no effect.
 func (t *deadlineTimer) schedulePoll() {
 	if t.pollScheduled {
 		return
@@ -34,13 +34,13 @@
 	})
 }
 
-// fire polls, and waits for the next deadline.
+// fire polls the queue and starts the timer for the next deadline.
 func (t *deadlineTimer) fire() {
 	t.poll()
 	t.restart()
 }
 
-// restart waits for the next deadline.
+// restart starts the timer for the next deadline, and stops it if there is none.
 func (t *deadlineTimer) restart() {
 	deadline, isSet := t.nextDeadline()
 	if !isSet {
--- a/internal/openaiserver/dispatch.go
+++ b/internal/openaiserver/dispatch.go
@@ -18,7 +18,7 @@
 	modelsPath = "/v1/models"
 )
 
-// dispatch answers a whole request here, or starts its operation.
+// dispatch handles a completely received request: it answers it or starts its operation.
 func (c *clientConn) dispatch() {
 	switch {
 	case c.request.isGet && c.request.path == healthPath:
@@ -32,7 +32,7 @@
 	}
 }
 
-// respondHealth answers a health check of the server.
+// respondHealth answers a health check of the server itself.
 func (c *clientConn) respondHealth() {
 	if c.server.shutdown.inProgress {
 		c.respondJSON(http.StatusServiceUnavailable, []byte(`{"status":"stopping"}`))
@@ -70,7 +70,8 @@
 	}, "Allow: "+allowed+"\r\n")
 }
 
-// dispatchCall decodes a call of the API, and starts it where the server accepts it.
+// dispatchCall decodes a call of the API. It starts its operation if the call is valid and within the server's
+// bounds, and rejects it otherwise.
 func (c *clientConn) dispatchCall() {
 	s := c.server
 	call, err := openai.Decode(c.request.api, c.request.body, s.config.Request.OpenAI)
@@ -105,7 +106,7 @@
 	}
 }
 
-// respondRouterFull answers a request beyond the bound of open ones, or during a shutdown.
+// respondRouterFull rejects a request above max_requests or during a shutdown.
 func (c *clientConn) respondRouterFull() {
 	c.respondError(&openai.Error{
 		Status:  http.StatusServiceUnavailable,
@@ -115,7 +116,7 @@
 	}, retryFields(retryAfterFull))
 }
 
-// modelNotFound is the error of a model that no pool serves.
+// modelNotFound returns the error for a model that no pool serves.
 func modelNotFound(api openai.API, model string) *openai.Error {
 	return &openai.Error{
 		Status:  http.StatusNotFound,
@@ -126,25 +127,26 @@
 	}
 }
 
-// startExchange starts the operation of a request. From here on it is owed one answer.
+// startExchange starts the operation of a request. The operation ends with exactly one answer unless it is
+// cancelled.
 func (c *clientConn) startExchange(p *pool, call *openai.Request, class config.Class) {
 	s := c.server
 	request := c.newInferenceRequest(p, call, class)
 	c.request.forwarded = nil
-	x := &httpExchange{client: c, request: request, operation: noOperation{}, startedAt: s.now()}
+	exchange := &httpExchange{client: c, request: request, operation: noOperation{}, startedAt: s.now()}
 	c.state = clientServing
-	c.exchange = x
+	c.exchange = exchange
 	s.openRequests++
 	s.bufferedBytes += request.overheadBytes()
 	p.openRequests++
-	operation := request.startCached(x)
+	operation := request.startCached(exchange)
 	if operation == nil {
-		operation = request.start(x)
+		operation = request.start(exchange)
 	}
-	x.operation = operation
+	exchange.operation = operation
 }
 
-// newInferenceRequest returns the request as it is to be computed.
+// newInferenceRequest returns the request with what the decision module needs to know of it.
 func (c *clientConn) newInferenceRequest(p *pool, call *openai.Request, class config.Class) *inferenceRequest {
 	s := c.server
 	correction := p.tokenEstimator.Correct(1)
@@ -159,7 +161,7 @@
 		headers:       c.request.forwarded,
 		tenant:        c.request.tenant,
 		fairShareKey:  xxhash.Sum64String(s.config.FairShareTenant(c.request.tenant)),
-		prompt:        call.PromptTokens,
+		promptTokens:  call.PromptTokens,
 		timeBudget:    c.timeBudget(p.config.Control.Classes[classIndex]),
 		moduleRequest: control.Request{Class: classIndex, Tenant: s.config.TenantIndex(c.request.tenant)},
 	}
@@ -173,7 +175,7 @@
 	return request
 }
 
-// timeBudget returns how long the client waits at most.
+// timeBudget returns how long the client waits at most: the shorter of its own limit and its class's deadline.
 func (c *clientConn) timeBudget(class control.Class) time.Duration {
 	if c.request.timeBudget > 0 {
 		return min(class.Deadline, c.request.timeBudget)
@@ -181,8 +183,8 @@
 	return class.Deadline
 }
 
-// sessionID returns the session by the first name that is given; 0 where there is none. A session
-// is of its tenant alone: others may use the same words.
+// sessionID returns the id of the session that the first non-empty name identifies, and 0 if all are empty. The
+// tenant is part of the id: two tenants may use the same name for different sessions.
 func sessionID(tenant string, names ...string) uint64 {
 	for _, name := range names {
 		if name != "" {
@@ -192,7 +194,7 @@
 	return 0
 }
 
-// models returns the models that pools name.
+// models returns the models that the current pools name, each once.
 func (s *Server) models() (models []string) {
 	isListed := map[string]bool{}
 	for _, p := range s.pools.current {
--- a/internal/openaiserver/embeddingcache.go
+++ b/internal/openaiserver/embeddingcache.go
@@ -11,23 +11,17 @@
 	"martenlock/internal/openai"
 )
 
-// embeddingCache is what a pool knows of embeddings that were computed before or are being
-// computed, input by input.
+// embeddingCache holds a pool's cached embeddings and its computations in flight, input by input. Package coalesce
+// decides which request computes an input that several wait for.
 type embeddingCache struct {
 	*deadlineTimer
 	pool      *pool
 	group     *coalesce.Group
-	cache     *otter.Cache[coalesce.Key, cachedEmbedding] // nil where the settings give it no bytes
-	pending   map[coalesce.RequestID]inputRef             // inputs that are being computed, or wait for another's computation
+	cache     *otter.Cache[coalesce.Key, openai.EmbeddingResult] // nil if cache_bytes is 0
+	pending   map[coalesce.RequestID]inputRef                    // inputs that are computed, or wait for another request's computation
 	lastID    coalesce.RequestID
 	hits      uint64 // inputs answered from the cache
-	coalesced uint64 // inputs that waited for another's computation
-}
-
-// cachedEmbedding is one input's embedding and its share of what its call used.
-type cachedEmbedding struct {
-	piece openai.Embedding
-	usage int64 // tokens
+	coalesced uint64 // inputs that waited for another request's computation
 }
 
 // inputRef is an input of a request.
@@ -36,10 +30,11 @@
 	index   int
 }
 
-// cacheEntryOverheadBytes is what a cache entry takes beside its embedding: key, node, policy.
+// cacheEntryOverheadBytes estimates the memory of a cache entry apart from its embedding: key, node and the eviction
+// policy's share.
 const cacheEntryOverheadBytes = 150
 
-// newEmbeddingCache returns an empty cache by the pool's settings.
+// newEmbeddingCache returns an empty cache with the pool's settings.
 func newEmbeddingCache(p *pool) *embeddingCache {
 	c := &embeddingCache{pool: p, group: coalesce.NewGroup(), pending: map[coalesce.RequestID]inputRef{}}
 	c.deadlineTimer = newDeadlineTimer(p.server, c.expire, c.group.NextDeadline)
@@ -49,18 +44,18 @@
 	return c
 }
 
-// newCache returns a cache of so many bytes.
-func newCache(maxBytes uint64) *otter.Cache[coalesce.Key, cachedEmbedding] {
-	return otter.Must(&otter.Options[coalesce.Key, cachedEmbedding]{
+// newCache returns an empty cache bounded to maxBytes.
+func newCache(maxBytes uint64) *otter.Cache[coalesce.Key, openai.EmbeddingResult] {
+	return otter.Must(&otter.Options[coalesce.Key, openai.EmbeddingResult]{
 		MaximumWeight: maxBytes,
-		Weigher: func(_ coalesce.Key, entry cachedEmbedding) uint32 {
-			return uint32(len(entry.piece) + cacheEntryOverheadBytes)
+		Weigher: func(_ coalesce.Key, entry openai.EmbeddingResult) uint32 {
+			return uint32(len(entry.Embedding) + cacheEntryOverheadBytes)
 		},
-		Executor: func(fn func()) { fn() }, // on the loop: no goroutine of its own, and evictions keep pace
+		Executor: func(fn func()) { fn() }, // runs on the loop: there is no other goroutine, and evictions can't fall behind
 	})
 }
 
-// expire rejects requests that waited for another's computation until their deadlines.
+// expire rejects requests whose deadline has passed while they waited for another request's computation.
 func (c *embeddingCache) expire() {
 	for _, id := range c.group.Poll(c.pool.server.now()).Expired {
 		input, isPending := c.pending[id]
@@ -72,16 +67,16 @@
 	}
 }
 
-// lookUp returns an input's embedding where it is cached.
-func (c *embeddingCache) lookUp(key coalesce.Key) (entry cachedEmbedding, isCached bool) {
+// lookUp returns an input's embedding if it is cached.
+func (c *embeddingCache) lookUp(key coalesce.Key) (cached openai.EmbeddingResult, isCached bool) {
 	if c.cache == nil {
-		return cachedEmbedding{}, false
+		return openai.EmbeddingResult{}, false
 	}
 	return c.cache.GetIfPresent(key)
 }
 
-// add takes in an input that is not cached; true where it is to be computed, false where another's
-// computation will do.
+// add records that a request awaits an input's embedding. isLeader reports whether that request has to compute it.
+// Otherwise the result of a computation in flight is shared.
 func (c *embeddingCache) add(request *embeddingRequest, index int) (isLeader bool) {
 	c.lastID++
 	request.pendingIDs[index] = c.lastID
@@ -93,8 +88,9 @@
 	return isLeader
 }
 
-// cacheKeys name the inputs of a call: all that an engine gets but the user, the revision of the
-// model, and the tenant unless tenants share the cache.
+// cacheKeys returns the cache's key of each input. It is the hash of the input and of all else that the embedding depends
+// on: the other members of the call except for the user, the path and the model's revision. The tenant is part of it
+// unless tenants share the cache.
 func (r *inferenceRequest) cacheKeys(inputs [][]byte) []coalesce.Key {
 	p := r.pool
 	tenant := r.tenant
--- a/internal/openaiserver/embeddingcache_test.go
+++ b/internal/openaiserver/embeddingcache_test.go
@@ -9,6 +9,7 @@
 
 	"martenlock/control/coalesce"
 	"martenlock/internal/config"
+	"martenlock/internal/openai"
 )
 
 // BenchmarkEmbeddingCache plays one trace against the cache and a plain LRU that holds as much:
@@ -41,7 +42,7 @@
 		}
 		b.Run(name+"/cache", func(b *testing.B) {
 			c := newEmbeddingCache(&pool{settings: &config.Pool{CacheBytes: entries * size}})
-			play(b, func(k coalesce.Key) bool { _, ok := c.lookUp(k); return ok }, func(k coalesce.Key, v []byte) { c.cache.Set(k, cachedEmbedding{piece: v}) })
+			play(b, func(k coalesce.Key) bool { _, ok := c.lookUp(k); return ok }, func(k coalesce.Key, v []byte) { c.cache.Set(k, openai.EmbeddingResult{Embedding: v}) })
 		})
 		b.Run(name+"/lru", func(b *testing.B) {
 			c, err := simplelru.NewLRU[coalesce.Key, []byte](entries, nil)
--- a/internal/openaiserver/embeddingrequest.go
+++ b/internal/openaiserver/embeddingrequest.go
@@ -13,33 +13,33 @@
 	"martenlock/internal/openai"
 )
 
-// embeddingRequest is an embeddings request whose inputs are computed for it, by others, or
-// cached.
+// embeddingRequest is an embeddings request each of whose inputs is cached, computed for another request at this time,
+// or computed by a fill of its own.
 type embeddingRequest struct {
 	request     *inferenceRequest
 	client      responder
 	inputs      [][]byte
 	inputTokens []float64
 	keys        []coalesce.Key
-	pendingIDs  []coalesce.RequestID // of inputs that are not known yet; 0 for others
-	sameAs      []int                // the earlier input that it repeats, or itself
+	pendingIDs  []coalesce.RequestID // by input; 0 if its embedding is not awaited
+	duplicateOf []int                // by input: index of the first equal one, which may be itself
 
-	pieces       []openai.Embedding
-	usage        []int64
-	missing      int // inputs that are not known yet
+	embeddings   []openai.Embedding // by input; nil until known
+	inputUsage   []int64            // prompt tokens used, by input
+	missing      int                // inputs whose embeddings are not known yet
 	cacheHits    int
-	frame        []byte // an answer to take the other members from
+	envelope     []byte // an answer from which the members around the embeddings are taken; nil if all is cached
 	fills        []*cacheFill
-	partialFills int   // begun, of some of its inputs
-	copiedBytes  int64 // of pieces
+	shardedFills int   // number of fills started for some of the inputs
+	copiedBytes  int64 // size of the embeddings that were copied out of answers
 	hasEnded     bool
 }
 
-// startCached computes an embeddings request with what is known; nil where each request is to be
-// computed for itself.
+// startCached answers an embeddings request with the help of the cache and of computations in flight. It returns nil if
+// the request must be computed by itself.
 func (r *inferenceRequest) startCached(client responder) operation {
 	p := r.pool
-	// Engines of two revisions give two answers to one input: neither is known ahead.
+	// Engines of two revisions give different answers to the same input.
 	if r.call.API != openai.Embeddings || !p.settings.Coalesces || p.revisionsMixed || !coalesce.MayCoalesce(*r.class()) {
 		return nil
 	}
@@ -54,7 +54,7 @@
 	return e
 }
 
-// newEmbeddingRequest returns a request of which no input was looked up yet.
+// newEmbeddingRequest returns a request whose inputs have not been looked up.
 func newEmbeddingRequest(r *inferenceRequest, client responder) *embeddingRequest {
 	inputs, tokens := r.splitInputs()
 	return &embeddingRequest{
@@ -64,25 +64,25 @@
 		inputTokens: tokens,
 		keys:        r.cacheKeys(inputs),
 		pendingIDs:  make([]coalesce.RequestID, len(inputs)),
-		sameAs:      make([]int, len(inputs)),
-		pieces:      make([]openai.Embedding, len(inputs)),
-		usage:       make([]int64, len(inputs)),
+		duplicateOf: make([]int, len(inputs)),
+		embeddings:  make([]openai.Embedding, len(inputs)),
+		inputUsage:  make([]int64, len(inputs)),
 	}
 }
 
-// resolveInputs takes what is cached, and returns the inputs that this request is to compute; the
-// others wait for another's computation.
+// resolveInputs looks up each input in the cache and in the computations in flight. It returns the indices of the inputs
+// that this request has to compute.
 func (e *embeddingRequest) resolveInputs() (leaders []int) {
 	cache := e.request.pool.embeddings
 	e.markRepeatedInputs()
 	for i, key := range e.keys {
-		if e.sameAs[i] != i {
+		if e.duplicateOf[i] != i {
 			continue
 		}
-		entry, isCached := cache.lookUp(key)
+		cached, isCached := cache.lookUp(key)
 		if isCached {
-			e.pieces[i] = entry.piece
-			e.usage[i] = entry.usage
+			e.embeddings[i] = cached.Embedding
+			e.inputUsage[i] = cached.PromptTokens
 			cache.hits++
 			e.cacheHits++
 			continue
@@ -95,7 +95,7 @@
 	return leaders
 }
 
-// markRepeatedInputs finds the inputs that the request has several times.
+// markRepeatedInputs sets duplicateOf.
 func (e *embeddingRequest) markRepeatedInputs() {
 	if len(e.keys) == 1 { // nothing to compare
 		return
@@ -104,15 +104,15 @@
 	for i, key := range e.keys {
 		earlier, isRepeated := first[key]
 		if isRepeated {
-			e.sameAs[i] = earlier
+			e.duplicateOf[i] = earlier
 			continue
 		}
-		e.sameAs[i] = i
+		e.duplicateOf[i] = i
 		first[key] = i
 	}
 }
 
-// startFill starts the computation of some inputs.
+// startFill starts the computation of the inputs with these indices, if any.
 func (e *embeddingRequest) startFill(inputs []int) {
 	if len(inputs) == 0 {
 		return
@@ -129,50 +129,50 @@
 	fill.operation = request.start(fill)
 }
 
-// selectInputs makes a request one for some of the inputs.
+// selectInputs restricts request, a copy of the client's, to the inputs with these indices.
 func (e *embeddingRequest) selectInputs(request *inferenceRequest, indices []int) {
 	inputs := make([][]byte, len(indices))
 	inputTokens := make([]float64, len(indices))
-	prompt := 0.0
-	for k, i := range indices {
-		inputs[k] = e.inputs[i]
-		inputTokens[k] = e.inputTokens[i]
-		prompt += e.inputTokens[i]
-	}
-	request.call = request.call.Shard(inputs, prompt)
-	request.moduleRequest.PromptTokens = control.Tokens(prompt)
-	request.prompt = prompt
+	promptTokens := 0.0
+	for position, i := range indices {
+		inputs[position] = e.inputs[i]
+		inputTokens[position] = e.inputTokens[i]
+		promptTokens += e.inputTokens[i]
+	}
+	request.call = request.call.Shard(inputs, promptTokens)
+	request.moduleRequest.PromptTokens = control.Tokens(promptTokens)
+	request.promptTokens = promptTokens
 	request.inputs = inputs
 	request.inputTokens = inputTokens
-	e.partialFills++
-	request.partMark = fmt.Sprintf("%d.", e.partialFills)
+	e.shardedFills++
+	request.shardSuffix = fmt.Sprintf("%d.", e.shardedFills)
 }
 
-// setEmbedding takes in an input's embedding. One that is kept for a while is copied, without the
-// answer around it.
+// setEmbedding sets an input's embedding. If the request waits for more, the embedding is copied, so that the answer
+// around it can be freed.
 func (e *embeddingRequest) setEmbedding(index int, result openai.EmbeddingResult) {
-	piece := result.Embedding
+	embedding := result.Embedding
 	e.missing--
 	if e.missing > 0 || len(e.fills) > 0 {
-		piece = bytes.Clone(piece)
-		e.copiedBytes += int64(len(piece))
-		e.request.pool.server.bufferedBytes += int64(len(piece))
+		embedding = bytes.Clone(embedding)
+		e.copiedBytes += int64(len(embedding))
+		e.request.pool.server.bufferedBytes += int64(len(embedding))
 	}
-	e.pieces[index] = piece
-	e.usage[index] = result.PromptTokens
+	e.embeddings[index] = embedding
+	e.inputUsage[index] = result.PromptTokens
 }
 
-// respondIfComplete answers when all inputs are known. requestID is that of the latest computation;
-// "" where there was none.
+// respondIfComplete answers the request if all embeddings are known. requestID is that of the latest computation, ""
+// if there was none.
 func (e *embeddingRequest) respondIfComplete(requestID string) {
 	if e.missing > 0 || e.hasEnded {
 		return
 	}
 	usage := int64(0)
-	for i, earlier := range e.sameAs {
-		e.pieces[i] = e.pieces[earlier]
+	for i, earlier := range e.duplicateOf {
+		e.embeddings[i] = e.embeddings[earlier]
 		if i == earlier {
-			usage += e.usage[i]
+			usage += e.inputUsage[i]
 		}
 	}
 	if requestID == "" {
@@ -185,32 +185,32 @@
 		requestID:   requestID,
 		fields:      e.cacheField(),
 	}
-	if e.frame == nil {
-		e.frame = append(gjson.AppendJSONString([]byte(`{"object":"list","data":[],"model":`), e.request.call.Model), `,"usage":{}}`...)
+	if e.envelope == nil {
+		e.envelope = append(gjson.AppendJSONString([]byte(`{"object":"list","data":[],"model":`), e.request.call.Model), `,"usage":{}}`...)
 	}
-	a.body = openai.AssembleResponse(e.frame, e.pieces, usage)
+	a.body = openai.AssembleResponse(e.envelope, e.embeddings, usage)
 	e.respond(a)
 }
 
-// cacheField is the header field that tells whether all inputs were cached, or some.
+// cacheField returns the header field that says whether all inputs were cached or some. It is empty if none was.
 func (e *embeddingRequest) cacheField() string {
 	switch {
 	case e.cacheHits == 0:
 		return ""
-	case e.frame == nil:
+	case e.envelope == nil:
 		return "x-cache: hit\r\n"
 	}
 	return "x-cache: partial\r\n"
 }
 
-// end answers with what became of one of its computations; the others are withdrawn.
+// end answers the request with the answer to one of its computations. The others are cancelled.
 func (e *embeddingRequest) end(a answer) {
 	if !e.hasEnded {
 		e.respond(a)
 	}
 }
 
-// respond ends the request with an answer.
+// respond answers the request and cancels its computations.
 func (e *embeddingRequest) respond(a answer) {
 	e.cancel()
 	e.client.respond(a)
@@ -223,10 +223,10 @@
 	}
 	e.hasEnded = true
 	cache := e.request.pool.embeddings
-	s := e.request.pool.server
-	s.bufferedBytes -= e.copiedBytes
+	server := e.request.pool.server
+	server.bufferedBytes -= e.copiedBytes
 	for _, fill := range e.fills {
-		s.bufferedBytes -= fill.copiedBytes
+		server.bufferedBytes -= fill.copiedBytes
 		if fill.operation != nil {
 			fill.operation.cancel()
 		}
@@ -247,5 +247,5 @@
 	startFills(orphans)
 }
 
-// clientWritable does nothing: the answer is written whole.
+// clientWritable implements operation. It has no effect: the answer does not come in pieces.
 func (e *embeddingRequest) clientWritable() {}
--- a/internal/openaiserver/engine.go
+++ b/internal/openaiserver/engine.go
@@ -11,7 +11,7 @@
 	"martenlock/internal/upstream"
 )
 
-// engine is one engine: the connections to it, and the KV releases that it is owed.
+// engine is one engine: the connections to it and the KV releases that it has not confirmed.
 type engine struct {
 	upstream.Pool
 	server   *Server
@@ -19,14 +19,14 @@
 	releases kvReleases
 }
 
-// engineTable holds the engines, and what their connections share.
+// engineTable holds the engines and what their connections share.
 type engineTable struct {
 	byID        map[control.EndpointID]*engine
 	connOptions upstream.Options
 	connBudget  upstream.Budget
 }
 
-// newEngineTable returns a table without engines.
+// newEngineTable returns an empty table.
 func newEngineTable() engineTable {
 	return engineTable{byID: map[control.EndpointID]*engine{}}
 }
@@ -42,7 +42,8 @@
 	return e
 }
 
-// connEnded takes in the end of a connection.
+// connEnded logs the end of a connection unless it is routine. The engine may have been kept for this connection
+// only.
 func (e *engine) connEnded(reason upstream.CloseReason) {
 	if !reason.IsRoutine() {
 		e.server.log.Debug().Str("endpoint", e.node.Name).Stringer("reason", reason).Msg("engine connection closed")
@@ -50,7 +51,8 @@
 	e.removeIfUnused()
 }
 
-// SetNodes puts a new list, checked by nodes.Parse, in the place of the old one.
+// SetNodes replaces the endpoint list. list must have passed nodes.Parse. It may be called from any goroutine and
+// does not wait.
 func (s *Server) SetNodes(list []nodes.Node) { s.loop.Post(func() { s.applyNodes(list) }) }
 
 // applyNodes is SetNodes on the loop.
@@ -73,14 +75,14 @@
 	s.log.Info().Int("endpoints", len(list)).Msg("endpoint list applied")
 }
 
-// listEngine takes in an engine that is listed, new or known.
+// listEngine adds a listed engine or updates a known one.
 func (s *Server) listEngine(node nodes.Node) {
 	e := s.engines.byID[node.ID]
 	if e == nil {
 		e = newEngine(s)
 		s.engines.byID[node.ID] = e
 	}
-	if e.node.Addr != node.Addr || !e.node.StartedAt.Equal(node.StartedAt) { // another process: old connections lead nowhere
+	if e.node.Addr != node.Addr || !e.node.StartedAt.Equal(node.StartedAt) { // another process: connections to the earlier one are of no use
 		e.CloseIdle()
 	}
 	e.node = node
@@ -88,23 +90,24 @@
 	e.Removed = false
 }
 
-// removeIfUnused forgets an engine that is not listed any more and has nothing left to do.
+// removeIfUnused removes an engine that is no longer listed and has no connections and no pending KV releases.
 func (e *engine) removeIfUnused() {
 	if e.Removed && e.Open() == 0 && len(e.releases.pending) == 0 && e.server.engines.byID[e.node.ID] == e {
 		delete(e.server.engines.byID, e.node.ID)
 	}
 }
 
-// requestHeadBytes fits nearly every request's head, so that building one allocates once.
+// requestHeadBytes is the initial capacity of a request's head. Nearly every head fits, so that building one
+// allocates once.
 const requestHeadBytes = 256
 
-// newRequestHead begins a request's head, up to its own fields.
+// newRequestHead returns the start of a request's head: request line and Host.
 func (e *engine) newRequestHead(method, path string) []byte {
 	head := http1.AppendRequest(make([]byte, 0, requestHeadBytes), method, path)
 	return http1.AppendField(head, "Host", e.node.Addr.String())
 }
 
-// checkHealth asks the engine how it is, and tells a pool's module.
+// checkHealth starts a health check and reports its result to the pool's decision module.
 func (e *engine) checkHealth(p *pool) {
 	loop := e.server.loop
 	startedAt := loop.Now()
@@ -126,7 +129,7 @@
 	}.Start(&e.Pool)
 }
 
-// classifyHealthCheck returns what the end of a health check means.
+// classifyHealthCheck returns the result that a call stands for.
 func classifyHealthCheck(call enginecall.Result) control.Result {
 	switch {
 	case call.Outcome == enginecall.NoConnection:
--- a/internal/openaiserver/httpexchange.go
+++ b/internal/openaiserver/httpexchange.go
@@ -126,7 +126,7 @@
 func (e *httpExchange) observeLatency(result outcome.Outcome) {
 	request := e.request
 	queue := request.pool.admission.queue
-	if e.latencyObserved || queue.IsLarge(request.prompt) {
+	if e.latencyObserved || queue.IsLarge(request.promptTokens) {
 		return
 	}
 	e.latencyObserved = true
--- a/internal/openaiserver/inferencerequest.go
+++ b/internal/openaiserver/inferencerequest.go
@@ -8,35 +8,35 @@
 	"martenlock/internal/openai"
 )
 
-// inferenceRequest is a request, or a part of one, as it is to be computed.
+// inferenceRequest is a request, or a part of one, that is to be computed.
 type inferenceRequest struct {
 	pool          *pool
 	call          *openai.Request
-	moduleRequest control.Request // without its id
+	moduleRequest control.Request // its ID is set by startExchange
 	path          string
-	headers       []byte // fields that engines get
+	headers       []byte // header fields for engines, each with its line end
 	tenant        string
-	fairShareKey  uint64 // whose share of the admission queue it takes
-	prompt        float64
+	fairShareKey  uint64  // identifies whose share of the admission queue it uses
+	promptTokens  float64 // estimated, without the pool's correction
 	timeBudget    time.Duration
-	inputs        [][]byte  // its inputs or documents; nil where they were not split yet
+	inputs        [][]byte  // inputs or documents; nil until splitInputs
 	inputTokens   []float64 // estimated, of each input
-	partMark      string    // which part of its client's request it is; "" for all
+	shardSuffix   string    // X-Request-Part: which part of the client's request it is; "" for all of it
 }
 
-// itemOverheadBytes is what is kept for each item of a request beside its body: tables, places,
-// runs. Many tiny items take more than they say.
+// itemOverheadBytes estimates the memory for each item of a request apart from its body: slices, shards and
+// exchanges. Without it, a request with many tiny items would take much more memory than is counted for it.
 const itemOverheadBytes = 300
 
-// overheadBytes returns what keeping the request costs beside its body.
+// overheadBytes returns the estimated memory for the request apart from its body.
 func (r *inferenceRequest) overheadBytes() int64 { return int64(r.call.ItemCount) * itemOverheadBytes }
 
-// class returns the module's class of the request.
+// class returns the request's class.
 func (r *inferenceRequest) class() *control.Class {
 	return &r.pool.config.Control.Classes[r.moduleRequest.Class]
 }
 
-// start starts the operation of the request. It answers no sooner than in a later iteration.
+// start starts the operation that computes the request. The client is never answered before start has returned.
 func (r *inferenceRequest) start(client responder) operation {
 	if r.call.HasCheckedResponse() {
 		scattered := r.startScattered(client)
@@ -51,7 +51,7 @@
 	return r.startExchange(client, r.pool.server.requestIDs.next())
 }
 
-// splitInputs returns the inputs of the request and their tokens, which it keeps.
+// splitInputs returns the request's inputs and their estimated tokens. They are split on the first call.
 func (r *inferenceRequest) splitInputs() ([][]byte, []float64) {
 	if r.inputs == nil {
 		r.inputs, r.inputTokens = r.call.Items(r.pool.server.config.Request.OpenAI)
@@ -59,10 +59,10 @@
 	return r.inputs, r.inputTokens
 }
 
-// startExchange hands the request to the module as it is.
+// startExchange hands the request to the decision module as one exchange.
 func (r *inferenceRequest) startExchange(client responder, requestID string) *exchange {
 	p := r.pool
-	x := &exchange{
+	started := &exchange{
 		pool:      p,
 		client:    client,
 		id:        p.exchanges.newID(),
@@ -71,12 +71,12 @@
 		path:      r.path,
 		headers:   r.headers,
 	}
-	if r.partMark != "" { // engines may see several of a client's id at once
-		x.headers = http1.AppendField(r.headers[:len(r.headers):len(r.headers)], "X-Request-Part", r.partMark)
+	if r.shardSuffix != "" { // engines may see several requests with the same client's id
+		started.headers = http1.AppendField(r.headers[:len(r.headers):len(r.headers)], "X-Request-Part", r.shardSuffix)
 	}
-	p.exchanges.byID[x.id] = x
+	p.exchanges.byID[started.id] = started
 	event := r.moduleRequest
-	event.ID = x.id
+	event.ID = started.id
 	p.push(event)
-	return x
+	return started
 }
--- a/internal/openaiserver/kvrelease.go
+++ b/internal/openaiserver/kvrelease.go
@@ -11,31 +11,32 @@
 	"martenlock/internal/timerwheel"
 )
 
-// kvReleases are the KV states that an engine is to release, by the ids of their requests.
+// kvReleases holds the KV releases that an engine has not confirmed. A release names a request; it covers every KV
+// state of that request.
 type kvReleases struct {
-	pending       map[string]time.Duration // until when the engine is told
-	callScheduled bool                     // or in flight
+	pending       map[string]time.Duration // loop time at which a release times out, by request id
+	callScheduled bool                     // a call is scheduled or in flight
 	retryTimer    timerwheel.Timer
-	retryDelay    time.Duration // before the next call; 0 after a success
+	retryDelay    time.Duration // before the next call after a failure; 0 after a success
 }
 
-// newKVReleases returns one without pending releases.
+// newKVReleases returns kvReleases without pending ones.
 func newKVReleases() kvReleases {
 	return kvReleases{pending: map[string]time.Duration{}}
 }
 
-// Calls for KV releases.
+// Delays and bounds of KV releases.
 const (
 	minKVReleaseRetryDelay = 50 * time.Millisecond  // after the first failure; doubled with each further one
-	maxKVReleaseRetryDelay = 500 * time.Millisecond // a link that heals is noticed this soon
-	kvReleaseCallTimeout   = 250 * time.Millisecond
-	kvReleaseTimeout       = time.Minute // then the engine's own limit has to do it
-	maxPendingKVReleases   = 10000       // of one engine
-	maxKVReleasesPerCall   = 500
+	maxKVReleaseRetryDelay = 500 * time.Millisecond // bounds how long an engine that recovers retains KV state for nothing
+	kvReleaseCallTimeout   = 250 * time.Millisecond // after that the call has failed
+	kvReleaseTimeout       = time.Minute            // after that the engine's own retention limit has to do
+	maxPendingKVReleases   = 10000                  // of one engine, which bounds memory while it is out of reach
+	maxKVReleasesPerCall   = 500                    // bounds the body of a call
 )
 
-// releaseKV has the engine release what it retains or runs for a request. An engine that can't be
-// told, behind a cut link for one, is told as soon as it can be.
+// releaseKV has the engine release what it retains for a request or runs for it. If the engine is out of reach, calls
+// are retried until it confirms or the release times out.
 func (e *engine) releaseKV(requestID string) {
 	if len(e.releases.pending) >= maxPendingKVReleases {
 		e.server.log.Warn().Str("endpoint", e.node.Name).Msg("KV release dropped, too many are pending")
@@ -45,8 +46,8 @@
 	e.scheduleKVReleaseCall()
 }
 
-// scheduleKVReleaseCall makes a call at the end of this iteration, unless one is in flight or
-// waits for its retry.
+// scheduleKVReleaseCall schedules a call at the end of this iteration, unless one is in flight or a retry is
+// scheduled.
 func (e *engine) scheduleKVReleaseCall() {
 	if e.releases.callScheduled || e.releases.retryTimer.Running() {
 		return
@@ -55,9 +56,9 @@
 	e.server.loop.Defer(e.startKVReleaseCall)
 }
 
-// startKVReleaseCall makes a call for what is pending.
+// startKVReleaseCall starts a call for the pending releases.
 func (e *engine) startKVReleaseCall() {
-	requestIDs := e.takeDueKVReleases()
+	requestIDs := e.nextKVReleases()
 	if len(requestIDs) == 0 {
 		e.releases.callScheduled = false
 		e.removeIfUnused()
@@ -76,8 +77,8 @@
 	}.Start(&e.Pool)
 }
 
-// takeDueKVReleases returns the ids for the next call, and gives up those that are too old.
-func (e *engine) takeDueKVReleases() (requestIDs []string) {
+// nextKVReleases returns the request ids for the next call. It drops releases that have timed out.
+func (e *engine) nextKVReleases() (requestIDs []string) {
 	now := e.server.loop.Now()
 	for requestID, deadline := range e.releases.pending {
 		if now > deadline {
@@ -90,7 +91,7 @@
 	return requestIDs
 }
 
-// kvReleaseBody returns the body of a call.
+// kvReleaseBody returns the body of a call that releases the KV states of requests.
 func kvReleaseBody(requestIDs []string) []byte {
 	body := []byte(`{"request_ids":[`)
 	for i, requestID := range requestIDs {
@@ -102,7 +103,7 @@
 	return append(body, "]}"...)
 }
 
-// completeKVReleaseCall takes in how a call ended.
+// completeKVReleaseCall processes the result of a call. After a failure the same releases are due again.
 func (e *engine) completeKVReleaseCall(requestIDs []string, isReleased bool) {
 	releases := &e.releases
 	releases.callScheduled = false
--- a/internal/openaiserver/pool.go
+++ b/internal/openaiserver/pool.go
@@ -11,11 +11,11 @@
 	"martenlock/internal/openai"
 )
 
-// pool is one instance of the decision module with its requests.
+// pool is one instance of the decision module and the requests that it decides on.
 type pool struct {
 	server    *Server
 	settings  *config.Pool
-	config    *config.Config // in force when it was created
+	config    *config.Config // in force when the pool was created
 	mailbox   decisionloop.Mailbox[*exchange]
 	exchanges exchangeTable
 
@@ -23,28 +23,29 @@
 	admission  *admissionQueue
 	batches    *batchScheduler
 
-	tokenLimits    admission.TokenLimits    // of one request, at the engines that are listed
-	tokenEstimator admission.TokenEstimator // corrects the estimates of prompts
-	openRequests   int                      // accepted for it and not yet answered
+	tokenLimits    admission.TokenLimits    // of one request at the listed engines
+	tokenEstimator admission.TokenEstimator // corrects estimated prompt lengths
+	openRequests   int                      // accepted for the pool and not yet answered
 
 	readyEndpoints int    // listed as ready
 	modelRevision  string // at the ready engine listed last
-	revisionsMixed bool   // ready engines are of several revisions
+	revisionsMixed bool   // ready engines serve several revisions
 
-	isRetired bool // new requests go to another
-	isRemoved bool // it owes nothing any more
+	isRetired bool // it accepts no new requests
+	isRemoved bool // it has no requests left and is in no table
 }
 
 // poolTable holds the pools of a server.
 type poolTable struct {
-	current []*pool // of the settings in force
-	retired []*pool // of settings before, which still owe answers
+	current []*pool // of the configuration in force
+	retired []*pool // of earlier configurations, with requests that are not answered yet
 }
 
 // all returns the current pools and the retired ones.
 func (t *poolTable) all() []*pool { return slices.Concat(t.current, t.retired) }
 
-// find returns the pool that serves a model, or nil.
+// find returns the pool that serves a model through an API. A pool that names the model takes precedence over one
+// that names none and so serves any. find returns nil if there is neither.
 func (t *poolTable) find(api openai.API, model string) (fallback *pool) {
 	for _, p := range t.current {
 		for _, served := range p.settings.APIs {
@@ -62,7 +63,7 @@
 	return fallback
 }
 
-// createPools makes the pools of the settings in force.
+// createPools replaces the current pools by those of the configuration in force.
 func (s *Server) createPools() {
 	s.pools.current = nil
 	for i := range s.config.Pools {
@@ -70,7 +71,7 @@
 	}
 }
 
-// retirePools has the current pools serve the requests they have, and no others.
+// retirePools retires the current pools. Each serves the requests that it has accepted.
 func (s *Server) retirePools() {
 	for _, p := range s.pools.current {
 		p.isRetired = true
@@ -79,10 +80,11 @@
 	}
 }
 
-// seedStep spreads the seeds of a server's pools: 2^64 divided by the golden ratio.
+// seedStep is the distance between the seeds of two pools: 2^64 divided by the golden ratio, which spreads them.
 const seedStep = 0x9e3779b97f4a7c15
 
-// newPool returns a pool with a module that knows nothing yet.
+// newPool returns a pool whose decision module knows no endpoints yet. index is the pool's place in the
+// configuration.
 func newPool(s *Server, settings *config.Pool, index uint64) *pool {
 	controlSettings := s.config.Control
 	p := &pool{server: s, settings: settings, config: s.config, exchanges: newExchangeTable()}
@@ -104,17 +106,16 @@
 	return p
 }
 
-// push hands an event to the module at the end of this iteration, together with all others of
-// the iteration.
+// push hands an event to the decision module at the end of this iteration of the event loop.
 func (p *pool) push(event control.Event) { p.mailbox.Push(event) }
 
-// afterPoll forgets the exchanges that have ended.
+// afterPoll removes the exchanges that have ended, and the pool itself if it is retired and has no requests left.
 func (p *pool) afterPoll() {
 	p.exchanges.removeEnded()
 	p.removeIfDrained()
 }
 
-// checkHealth asks an engine how it is.
+// checkHealth starts a health check. Its result reaches the decision module as an event.
 func (p *pool) checkHealth(id control.EndpointID) {
 	e := p.server.engines.byID[id]
 	if e == nil {
@@ -124,7 +125,7 @@
 	e.checkHealth(p)
 }
 
-// removeIfDrained forgets a retired pool when it owes nothing any more.
+// removeIfDrained removes a retired pool that has no requests, exchanges or events left.
 func (p *pool) removeIfDrained() {
 	if !p.isRetired || p.isRemoved || len(p.exchanges.byID) > 0 || p.mailbox.Len() > 0 || p.openRequests > 0 {
 		return
@@ -138,7 +139,8 @@
 	}
 }
 
-// applyNodes tells the module of the pool's engines.
+// applyNodes applies an endpoint list: it notifies the decision module, the admission queue and the batcher of the
+// pool's engines.
 func (p *pool) applyNodes(list []nodes.Node) {
 	s := p.server
 	update := control.EndpointUpdate{Full: true}
@@ -148,7 +150,7 @@
 	var capacities []admission.Endpoint
 	for i := range list {
 		node := &list[i]
-		kind := slices.Index(p.config.Kinds, node.Kind) // settings in force before may number them otherwise
+		kind := slices.Index(p.config.Kinds, node.Kind) // a retired pool's configuration may number kinds differently
 		if node.Pool != p.settings.Name || kind < 0 {
 			continue
 		}
@@ -177,14 +179,14 @@
 	p.push(update)
 }
 
-// addReadyEndpoint counts a ready engine, and compares its revision of the model.
+// addReadyEndpoint counts a ready engine and records whether its revision of the model differs from another's.
 func (p *pool) addReadyEndpoint(revision string) {
 	p.revisionsMixed = p.revisionsMixed || p.readyEndpoints > 0 && revision != p.modelRevision
 	p.modelRevision = revision
 	p.readyEndpoints++
 }
 
-// maxAttempts is how many attempts a class has.
+// maxAttempts returns how many attempts a request of the class may have.
 func (p *pool) maxAttempts(class *control.Class) int {
 	if class.MaxAttempts > 0 {
 		return min(class.MaxAttempts, p.config.Control.Limits.MaxAttempts)
--- a/internal/openaiserver/reload.go
+++ b/internal/openaiserver/reload.go
@@ -13,20 +13,21 @@
 	"martenlock/internal/upstream"
 )
 
-// ListenChangedError tells that new settings can't be put in force without a restart.
+// ListenChangedError is the error of Reload if the new configuration has another listen address.
 type ListenChangedError struct {
 	File     string
 	Old, New string
 }
 
-// Error names the file, the section and the key.
+// Error implements error. The message names file, section and key.
 func (e *ListenChangedError) Error() string {
 	return fmt.Sprintf("%s: [router] listen: a change from %s to %s needs a restart", e.File, e.Old, e.New)
 }
 
-// Reload puts new settings in force, and a node list that was checked by them. Requests accepted
-// before go on under the old ones; where what the module is told has changed, new requests get a
-// module that knows nothing yet. The listener's address stays.
+// Reload applies a configuration and an endpoint list that was checked against it. Requests accepted before continue
+// under the old configuration. If a setting of the decision modules has changed, new requests are decided on by new
+// modules, which know no load, health or sessions yet. Reload waits until the configuration is in force. It returns a
+// *ListenChangedError, and changes nothing, if the listen address differs.
 func (s *Server) Reload(cfg *config.Config, list []nodes.Node) error {
 	if cfg.Listen != s.config.Listen && s.config.Listen.Port() != 0 {
 		return &ListenChangedError{File: cfg.File, Old: s.config.Listen.String(), New: cfg.Listen.String()}
@@ -45,23 +46,29 @@
 	old := s.config
 	s.config = cfg
 	s.applyLimits()
-	if !reflect.DeepEqual(moduleSettings(old), moduleSettings(cfg)) {
+	if !samePoolSettings(old, cfg) {
 		s.retirePools()
 		s.createPools()
 	}
 	s.applyNodes(list)
 }
 
-// moduleSettings is what modules are told of the settings.
-func moduleSettings(cfg *config.Config) []any {
-	return []any{cfg.Control, cfg.Kinds, cfg.Classes, cfg.Tenants, cfg.Pools, cfg.Zone, cfg.Seed}
+// samePoolSettings reports whether two configurations agree in all that pools and their decision modules are created
+// from.
+func samePoolSettings(a, b *config.Config) bool {
+	return a.Zone == b.Zone && a.Seed == b.Seed &&
+		reflect.DeepEqual(a.Control, b.Control) &&
+		reflect.DeepEqual(a.Kinds, b.Kinds) &&
+		reflect.DeepEqual(a.Classes, b.Classes) &&
+		reflect.DeepEqual(a.Tenants, b.Tenants) &&
+		reflect.DeepEqual(a.Pools, b.Pools)
 }
 
-// maxDescriptors bounds what is taken for the descriptor limit, which may be infinite.
+// maxDescriptors is used in place of a greater descriptor limit, which may be infinite.
 const maxDescriptors = 1 << 30
 
-// applyLimits puts the settings' limits in force. max_connections is held against the descriptors
-// that this process may have, of which it takes all that it is allowed.
+// applyLimits applies the configuration's limits to connections. max_connections is lowered if the descriptor limit of
+// this process, raised as far as is allowed, is too small for it.
 func (s *Server) applyLimits() {
 	limits := &s.config.Limits
 	s.engines.connOptions = upstream.Options{
@@ -74,7 +81,7 @@
 	listener.MaxOpen = s.config.MaxConnections
 	descriptors, err := raiseDescriptorLimit()
 	if err != nil {
-		s.log.Warn().Err(err).Msg("descriptor limit can't be read")
+		s.log.Warn().Err(err).Msg("descriptor limit unknown, max_connections not checked")
 		return
 	}
 	listener.MaxOpen = connlimit.MaxClients(s.config.MaxConnections, int(min(descriptors, maxDescriptors)))
@@ -87,19 +94,17 @@
 	}
 }
 
-// raiseDescriptorLimit raises the limit of this process as far as is allowed, and returns it.
+// raiseDescriptorLimit raises the descriptor limit of this process as far as is allowed. It returns the limit that holds
+// then. The error is that of reading the limit.
 func raiseDescriptorLimit() (uint64, error) {
 	var limit unix.Rlimit
 	err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
 	if err != nil {
 		return 0, err
 	}
-	if limit.Cur >= limit.Max {
-		return limit.Cur, nil
-	}
 	raised := unix.Rlimit{Cur: limit.Max, Max: limit.Max}
-	if unix.Setrlimit(unix.RLIMIT_NOFILE, &raised) != nil {
-		return limit.Cur, nil
+	if limit.Cur < limit.Max && unix.Setrlimit(unix.RLIMIT_NOFILE, &raised) == nil {
+		return raised.Cur, nil
 	}
-	return raised.Cur, nil
+	return limit.Cur, nil // the present limit holds, also if raising it failed
 }
--- a/internal/openaiserver/scatter.go
+++ b/internal/openaiserver/scatter.go
@@ -11,44 +11,44 @@
 	"martenlock/control/scatter"
 )
 
-// scatterRequest is a request that is computed in shards, or a large one that passes the admission
-// queue. Each shard is an exchange of its own; package scatter says what their ends mean, package
-// admission when each may start.
+// scatterRequest is a request that is computed in shards, or a large one that passes the admission queue. Each shard
+// is an exchange of its own. Package scatter decides what their ends mean for the request, package admission when each
+// shard may start.
 type scatterRequest struct {
 	request        *inferenceRequest
 	client         responder
-	inputs         [][]byte // nil where the request is computed as it is, as its only shard
+	inputs         [][]byte // nil if the request has one shard, which is computed unchanged
 	inputTokens    []float64
 	plan           []scatter.Shard
 	gather         *scatter.Gather
-	shards         []*shard // nil where they have not started
-	bodies         [][]byte // of the shards' answers
+	shards         []*shard // by index in plan; nil until started
+	bodies         [][]byte // of the shards' answers; counted in Server.bufferedBytes
 	requestID      string   // under which the client knows it
 	admissionID    admission.RequestID
 	needsAdmission bool // it passes the admission queue, under admissionID
 	hasEnded       bool
 }
 
-// shard is the responder of an exchange for some of the inputs.
+// shard is one shard of a scatterRequest. It is the responder of the shard's exchange.
 type shard struct {
 	bufferedResponder
 	parent      *scatterRequest
 	index       int
-	exchange    *exchange // nil when it has ended
-	copiedBytes int64     // of its inputs
+	exchange    *exchange // nil once it has ended
+	copiedBytes int64     // size of the inputs' copy in the shard's call
 }
 
-// startScattered scatters a request where the pool's limits ask for it, and has a large one pass
-// the admission queue; nil where it is neither.
+// startScattered scatters a request that exceeds the pool's limits of a shard, and enqueues a large one for admission.
+// It returns nil if the request is neither.
 func (r *inferenceRequest) startScattered(client responder) operation {
 	p := r.pool
 	inputs, tokens := r.splitInputs()
 	plan := scatter.Plan(tokens, p.settings.ShardLimits)
-	isLarge := p.admission.queue.IsLarge(r.prompt)
+	isLarge := p.admission.queue.IsLarge(r.promptTokens)
 	if len(plan) < 2 && !isLarge {
 		return nil
 	}
-	if len(plan) < 2 { // computed as it is
+	if len(plan) < 2 { // computed unchanged
 		plan = []scatter.Shard{{To: r.call.ItemCount}}
 		inputs = nil
 	}
@@ -73,7 +73,7 @@
 	return scattered
 }
 
-// shardTokens returns the tokens of a shard.
+// shardTokens returns the estimated prompt tokens of a shard.
 func (r *scatterRequest) shardTokens(index int) float64 {
 	if r.inputs == nil {
 		return float64(r.request.moduleRequest.PromptTokens)
@@ -85,7 +85,7 @@
 	return sum
 }
 
-// startShard hands a shard to the module.
+// startShard starts the exchange of a shard.
 func (r *scatterRequest) startShard(index int) {
 	started := &shard{parent: r, index: index}
 	r.shards[index] = started
@@ -102,12 +102,12 @@
 	}
 	request.pool.server.bufferedBytes += started.copiedBytes
 	request.moduleRequest.PromptTokens = control.Tokens(tokens)
-	request.moduleRequest.SessionID = 0 // a session's engine would get all shards
-	request.partMark += fmt.Sprintf("%d/%d", index+1, len(r.plan))
+	request.moduleRequest.SessionID = 0 // session affinity would send all shards to one engine
+	request.shardSuffix += fmt.Sprintf("%d/%d", index+1, len(r.plan))
 	started.exchange = request.startExchange(started, fmt.Sprintf("%s-%d", r.requestID, index))
 }
 
-// complete takes in that a shard is computed no more.
+// complete ends the shard's computation and notifies the admission queue.
 func (s *shard) complete(result admission.UnitOutcome) {
 	p := s.parent.request.pool
 	s.exchange = nil
@@ -119,7 +119,7 @@
 	}
 }
 
-// respond takes a shard's answer.
+// respond implements responder.
 func (s *shard) respond(a answer) {
 	parent := s.parent
 	result := admission.UnitNotServed
@@ -132,7 +132,7 @@
 	parent.shardEnded(s.index, a)
 }
 
-// shardEnded takes in what became of a shard, and answers the request where that decides it.
+// shardEnded processes the answer of a shard, and answers the request if that decides it.
 func (r *scatterRequest) shardEnded(index int, a answer) {
 	decision := r.gather.Complete(index, a.outcome)
 	switch decision {
@@ -145,7 +145,7 @@
 		a.retryAfter = r.retryAfter(a.retryAfter)
 		a.fields = retryFields(a.retryAfter)
 	case scatter.Fail:
-		if a.outcome == outcome.Rejected { // that shard was not executed, but others may have been
+		if a.outcome == outcome.Rejected { // this shard was not executed, but others may have been
 			a = failure("", http.StatusBadGateway, "Part of the request was not served; the rest may have run.")
 		}
 	}
@@ -154,7 +154,7 @@
 	r.client.respond(a)
 }
 
-// merge returns the answer of all shards; last is that of the last one.
+// merge returns the request's answer once all shards are served. last is the answer of the shard that ended last.
 func (r *scatterRequest) merge(last answer) answer {
 	if r.inputs == nil {
 		return last
@@ -167,14 +167,14 @@
 	}
 }
 
-// retryAfter returns when a rejected request may be retried. The admission queue says it for the
-// whole request, the module for a shard.
+// retryAfter returns the Retry-After of a rejected request. The delay given by the admission queue is for the whole
+// request, the one given by the decision module for one shard.
 func (r *scatterRequest) retryAfter(after time.Duration) time.Duration {
-	longest := r.request.pool.config.Control.Limits.MaxRetryAfter
+	limit := r.request.pool.config.Control.Limits.MaxRetryAfter
 	if r.needsAdmission {
-		return min(after, longest)
+		return min(after, limit)
 	}
-	return scatter.RetryAfter(after, len(r.plan), longest)
+	return scatter.RetryAfter(after, len(r.plan), limit)
 }
 
 // cancel implements operation. It cancels the shards that are being computed or wait for admission, and releases
@@ -187,9 +187,9 @@
 	for _, index := range r.gather.Outstanding() {
 		s := r.shards[index]
 		if s != nil && s.exchange != nil {
-			x := s.exchange
+			exchange := s.exchange
 			s.complete(admission.UnitCancelled)
-			x.cancel()
+			exchange.cancel()
 		}
 	}
 	r.gather.Cancel()
@@ -202,5 +202,5 @@
 	}
 }
 
-// clientWritable does nothing: the answer is written whole.
+// clientWritable implements operation. It has no effect: the answer does not come in pieces.
 func (r *scatterRequest) clientWritable() {}
--- a/internal/openaiserver/sequentialretry.go
+++ b/internal/openaiserver/sequentialretry.go
@@ -2,45 +2,45 @@
 
 import "martenlock/control/batching"
 
-// sequentialRetry is the members of a batch that lost its engine: package batching says which may
-// be retried when.
+// sequentialRetry retries the members of a batch that lost its engine, one after another. Package batching decides
+// which member is next.
 type sequentialRetry struct {
 	order       batching.SequentialRetry
 	members     map[batching.RequestID]*batchMember
-	batchAnswer answer // what the batch had come to
+	batchAnswer answer // of the failed batch; it counts the attempts so far
 }
 
-// newSequentialRetry returns one without members.
+// newSequentialRetry returns a retry without members.
 func newSequentialRetry(batchAnswer answer) *sequentialRetry {
 	return &sequentialRetry{members: map[batching.RequestID]*batchMember{}, batchAnswer: batchAnswer}
 }
 
-// enqueue has a member wait for its retry, until its deadline at most.
-func (q *sequentialRetry) enqueue(m *batchMember) {
+// enqueue adds a member. If its retry has not started at the member's deadline, the member is rejected.
+func (r *sequentialRetry) enqueue(m *batchMember) {
 	s := m.request.pool.server
-	q.order.Add(m.id)
-	q.members[m.id] = m
-	m.retry = q
+	r.order.Add(m.id)
+	r.members[m.id] = m
+	m.retry = r
 	m.deadline.Fire = func() {
-		q.complete(m, false)
+		r.complete(m, false)
 		m.client.respond(overloaded(s.requestIDs.next(), batching.ExpiredRetryAfter))
 	}
 	s.loop.StartTimer(&m.deadline, max(m.request.moduleRequest.Deadline.Sub(s.now()), 0))
 }
 
-// startNext starts the members whose turn it is.
-func (q *sequentialRetry) startNext() {
-	for _, id := range q.order.Start() {
-		m := q.members[id]
+// startNext starts the members that package batching releases for a retry.
+func (r *sequentialRetry) startNext() {
+	for _, id := range r.order.Start() {
+		m := r.members[id]
 		m.request.pool.server.loop.StopTimer(&m.deadline)
-		m.startAlone(m, q.batchAnswer)
+		m.startAlone(m, r.batchAnswer)
 	}
 }
 
-// complete takes a member out; lostConnection tells that its own retry lost its engine too.
-func (q *sequentialRetry) complete(m *batchMember, lostConnection bool) {
+// complete removes a member. lostConnection reports whether its own retry lost a connection too.
+func (r *sequentialRetry) complete(m *batchMember, lostConnection bool) {
 	m.request.pool.server.loop.StopTimer(&m.deadline)
-	delete(q.members, m.id)
-	q.order.Complete(m.id, lostConnection)
-	q.startNext()
+	delete(r.members, m.id)
+	r.order.Complete(m.id, lostConnection)
+	r.startNext()
 }
--- a/internal/openaiserver/server.go
+++ b/internal/openaiserver/server.go
@@ -1,10 +1,9 @@
-// Package router is the running server behind OpenAI's API: it turns the bytes of clients and
-// engines into events of the decision module (control.Router), and the module's actions into
-// bytes. The package decides nothing about where a request goes, when, how often, or what its
-// answer is.
+// Package openaiserver is the server behind OpenAI's API. It turns the bytes of clients and engines into events of the
+// decision module (control.Router), and the module's actions into bytes. It makes no decisions of its own about where,
+// when and how often a request is forwarded.
 //
-// All of its state belongs to one event loop; only Run, SetNodes, Reload, Shutdown and Stats may
-// be called from other goroutines.
+// All of its state belongs to one event loop. Only Addr, Run, SetNodes, Reload, Shutdown and Stats may be called from
+// other goroutines.
 package openaiserver
 
 import (
@@ -23,7 +22,7 @@
 	"martenlock/internal/nodes"
 )
 
-// Server is one running server.
+// Server serves OpenAI's API on one listener. New returns one.
 type Server struct {
 	loop      *eventloop.Loop
 	config    *config.Config
@@ -36,33 +35,33 @@
 	topology topology
 
 	requestIDs    requestIDs
-	seed          uint64 // of the modules' random choices
+	seed          uint64 // of the decision modules' random choices
 	openRequests  int    // accepted for a pool and not yet answered
-	bufferedBytes int64  // of request bodies and of buffered answers
+	bufferedBytes int64  // of request bodies and buffered answers
 
 	shutdown shutdown
 	counters counters
 }
 
-// counters counts since the server's start.
+// counters are the server's counters since its start.
 type counters struct {
 	served    uint64
 	rejected  uint64
 	failed    uint64
-	canceled  uint64 // by their clients
-	oversized uint64 // requests that no engine could take
+	canceled  uint64 // the client has left
+	oversized uint64 // no engine has the memory for the request
 
-	idleConnsEvicted uint64 // idle clients closed for new ones
+	idleConnsEvicted uint64 // idle client connections closed in favour of new ones
 }
 
 // maxBufferedBytes bounds the bodies and the buffered answers of all requests together.
 const maxBufferedBytes = 1 << 30
 
-// clockStart is what the module's clock shows when the loop starts: late enough that an engine
-// which started up to a day before this server has a start above zero.
+// clockStart is the time on the decision module's clock when the loop starts: one day. An engine that started up to a
+// day before this server so has a start above zero.
 const clockStart = control.Time(24 * 3600 * 1e6)
 
-// New returns a server that listens already; Run serves. list is the first list of nodes.
+// New returns a server that listens. Connections are served once Run is called. list is the first endpoint list.
 func New(cfg *config.Config, list []nodes.Node, log zerolog.Logger) (*Server, error) {
 	loop, err := eventloop.New(eventloop.Options{OnPanic: func(reason any) {
 		log.Error().Str("panic", fmt.Sprint(reason)).Bytes("stack", debug.Stack()).Msg("handler panicked, connection closed")
@@ -102,13 +101,14 @@
 // Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.clients.listener.Addr().String() }
 
-// Run serves until Shutdown is complete.
+// Run serves until a shutdown is complete. It returns the error of the event loop, if any.
 func (s *Server) Run() error { return s.loop.Run() }
 
-// now returns the present time on the module's clock.
+// now returns the present time on the decision module's clock.
 func (s *Server) now() control.Time { return clockStart.Add(s.loop.Now()) }
 
-// routerTime converts a point of the wall clock to the module's clock; 0 stands for long ago.
+// routerTime converts wall-clock time to the decision module's clock. It returns 0 for a time before the clock's zero
+// and for the zero time.
 func (s *Server) routerTime(at time.Time) control.Time {
 	if at.IsZero() {
 		return 0
@@ -121,17 +121,17 @@
 	return 0
 }
 
-// requestIDs gives the ids under which engines know requests.
+// requestIDs generates the ids under which engines know requests.
 type requestIDs struct {
 	prefix   string
 	sequence uint64
 }
 
-// idBase is the base of the numbers in ids.
+// idBase is the base of the numbers in request ids, the largest of strconv.
 const idBase = 36
 
-// newRequestIDs takes a random number: ids of two routers, or of one before and after a restart,
-// must not meet at an engine.
+// newRequestIDs returns a generator whose ids start with a random number. Two routers, or one before and after a
+// restart, must not use the same id at an engine.
 func newRequestIDs(random uint64) requestIDs {
 	return requestIDs{prefix: "ml-" + strconv.FormatUint(random, idBase) + "-"}
 }
--- a/internal/openaiserver/shutdown.go
+++ b/internal/openaiserver/shutdown.go
@@ -8,17 +8,16 @@
 
 // shutdown is the state of a server's shutdown.
 type shutdown struct {
-	inProgress bool
-	checkTimer timerwheel.Timer // until connections are counted again
-	limitTimer timerwheel.Timer // until what still runs is aborted
+	inProgress   bool
+	drainTimer   timerwheel.Timer // until the next check for open connections
+	timeoutTimer timerwheel.Timer // until open requests are aborted
 }
 
-// drainCheckInterval is the time between two looks at what is still open.
+// drainCheckInterval is the time between two checks for open connections. It bounds how late Run returns.
 const drainCheckInterval = 10 * time.Millisecond
 
-// Shutdown closes the listener, lets every accepted request have its answer, and then makes Run
-// return. Answers that still run after the settings' shutdown limit are aborted. Further calls
-// change nothing.
+// Shutdown starts a graceful shutdown: it closes the listener, and Run returns once every accepted request is answered.
+// Requests that are open after Limits.ShutdownTimeout are aborted. Shutdown does not wait. Further calls have no effect.
 func (s *Server) Shutdown() { s.loop.Post(s.startShutdown) }
 
 // startShutdown is Shutdown on the loop.
@@ -31,22 +30,22 @@
 	for client := range s.clients.conns {
 		client.drain()
 	}
-	s.shutdown.checkTimer.Fire = s.stopWhenDrained
+	s.shutdown.drainTimer.Fire = s.stopWhenDrained
 	s.stopWhenDrained()
-	s.shutdown.limitTimer.Fire = s.abortOpenRequests
-	s.loop.StartTimer(&s.shutdown.limitTimer, s.config.Limits.ShutdownTimeout)
+	s.shutdown.timeoutTimer.Fire = s.abortOpenRequests
+	s.loop.StartTimer(&s.shutdown.timeoutTimer, s.config.Limits.ShutdownTimeout)
 }
 
-// stopWhenDrained ends the loop once no client is connected, and until then looks again.
+// stopWhenDrained stops the loop if no client is connected, and schedules another check otherwise.
 func (s *Server) stopWhenDrained() {
 	if s.clients.listener.Open() == 0 {
 		s.loop.Stop()
 		return
 	}
-	s.loop.StartTimer(&s.shutdown.checkTimer, drainCheckInterval)
+	s.loop.StartTimer(&s.shutdown.drainTimer, drainCheckInterval)
 }
 
-// abortOpenRequests ends what still runs when the shutdown limit is reached.
+// abortOpenRequests aborts the requests that are open when the shutdown times out.
 func (s *Server) abortOpenRequests() {
 	s.log.Warn().Int("open_requests", s.openRequests).Msg("shutdown limit reached, open requests aborted")
 	for client := range s.clients.conns {
--- a/internal/openaiserver/stats.go
+++ b/internal/openaiserver/stats.go
@@ -5,29 +5,34 @@
 	"time"
 )
 
-// Stats is what a server has done and holds.
+// Stats are a server's counters since its start and the present size of what it holds.
 type Stats struct {
-	Served, Rejected, Failed, Canceled      uint64
+	// Counters of client requests, by their end.
+	Served, Rejected, Failed, Canceled uint64
+
+	Oversized         uint64 // requests rejected because no engine has the memory for them
+	AdmissionRejected uint64 // large requests rejected by the admission queue
+	CacheHits         uint64 // inputs of embeddings answered from the cache
+	CoalescedInputs   uint64 // inputs of embeddings that waited for another request's computation
+	BatchedRequests   uint64 // requests answered by a batch of several
+	IdleConnsEvicted  uint64 // idle client connections closed in favour of new ones
+
+	// Present sizes.
 	OpenRequests, ClientConnections, Timers int
-	BufferedBytes                           int64
-	EngineConnections                       int
-	PendingKVReleases                       int
-	CacheHits, CoalescedInputs              uint64 // inputs of embeddings answered from the cache, and by another's answer
-	BatchedRequests                         uint64 // requests that were answered by a batch of several
-	IdleConnsEvicted                        uint64 // idle connections that were closed for others
-	Oversized                               uint64 // requests that no engine could take
-	AdmissionRejected                       uint64 // large requests that could not end in time
-	CacheBytes                              uint64 // bytes of the cache
-	MaxUnsentBytes                          int    // bytes of the answer that its client has not taken, the most of any
+	EngineConnections, PendingKVReleases    int
+	BufferedBytes                           int64  // request bodies and buffered answers
+	CacheBytes                              uint64 // embedding caches
+	MaxUnsentBytes                          int    // the most bytes of an answer that one client has not accepted yet
 }
 
-// ErrStopped is Stats' error after Run has ended.
-var ErrStopped = errors.New("router: not running")
+// ErrStopped is the error of Stats after Run has returned.
+var ErrStopped = errors.New("openaiserver: server is not running")
 
-// statsTimeout bounds the time in which a running loop answers Stats.
+// statsTimeout bounds the wait of Stats. A running loop answers within one iteration; only a stopped one does not.
 const statsTimeout = 10 * time.Second
 
-// Stats returns the server's figures; it must not be called before Run.
+// Stats returns the server's statistics. It must not be called before Run. It returns ErrStopped if the loop does not
+// answer within statsTimeout.
 func (s *Server) Stats() (stats Stats, err error) {
 	done := make(chan struct{})
 	s.loop.Post(func() {
