--- a/internal/decisionloop/example_test.go
+++ b/internal/decisionloop/example_test.go
@@ -9,7 +9,7 @@
 	"martenlock/internal/eventloop"
 )
 
-// printedExchange prints what the module wants done for one request.
+// printedExchange prints the module's actions for one request.
 type printedExchange struct{}
 
 func (printedExchange) Forward(action control.Forward) {
@@ -20,7 +20,7 @@
 func (printedExchange) ReleaseKV(control.ReleaseKV)         { fmt.Println("release KV") }
 func (printedExchange) CancelAttempt(control.AttemptNumber) { fmt.Println("cancel attempt") }
 
-// Both events reach the module at the end of the iteration, and its action the exchange.
+// Both events reach the module at the end of the iteration. Its action reaches the exchange.
 func ExampleMailbox() {
 	loop, err := eventloop.New(eventloop.Options{})
 	if err != nil {
--- a/internal/decisionloop/mailbox.go
+++ b/internal/decisionloop/mailbox.go
@@ -1,6 +1,6 @@
-// Package decisionloop runs the decision module on an event loop. Its Mailbox gathers the module's events of one
-// iteration, hands them over together, and executes the actions that come back. Each server decides what an action
-// needs on its own connections.
+// Package decisionloop runs the decision module (package control) on an event loop. Its Mailbox collects the events
+// of one iteration, passes them to the module together, and executes the actions that it returns. What an action
+// needs on connections is up to the server, through the Exchange interface.
 package decisionloop
 
 import (
@@ -13,54 +13,54 @@
 	"martenlock/internal/timerwheel"
 )
 
-// Exchange is a request that the module was told of, as the module's actions address it.
+// Exchange is a server's side of a request that the module knows. Each method executes the action of the same name.
 type Exchange interface {
-	// Forward starts the attempt that the module wants.
+	// Forward starts an attempt.
 	Forward(action control.Forward)
-	// Reject tells the client that a retry is harmless, and after which time.
+	// Reject answers that a retry is harmless, and when it makes sense.
 	Reject(action control.Reject)
-	// Fail tells the client that the request may have been executed.
+	// Fail answers that the request may have been executed.
 	Fail(action control.Fail)
-	// ReleaseKV has engines release whatever KV state they may retain for the request.
+	// ReleaseKV makes engines release the KV state that they may retain for the request.
 	ReleaseKV(action control.ReleaseKV)
-	// CancelAttempt ends the attempt of a number, unless its answer has begun.
+	// CancelAttempt ends an attempt, unless its answer is being streamed.
 	CancelAttempt(number control.AttemptNumber)
 }
 
-// Mailbox gathers the events of one iteration of the event loop for a decision module, hands them
-// over together at the iteration's end, and executes the actions. It belongs to the loop.
+// Mailbox collects events for a decision module, passes those of one iteration of the event loop to
+// it at the iteration's end, and executes its actions. All methods must be called on the loop. The
+// owner sets the exported fields before the first call.
 type Mailbox[X Exchange] struct {
 	Loop      *eventloop.Loop
 	Router    *control.Router
-	Exchanges map[control.RequestID]X // those that actions may address; the server's
-	Logger    zerolog.Logger          // for the module's lines
+	Exchanges map[control.RequestID]X // owned by the server; actions for other requests are ignored
+	Logger    zerolog.Logger          // for the decisions that the module logs
 
-	Now         func() control.Time         // the present time on the module's clock
-	CheckHealth func(id control.EndpointID) // asks an engine how it is, and pushes a control.HealthCheckResult
+	Now         func() control.Time         // returns the time on the module's clock
+	CheckHealth func(id control.EndpointID) // starts a health check, which pushes a control.HealthCheckResult
 	AfterPoll   func()                      // is called at the end of each poll
 
-	// EndpointName returns an engine's name in the endpoint list, for the log; "" where it is not known. Nil
-	// leaves names out.
+	// EndpointName returns an endpoint's name for the log, or "" if the endpoint is unknown. If it is
+	// nil, log lines have no name.
 	EndpointName func(id control.EndpointID) string
 
 	events         []control.Event
-	spare          []control.Event // an empty buffer, to be used in turn with events
+	spare          []control.Event // an empty buffer that takes turns with events
 	pollScheduled  bool            // Poll runs at the end of this iteration
 	timersDisabled bool
 }
 
-// Len returns how many events wait for the next poll.
+// Len returns the number of events that wait for the next poll.
 func (m *Mailbox[X]) Len() int { return len(m.events) }
 
-// Push hands an event to the module at the end of this iteration, together with all others of
-// the iteration.
+// Push adds an event. The module gets it at the end of this iteration, with all others of the
+// iteration. An event pushed while actions are executed belongs to the next poll.
 func (m *Mailbox[X]) Push(event control.Event) {
 	m.events = append(m.events, event)
 	m.SchedulePoll()
 }
 
-// SchedulePoll has the module polled at the end of this iteration. Without events only
-// AfterPoll is called.
+// SchedulePoll makes Poll run at the end of this iteration, once.
 func (m *Mailbox[X]) SchedulePoll() {
 	if m.pollScheduled {
 		return
@@ -69,10 +69,12 @@
 	m.Loop.Defer(m.Poll)
 }
 
-// DisableTimers has the module's timers do nothing from now on.
+// DisableTimers makes the module's timers do nothing from now on. It is for a module that is no longer
+// used.
 func (m *Mailbox[X]) DisableTimers() { m.timersDisabled = true }
 
-// Poll hands the gathered events to the module and executes its actions. SchedulePoll has it called.
+// Poll passes the collected events to the module and executes its actions, then calls AfterPoll.
+// Without events the module is not called. Servers call SchedulePoll, and tests Poll itself.
 func (m *Mailbox[X]) Poll() {
 	m.pollScheduled = false
 	events := m.takeEvents()
@@ -85,7 +87,7 @@
 	m.AfterPoll()
 }
 
-// takeEvents empties the mailbox. What is pushed from now on belongs to the next poll.
+// takeEvents empties the mailbox. Events pushed from now on go to the other buffer.
 func (m *Mailbox[X]) takeEvents() []control.Event {
 	events := m.events
 	m.events = m.spare[:0]
@@ -93,35 +95,35 @@
 	return events
 }
 
-// recycleBuffer takes back the buffer of events that were handled.
+// recycleBuffer keeps the buffer of handled events for a later poll, without the events.
 func (m *Mailbox[X]) recycleBuffer(events []control.Event) {
 	clear(events)
 	m.spare = events[:0]
 }
 
-// execute carries out one action of the module. Actions for exchanges that are gone are
-// ignored.
+// execute executes one action. An action for an exchange that has ended is ignored: the module
+// may not know of the end yet.
 func (m *Mailbox[X]) execute(action control.Action) {
 	switch action := action.(type) {
 	case control.Forward:
-		if x, isOpen := m.Exchanges[action.ID]; isOpen {
-			x.Forward(action)
+		if exchange, isOpen := m.Exchanges[action.ID]; isOpen {
+			exchange.Forward(action)
 		}
 	case control.Reject:
-		if x, isOpen := m.Exchanges[action.ID]; isOpen {
-			x.Reject(action)
+		if exchange, isOpen := m.Exchanges[action.ID]; isOpen {
+			exchange.Reject(action)
 		}
 	case control.Fail:
-		if x, isOpen := m.Exchanges[action.ID]; isOpen {
-			x.Fail(action)
+		if exchange, isOpen := m.Exchanges[action.ID]; isOpen {
+			exchange.Fail(action)
 		}
 	case control.ReleaseKV:
-		if x, isOpen := m.Exchanges[action.ID]; isOpen {
-			x.ReleaseKV(action)
+		if exchange, isOpen := m.Exchanges[action.ID]; isOpen {
+			exchange.ReleaseKV(action)
 		}
 	case control.CancelAttempt:
-		if x, isOpen := m.Exchanges[action.ID]; isOpen {
-			x.CancelAttempt(action.Attempt)
+		if exchange, isOpen := m.Exchanges[action.ID]; isOpen {
+			exchange.CancelAttempt(action.Attempt)
 		}
 	case control.SetTimer:
 		m.startTimer(action)
@@ -132,7 +134,7 @@
 	}
 }
 
-// startTimer starts a timer of the module's.
+// startTimer starts a timer that pushes control.Timer.
 func (m *Mailbox[X]) startTimer(action control.SetTimer) {
 	timer := &timerwheel.Timer{}
 	timer.Fire = func() {
@@ -143,7 +145,7 @@
 	m.Loop.StartTimer(timer, action.After)
 }
 
-// logDecision writes a line of the module's.
+// logDecision logs a decision of the module.
 func (m *Mailbox[X]) logDecision(entry control.Log) {
 	line := m.Logger.Info().Str("endpoint", strconv.FormatUint(uint64(entry.Endpoint), 16))
 	if m.EndpointName != nil {
--- a/internal/decisionloop/mailbox_test.go
+++ b/internal/decisionloop/mailbox_test.go
@@ -15,36 +15,33 @@
 	"martenlock/internal/timerwheel"
 )
 
-// never is a time-out that no test reaches.
-const never = time.Hour
-
 // recordedExchange records the actions that reach it.
 type recordedExchange struct {
 	id      control.RequestID
 	mailbox *testMailbox
 }
 
-func (x *recordedExchange) Forward(action control.Forward) {
-	x.mailbox.record(action)
-	if x.mailbox.onForward != nil {
-		x.mailbox.onForward(action)
+func (e *recordedExchange) Forward(action control.Forward) {
+	e.mailbox.record(action)
+	if e.mailbox.onForward != nil {
+		e.mailbox.onForward(action)
 	}
 }
 
-func (x *recordedExchange) Reject(action control.Reject)       { x.mailbox.record(action) }
-func (x *recordedExchange) Fail(action control.Fail)           { x.mailbox.record(action) }
-func (x *recordedExchange) ReleaseKV(action control.ReleaseKV) { x.mailbox.record(action) }
-func (x *recordedExchange) CancelAttempt(number control.AttemptNumber) {
-	x.mailbox.record(control.CancelAttempt{ID: x.id, Attempt: number})
+func (e *recordedExchange) Reject(action control.Reject)       { e.mailbox.record(action) }
+func (e *recordedExchange) Fail(action control.Fail)           { e.mailbox.record(action) }
+func (e *recordedExchange) ReleaseKV(action control.ReleaseKV) { e.mailbox.record(action) }
+func (e *recordedExchange) CancelAttempt(number control.AttemptNumber) {
+	e.mailbox.record(control.CancelAttempt{ID: e.id, Attempt: number})
 }
 
-// testMailbox is a mailbox that records the actions executed. Timers of the module are disabled.
+// testMailbox is a mailbox that records the executed actions. Timers of the module are disabled.
 type testMailbox struct {
 	Mailbox[*recordedExchange]
 	loop      eventlooptest.Loop
 	actions   []control.Action
-	polls     int // how often AfterPoll was called
-	handled   int // how often the module was asked
+	polls     int // calls of AfterPoll
+	handled   int // calls of the module
 	onForward func(control.Forward)
 }
 
@@ -53,7 +50,7 @@
 // moduleStart is the time on the module's clock in all tests.
 const moduleStart = control.Time(1e6)
 
-// newRouter returns a module with one class, for engines that do both stages.
+// newRouter returns a module with one class, for colocated engines.
 func newRouter() *control.Router {
 	return control.New(control.Settings{
 		Identity: control.RouterIdentity{Routers: 1},
@@ -63,7 +60,7 @@
 	}, moduleStart)
 }
 
-// newTestMailbox returns a mailbox with exchanges of these ids.
+// newTestMailbox returns a mailbox with exchanges for the given requests.
 func newTestMailbox(t *testing.T, ids ...control.RequestID) *testMailbox {
 	t.Helper()
 	loop := eventlooptest.Start(t)
@@ -84,11 +81,12 @@
 	return m
 }
 
-// oneEngine lists one engine.
+// oneEngine returns an endpoint list of one engine.
 func oneEngine() control.EndpointUpdate {
 	return control.EndpointUpdate{Full: true, Endpoints: []control.Endpoint{{ID: 1, State: control.Ready, Weight: 1}}}
 }
 
+// newRequest returns a request that one engine can serve.
 func newRequest(id control.RequestID) control.Request {
 	return control.Request{ID: id, PromptTokens: 100, MaxTokens: 10, Deadline: moduleStart.Add(time.Minute)}
 }
@@ -103,7 +101,7 @@
 	return ids
 }
 
-// expectForwarded checks which requests were forwarded, in order, and forgets them.
+// expectForwarded checks which requests were forwarded, in order, and clears the record.
 func (m *testMailbox) expectForwarded(t *testing.T, want ...control.RequestID) {
 	t.Helper()
 	if got := m.forwardedIDs(); !slices.Equal(got, want) {
@@ -113,8 +111,8 @@
 }
 
 // TestEventsOfOneIterationReachModuleTogetherInOrder pushes events whose order matters: the engine
-// is listed before the requests come, and a client leaves after its request. A second module that
-// gets the same events in one call tells which actions must follow, in which order.
+// is listed before the requests arrive, and a client leaves after its request. A second module that
+// gets the same events in one call shows which actions must follow, in which order.
 func TestEventsOfOneIterationReachModuleTogetherInOrder(t *testing.T) {
 	m := newTestMailbox(t, 1, 2, 3, 4)
 	events := []control.Event{
@@ -125,11 +123,11 @@
 			m.Push(event)
 		}
 		if m.Len() != len(events) || m.handled != 0 {
-			t.Errorf("%d events wait, and the module was asked %d times before the iteration's end", m.Len(), m.handled)
+			t.Errorf("%d events wait, and the module was called %d times before the iteration's end", m.Len(), m.handled)
 		}
 	})
 	if m.handled != 1 || m.polls != 1 || m.Len() != 0 {
-		t.Errorf("module asked %d times, %d polls, %d events left; want 1, 1, 0", m.handled, m.polls, m.Len())
+		t.Errorf("module called %d times, %d polls, %d events left; want 1, 1, 0", m.handled, m.polls, m.Len())
 	}
 	var want []control.Action
 	for _, action := range newRouter().Handle(moduleStart, events) {
@@ -155,12 +153,12 @@
 		})
 	}
 	if m.handled != 0 || m.polls != 2 {
-		t.Errorf("module asked %d times in %d polls; want 0 in 2", m.handled, m.polls)
+		t.Errorf("module called %d times in %d polls; want 0 in 2", m.handled, m.polls)
 	}
 }
 
-// TestEventPushedByActionWaitsForNextPoll: an action's own event is neither lost nor handed over
-// in the call that caused it.
+// TestEventPushedByActionWaitsForNextPoll: an event that is pushed while actions are executed is
+// neither lost nor passed to the module in the same poll.
 func TestEventPushedByActionWaitsForNextPoll(t *testing.T) {
 	m := newTestMailbox(t, 1, 2)
 	var lenAfterPush int
@@ -176,11 +174,11 @@
 	})
 	m.expectForwarded(t, 1, 2)
 	if lenAfterPush != 1 || m.handled != 2 || m.polls != 2 {
-		t.Errorf("%d events waited, module asked %d times in %d polls; want 1, 2, 2", lenAfterPush, m.handled, m.polls)
+		t.Errorf("%d events waited, module called %d times in %d polls; want 1, 2, 2", lenAfterPush, m.handled, m.polls)
 	}
 }
 
-// TestBuffersReusedWithoutOldEvents: two buffers take turns, and hold no event that was handled.
+// TestBuffersReusedWithoutOldEvents: two buffers take turns, and keep no event that was handled.
 func TestBuffersReusedWithoutOldEvents(t *testing.T) {
 	m := newTestMailbox(t, 1, 2, 3)
 	m.loop.Do(func() {
@@ -195,7 +193,7 @@
 		}
 		for i, batch := range batches {
 			if cap(m.events) == 0 || &m.events[:1][0] != &buffers[i%2][0] {
-				t.Errorf("poll %d: events are gathered in another buffer", i)
+				t.Errorf("poll %d: events are collected in another buffer", i)
 			}
 			for _, event := range batch {
 				m.Push(event)
@@ -212,8 +210,8 @@
 	m.expectForwarded(t, 1, 2, 3)
 }
 
-// TestActionReachesItsExchangeUnlessGone: each action comes to the exchange that it names with its
-// values; one for an exchange that is gone is ignored.
+// TestActionReachesItsExchangeUnlessGone: each action reaches the exchange that it names, with its
+// values. One for an exchange that has ended is ignored.
 func TestActionReachesItsExchangeUnlessGone(t *testing.T) {
 	for _, open := range []control.Action{
 		control.Forward{ID: 1, Endpoint: 5, Timeout: time.Second},
@@ -231,10 +229,10 @@
 			m.actions = nil
 			m.loop.Do(func() {
 				delete(m.Exchanges, 1)
-				m.execute(open) // panics where it calls a method of a nil exchange
+				m.execute(open) // a call on a nil exchange would panic
 			})
 			if len(m.actions) != 0 {
-				t.Errorf("executed %v for an exchange that is gone", m.actions)
+				t.Errorf("executed %v for an exchange that has ended", m.actions)
 			}
 		})
 	}
@@ -259,8 +257,8 @@
 	}
 }
 
-// TestTimerPushesItsTokenUnlessDisabled: the module's timer becomes an event with its token, but
-// not after DisableTimers. A timer of the test's own that fires later sees what has been pushed.
+// TestTimerPushesItsTokenUnlessDisabled: a timer of the module pushes an event with its token, unless
+// DisableTimers was called. A later timer of the test shows what was pushed.
 func TestTimerPushesItsTokenUnlessDisabled(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		m := newTestMailbox(t)
