--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,10 +1,10 @@
-// Package proptest gives property tests written with pgregory.net/rapid fixed seeds, so that
-// plain go test reaches the same verdict each time. Test files import it for its effect:
+// Package proptest gives property tests written with pgregory.net/rapid a fixed seed, so that plain go
+// test has the same result each time. Test files import it for its side effect:
 //
 //	import _ "martenlock/internal/proptest"
 //
-// The command line and rapid's environment variables override what it sets; RAPID_SEED=0
-// draws fresh seeds.
+// The command line and rapid's environment variables override what it sets. RAPID_SEED=0 selects a
+// new seed each time.
 package proptest
 
 import (
@@ -15,19 +15,19 @@
 	_ "pgregory.net/rapid" // registers its flags
 )
 
-// Seed is the seed that property tests start from by default.
+// Seed is the default seed of property tests.
 const Seed = "20261202"
 
 func init() {
 	SetDefault("rapid.seed", Seed)
-	SetDefault("rapid.nofailfile", "true") // a fail file left in the tree would be replayed by later runs
+	SetDefault("rapid.nofailfile", "true") // later runs would replay a fail file left in the tree
 }
 
-// SetDefault sets the default of one of rapid's flags, unless rapid's environment variable of
-// that name sets it. It panics if there is no such flag or the value is invalid. It is to be
-// called before flags are parsed: from an init function.
+// SetDefault sets the default of one of rapid's flags, unless rapid's environment variable for it is set.
+// It panics if there is no such flag or the value is invalid. It must be called before flags are
+// parsed, from an init function.
 func SetDefault(name, value string) {
-	if _, ok := os.LookupEnv(environment(name)); ok {
+	if _, isSet := os.LookupEnv(environmentVariable(name)); isSet {
 		return
 	}
 	if err := flag.Set(name, value); err != nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// environment returns the name of the environment variable that sets a flag of rapid:
+// environmentVariable returns the name of the environment variable that sets a flag of rapid, such as
 // RAPID_SEED for rapid.seed.
-func environment(name string) string {
+func environmentVariable(name string) string {
 	return strings.ToUpper(strings.ReplaceAll(name, ".", "_"))
 }
--- a/internal/proptest/proptest_test.go
+++ b/internal/proptest/proptest_test.go
@@ -10,49 +10,76 @@
 	"testing"
 )
 
-// TestEveryPropertyTest: each package whose tests use rapid imports this one too; without it
-// they would draw on random seeds.
+// TestEveryPropertyTest: each package whose tests use rapid also imports this one. Without it they would use
+// random seeds.
 func TestEveryPropertyTest(t *testing.T) {
-	uses, fixed := map[string]bool{}, map[string]bool{}
-	err := filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
+	const (
+		rapidPath    = "pgregory.net/rapid"
+		proptestPath = "martenlock/internal/proptest"
+	)
+	importers := testImporters(t, "../..", rapidPath, proptestPath)
+
+	if len(importers[rapidPath]) == 0 {
+		t.Error("found no property tests")
+	}
+	for dir := range importers[rapidPath] {
+		if !importers[proptestPath][dir] {
+			t.Errorf("%s: tests use rapid and don't import internal/proptest", dir)
+		}
+	}
+}
+
+// testImporters returns the directories under root whose test files import each of the paths.
+func testImporters(t *testing.T, root string, paths ...string) map[string]map[string]bool {
+	t.Helper()
+	importers := map[string]map[string]bool{}
+	for _, path := range paths {
+		importers[path] = map[string]bool{}
+	}
+	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
 		if entry.IsDir() && entry.Name() == "node_modules" {
 			return filepath.SkipDir
 		}
-		if !strings.HasSuffix(path, "_test.go") {
+		if !strings.HasSuffix(name, "_test.go") {
 			return nil
 		}
-		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
-		if err != nil {
-			return err
-		}
-		for _, spec := range file.Imports {
-			switch imported, _ := strconv.Unquote(spec.Path.Value); imported {
-			case "pgregory.net/rapid":
-				uses[filepath.Dir(path)] = true
-			case "martenlock/internal/proptest":
-				fixed[filepath.Dir(path)] = true
+		imports, err := importsOf(name)
+		for _, imported := range imports {
+			if dirs := importers[imported]; dirs != nil {
+				dirs[filepath.Dir(name)] = true
 			}
 		}
-		return nil
+		return err
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(uses) == 0 {
-		t.Error("found no property tests")
+	return importers
+}
+
+// importsOf returns the import paths of a Go file.
+func importsOf(name string) ([]string, error) {
+	file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ImportsOnly)
+	if err != nil {
+		return nil, err
 	}
-	for dir := range uses {
-		if !fixed[dir] {
-			t.Errorf("%s: tests use rapid and don't import internal/proptest", dir)
+	var imports []string
+	for _, spec := range file.Imports {
+		path, err := strconv.Unquote(spec.Path.Value)
+		if err != nil {
+			return nil, err
 		}
+		imports = append(imports, path)
 	}
+	return imports, nil
 }
 
-func TestEnvironment(t *testing.T) {
-	if name := environment("rapid.nofailfile"); name != "RAPID_NOFAILFILE" {
-		t.Error(name)
+// TestEnvironmentVariable: flags are overridden by the variables that rapid documents.
+func TestEnvironmentVariable(t *testing.T) {
+	if name := environmentVariable("rapid.nofailfile"); name != "RAPID_NOFAILFILE" {
+		t.Errorf("rapid.nofailfile is set by %s", name)
 	}
 }
