--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -31,7 +31,7 @@
 // brokenStream is an answer up to its first event.
 var brokenStream = chunkedHead + chunk(first)
 
-// outcomeScenarios follow the table of outcomes in docs/platform.md. The class ask may be
+// outcomeScenarios follow the table of outcomes in docs/platform-design.md. The class ask may be
 // repeated, the class note may not.
 var outcomeScenarios = []scenario{
 	{name: "silence-after-first-event", script: decodeReplies(writesThenWaits(brokenStream))}, // the slowest begins first
--- a/internal/platform/outcome.go
+++ b/internal/platform/outcome.go
@@ -16,7 +16,7 @@
 }
 
 // classifyResponse returns the outcome of a response that is not a stream. rejected is set if the
-// engine marked the request as not executed. docs/platform.md has the table of outcomes.
+// engine marked the request as not executed. docs/platform-design.md has the table of outcomes.
 func classifyResponse(role control.Role, status int, rejected bool) responseOutcome {
 	switch {
 	case status == http.StatusAccepted && role != control.RoleDecode:
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestOutcomes is the table of docs/platform.md.
+// TestOutcomes is the table of outcomes in docs/platform-design.md.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		role     control.Role
