--- a/internal/fakeengine/conn.go
+++ b/internal/fakeengine/conn.go
@@ -12,19 +12,8 @@
 	"martenlock/internal/openai"
 )
 
-// limits bound what an engine reads: far above anything that the tests send.
-var limits = http1.Limits{Line: 8 << 10, Headers: 64 << 10, Fields: 200, Body: 64 << 20}
-
-// Content types of the answers.
-const (
-	contentTypeJSON   = "application/json"
-	contentTypeText   = "text/plain"
-	contentTypeBinary = "application/octet-stream"
-	contentTypeEvents = "text/event-stream; charset=utf-8"
-)
-
-// loadReportHeader carries the load report on every answer.
-const loadReportHeader = "endpoint-load-metrics"
+// httpLimits bound requests and responses. They are far above what demo and tests send.
+var httpLimits = http1.Limits{Line: 8 << 10, Headers: 64 << 10, Fields: 200, Body: 64 << 20}
 
 // conn is a connection to an engine. It implements eventloop.Handler.
 type conn struct {
@@ -32,41 +21,42 @@
 	socket *eventloop.Conn
 	parser *http1.Parser
 
-	// The request at hand.
+	// The current request.
 	method    string
 	path      string
-	requestID string // the router's
-	recordID  string // the client's, for the record
+	requestID string // the router's id
+	recordID  string // the client's id, by which events are recorded
 	body      []byte
-	job       *job // nil while none runs
+	job       *job // nil before and after execution
 
-	// unreadID is the record's id of a request that lies unread while the engine hangs.
+	// unreadID is the recordID of a request that has arrived and is not read because the engine hangs.
+	// It is "" for none.
 	unreadID string
 }
 
-// accept takes in a new connection.
+// accept returns the handler of a new connection.
 func (e *Engine) accept(socket *eventloop.Conn) eventloop.Handler {
-	k := &conn{engine: e, socket: socket, parser: http1.NewRequests(&limits)}
-	e.conns[k] = struct{}{}
-	return k
+	c := &conn{engine: e, socket: socket, parser: http1.NewRequests(&httpLimits)}
+	e.conns[c] = struct{}{}
+	return c
 }
 
-// Opened implements eventloop.Handler.
-func (k *conn) Opened(*eventloop.Conn) {}
+// Opened implements eventloop.Handler. It is not called: the connection was accepted.
+func (c *conn) Opened(*eventloop.Conn) {}
 
-// Data implements eventloop.Handler. It reads up to the end of a request and pauses the
-// connection until the request is answered.
-func (k *conn) Data(socket *eventloop.Conn, data []byte) int {
+// Data implements eventloop.Handler. It reads up to the end of a request and then pauses the connection
+// until the request is finished.
+func (c *conn) Data(socket *eventloop.Conn, data []byte) int {
 	total := 0
-	for k.job == nil {
-		if k.engine.fault.Hang {
-			k.recordUnread(data[total:])
+	for c.job == nil {
+		if c.engine.fault.Hang {
+			c.recordUnread(data[total:])
 			break
 		}
-		used, kind, part, err := k.parser.Next(data[total:])
+		used, kind, part, err := c.parser.Next(data[total:])
 		total += used
 		if err != nil {
-			k.answer(response{status: err.Status, contentType: contentTypeText, body: []byte(err.Reason)})
+			c.respond(response{status: err.Status, contentType: contentTypeText, body: []byte(err.Reason)})
 			socket.Close()
 			return len(data)
 		}
@@ -74,44 +64,44 @@
 		case http1.NeedMore:
 			return total
 		case http1.HeadDone:
-			k.takeHead(&k.parser.Head)
+			c.beginRequest(&c.parser.Head)
 		case http1.Data:
-			k.body = append(k.body, part...)
+			c.body = append(c.body, part...)
 		case http1.End:
-			k.serve()
+			c.handleRequest()
 		}
 	}
 	socket.Pause()
 	return total
 }
 
-// EOF implements eventloop.Handler: the peer cancels. That shows though the engine hangs.
-func (k *conn) EOF(socket *eventloop.Conn) {
-	k.drop()
+// EOF implements eventloop.Handler. The peer cancels its request, which even a hung engine notices.
+func (c *conn) EOF(socket *eventloop.Conn) {
+	c.detach()
 	socket.Close()
 }
 
-// Closed implements eventloop.Handler.
-func (k *conn) Closed(*eventloop.Conn, error) { k.drop() }
+// Closed implements eventloop.Handler. It cancels the current request.
+func (c *conn) Closed(*eventloop.Conn, error) { c.detach() }
 
-// Writable implements eventloop.Handler: a stream goes on that waited for a slow peer.
-func (k *conn) Writable(*eventloop.Conn) {
-	if k.job != nil && k.job.isOutputFull {
-		k.job.isOutputFull = false
-		k.job.decodeToken()
+// Writable implements eventloop.Handler. It continues a stream that waited for a slow peer.
+func (c *conn) Writable(*eventloop.Conn) {
+	if c.job != nil && c.job.isOutputFull {
+		c.job.isOutputFull = false
+		c.job.decodeToken()
 	}
 }
 
-// takeHead takes in a request's head.
-func (k *conn) takeHead(head *http1.Head) {
-	k.body = nil
-	k.method = string(head.Method)
-	k.path = string(head.Target)
-	k.requestID = string(head.Get("x-request-id"))
-	k.recordID = recordID(head)
+// beginRequest starts a request with its head.
+func (c *conn) beginRequest(head *http1.Head) {
+	c.body = nil
+	c.method = string(head.Method)
+	c.path = string(head.Target)
+	c.requestID = string(head.Get("x-request-id"))
+	c.recordID = recordID(head)
 }
 
-// recordID returns the id of a request, or of a part of one, in the record.
+// recordID returns the id by which events of a request are recorded. A shard has an id of its own.
 func recordID(head *http1.Head) string {
 	id := string(head.Get("x-client-request-id"))
 	part := string(head.Get("x-request-part"))
@@ -121,121 +111,71 @@
 	return id
 }
 
-// recordUnread records a request that has come to the socket of an engine that hangs: to its
-// router it is an attempt like any other.
-func (k *conn) recordUnread(data []byte) {
-	if k.unreadID != "" {
+// recordUnread records the attempt of a request that has arrived at a hung engine. For the router it is
+// an attempt like any other.
+func (c *conn) recordUnread(data []byte) {
+	if c.unreadID != "" {
 		return
 	}
-	parser := http1.NewRequests(&limits)
+	parser := http1.NewRequests(&httpLimits)
 	_, kind, _, err := parser.Next(data)
 	if err != nil || kind != http1.HeadDone || string(parser.Head.Method) != http.MethodPost {
 		return
 	}
-	k.unreadID = recordID(&parser.Head)
-	if k.unreadID != "" {
-		k.engine.observe(invariant.AttemptBegan, k.unreadID, 0)
+	c.unreadID = recordID(&parser.Head)
+	if c.unreadID != "" {
+		c.engine.observe(invariant.AttemptBegan, c.unreadID, 0)
 	}
 }
 
-// serve answers the request at hand, or begins its job.
-func (k *conn) serve() {
-	kvPrefix, kvID, isKVPath := strings.Cut(k.path, kvPath)
-	api, isAPI := openai.APIByPath(k.path)
-	isGet := k.method == http.MethodGet
-	isPost := k.method == http.MethodPost
+// handleRequest responds to the current request, or starts its job.
+func (c *conn) handleRequest() {
+	kvPrefix, kvID, isKVPath := strings.Cut(c.path, kvPath)
+	api, isAPI := openai.APIByPath(c.path)
+	isGet := c.method == http.MethodGet
+	isPost := c.method == http.MethodPost
 	switch {
-	case isGet && k.path == "/health":
-		k.answer(emptyObject)
+	case isGet && c.path == "/health":
+		c.respond(emptyObject)
 	case isGet && isKVPath && kvPrefix == "":
-		k.serveKVState(kvID)
-	case isPost && k.path == "/abort_requests":
-		k.abortRequests()
+		c.serveKVState(kvID)
+	case isPost && c.path == "/abort_requests":
+		c.abortRequests()
 	case isPost && isAPI:
-		k.startJob(api)
+		c.startJob(api)
 	default:
-		k.answer(notFound)
-	}
-}
-
-// abortRequests cancels the requests that the body lists.
-func (k *conn) abortRequests() {
-	for _, id := range gjson.GetBytes(k.body, "request_ids").Array() {
-		k.engine.abort(id.Str)
-	}
-	k.answer(emptyObject)
-}
-
-// abort releases a request's KV state and ends what runs for it here.
-func (e *Engine) abort(requestID string) {
-	e.kvStore.release(requestID)
-	for k := range e.conns {
-		if k.job != nil && k.job.requestID == requestID {
-			k.socket.Abort()
-			k.drop()
-		}
+		c.respond(notFound)
 	}
 }
 
-// response is a whole answer.
-type response struct {
-	status      int
-	contentType string
-	header      string // further header lines, each with its line end
-	body        []byte
-}
-
-var (
-	emptyObject = response{status: http.StatusOK, contentType: contentTypeJSON, body: []byte("{}")}
-	notFound    = response{status: http.StatusNotFound, contentType: contentTypeText}
-)
-
-// answer writes a whole answer.
-func (k *conn) answer(r response) {
-	head := k.appendHead(nil, r.status, r.contentType)
-	head = append(head, r.header...)
-	k.socket.Write(http1.AppendContentLength(head, len(r.body)))
-	k.socket.WriteRef(r.body)
-}
-
-// appendHead appends the head's lines that every answer has.
-func (k *conn) appendHead(head []byte, status int, contentType string) []byte {
-	head = http1.AppendStatus(head, status)
-	head = http1.AppendField(head, "Content-Type", contentType)
-	return http1.AppendField(head, loadReportHeader, k.engine.loadReport())
-}
-
-// fail answers with an error and ends the request at hand.
-func (k *conn) fail(status int, code, message string) {
-	failure := openai.Error{Status: status, Message: message, Type: "server_error", Code: code}
-	r := response{status: status, contentType: contentTypeJSON, body: failure.AppendJSON(nil)}
-	if status == http.StatusServiceUnavailable {
-		r.header = "Retry-After: 1\r\n"
+// abortRequests cancels the requests that the body lists, in the form of vLLM's abort_requests.
+func (c *conn) abortRequests() {
+	for _, id := range gjson.GetBytes(c.body, "request_ids").Array() {
+		c.engine.abort(id.Str)
 	}
-	k.answer(r)
-	k.done()
+	c.respond(emptyObject)
 }
 
-// done ends the request at hand and reads the next one.
-func (k *conn) done() {
-	k.job = nil
-	k.socket.Resume()
+// finishRequest ends the current request and reads the next one.
+func (c *conn) finishRequest() {
+	c.job = nil
+	c.socket.Resume()
 }
 
-// reset resets the connection.
-func (k *conn) reset() {
-	k.drop()
-	k.socket.Reset()
+// reset resets the connection and cancels its request.
+func (c *conn) reset() {
+	c.detach()
+	c.socket.Reset()
 }
 
-// drop ends what runs for a connection that is no more.
-func (k *conn) drop() {
-	delete(k.engine.conns, k)
-	if k.job != nil {
-		k.job.finish()
-		k.job = nil
-	} else if k.unreadID != "" {
-		k.engine.observe(invariant.AttemptEnded, k.unreadID, 0)
+// detach removes the connection from its engine and cancels its request. It may be called again.
+func (c *conn) detach() {
+	delete(c.engine.conns, c)
+	if c.job != nil {
+		c.job.finish()
+		c.job = nil
+	} else if c.unreadID != "" {
+		c.engine.observe(invariant.AttemptEnded, c.unreadID, 0)
 	}
-	k.unreadID = ""
+	c.unreadID = ""
 }
--- a/internal/fakeengine/counters.go
+++ b/internal/fakeengine/counters.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// counters count what an engine did, over all its processes.
+// counters count what an engine has done. They are kept over restarts.
 type counters struct {
 	served       int
-	fetchedBytes int // of KV states, as a decode engine
+	fetchedBytes int // of KV states
 }
 
-// Stats is what an engine has done and holds.
+// Stats are the counters of an engine and its current state.
 type Stats struct {
-	Served         int // requests answered, and KV states handed out
-	FetchedKVBytes int // bytes of KV states, as a decode engine
-	RetainedStates int // KV states retained
-	Running        int // requests that decode
-	Waiting        int // requests that wait for their prefill or a slot
+	Served         int // requests served (of a prefill engine: KV states fetched by others)
+	FetchedKVBytes int // bytes of KV states that this engine fetched
+	RetainedStates int // KV states
+	Running        int // requests with a decode slot
+	Waiting        int // requests in prefill or waiting for it or for a slot
 	Conns          int // open connections
 }
 
-// Stats returns what the engine has done and holds.
+// Stats returns the engine's counters and current state.
 func (e *Engine) Stats() (stats Stats) {
 	e.cluster.do(func() {
 		stats = Stats{
@@ -33,7 +33,7 @@
 	return stats
 }
 
-// loadReport returns an ORCA load report in its TEXT form.
+// loadReport returns an ORCA load report in TEXT format.
 func (e *Engine) loadReport() string {
 	running := e.scheduler.running + e.scheduler.prefilling
 	kvUsage := float64(e.scheduler.running+len(e.kvStore.states)) / float64(max(e.Spec.DecodeSlots, 1))
--- a/internal/fakeengine/embeddings.go
+++ b/internal/fakeengine/embeddings.go
@@ -11,12 +11,12 @@
 	"github.com/tidwall/gjson"
 )
 
-// embeddings returns the answer of an embeddings request: vectors of unit length, roughly,
-// that depend on their input alone.
+// embeddings returns the body of the response to an embeddings request. The vectors depend on their
+// input only and have a length of about 1. They are malformed if the engine's fault says so.
 func (j *job) embeddings() []byte {
 	inputs := embeddingInputs(j.body)
-	malformed := j.engine.fault.MalformedEmbeddings
-	if malformed == embeddingMissing {
+	defect := j.engine.fault.EmbeddingDefect
+	if defect == EmbeddingMissing {
 		inputs = inputs[1:]
 	}
 	dimensions := j.dimensions()
@@ -27,23 +27,23 @@
 			out = append(out, ',')
 		}
 		length := dimensions
-		if malformed == embeddingTooLong && i == len(inputs)-1 {
+		if defect == EmbeddingTooLong && i == len(inputs)-1 {
 			length++
 		}
 		vector := embedding(input.Raw, dimensions, length)
 		out = fmt.Appendf(out, `{"object":"embedding","index":%d,"embedding":`, i)
 		if isBase64 {
-			out = appendBase64(out, vector, malformed)
+			out = appendBase64(out, vector, defect)
 		} else {
-			out = appendFloats(out, vector, malformed)
+			out = appendFloats(out, vector, defect)
 		}
 		out = append(out, '}')
 	}
-	prompt := int(j.call.PromptTokens)
-	return fmt.Appendf(out, `],"model":%q,"usage":{"prompt_tokens":%d,"total_tokens":%d}}`, j.call.Model, prompt, prompt)
+	prompt := int(j.request.PromptTokens)
+	return fmt.Appendf(out, `],"model":%q,"usage":{"prompt_tokens":%d,"total_tokens":%d}}`, j.request.Model, prompt, prompt)
 }
 
-// embeddingInputs returns a request's inputs: a text, texts, tokens, or lists of tokens.
+// embeddingInputs returns the inputs of a request. A list of tokens is one input.
 func embeddingInputs(body []byte) []gjson.Result {
 	input := gjson.GetBytes(body, "input")
 	if !input.IsArray() {
@@ -56,7 +56,7 @@
 	return input.Array()
 }
 
-// dimensions returns how many dimensions the embeddings of a request have.
+// dimensions returns the number of dimensions of the embeddings, which a request may set.
 func (j *job) dimensions() int {
 	requested := int(gjson.GetBytes(j.body, "dimensions").Int())
 	if requested > 0 {
@@ -65,10 +65,12 @@
 	return max(j.engine.Spec.Dimensions, 1)
 }
 
-// embedding returns the vector of an input, scaled for so many dimensions, of a length.
+// embedding returns the vector of an input. It has length elements, scaled for a vector with the given
+// number of dimensions.
 func embedding(input string, dimensions, length int) []float32 {
 	const (
-		multiplier = 6364136223846793005 // of Knuth's MMIX generator, as the increment
+		// The parameters of Knuth's MMIX generator.
+		multiplier = 6364136223846793005
 		increment  = 1442695040888963407
 	)
 	scale := float32(math.Sqrt(float64(dimensions)))
@@ -81,13 +83,13 @@
 	return vector
 }
 
-// appendFloats appends a vector as a JSON list.
-func appendFloats(out []byte, vector []float32, malformed string) []byte {
+// appendFloats appends a vector as a JSON array.
+func appendFloats(out []byte, vector []float32, defect EmbeddingDefect) []byte {
 	separator := byte('[')
 	for _, value := range vector {
 		out = append(out, separator)
 		out = strconv.AppendFloat(out, float64(value), 'g', -1, 32)
-		if malformed == embeddingInfinite {
+		if defect == EmbeddingInfinite {
 			out = append(out, "e999"...)
 		}
 		separator = ','
@@ -95,9 +97,9 @@
 	return append(out, ']')
 }
 
-// appendBase64 appends a vector as base64 of its little-endian floats.
-func appendBase64(out []byte, vector []float32, malformed string) []byte {
-	if malformed == embeddingNoBase64 {
+// appendBase64 appends a vector as a JSON string: base64 of its little-endian floats.
+func appendBase64(out []byte, vector []float32, defect EmbeddingDefect) []byte {
+	if defect == EmbeddingInvalidBase64 {
 		return append(out, `"a*b"`...)
 	}
 	raw := make([]byte, 0, 4*len(vector))
--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -9,27 +9,28 @@
 	"martenlock/internal/invariant"
 )
 
-// Engine is one emulated engine. All fields but Spec belong to the event loop.
+// Engine is one emulated engine. Its methods may be called from any goroutine. All fields except Spec
+// belong to the event loop.
 type Engine struct {
 	Spec     Spec
 	cluster  *Cluster
 	listener *eventloop.Listener // nil while its process is dead
 	conns    map[*conn]struct{}
 	fault    Fault
-	// failureDebt is the share of a failure that the requests so far owe to the fault's error rate.
-	failureDebt float64
-	// coldSince is the start of its process, where that began in slow start.
-	coldSince time.Duration
+
+	// accumulatedFailures is the sum of the fault's error rate over the requests, less the requests
+	// that have failed by it. Each request that raises it to 1 fails.
+	accumulatedFailures float64
+
+	startedAt   time.Duration // start of its process, in time of the event loop
+	startedCold bool          // its process started in slow start
 
 	scheduler scheduler
 	kvStore   kvStore
 	counters  counters
 }
 
-// atFullSpeed is the coldSince of an engine that began at full speed.
-const atFullSpeed = -1
-
-// newEngine returns an engine whose process has not been started.
+// newEngine returns an engine whose process is not running.
 func newEngine(c *Cluster, spec Spec) *Engine {
 	e := &Engine{Spec: spec, cluster: c}
 	e.scheduler.engine = e
@@ -37,7 +38,7 @@
 	return e
 }
 
-// start starts the engine's process.
+// start starts the engine's process, in slow start if cold is set.
 func (e *Engine) start(cold bool) error {
 	listener, err := e.cluster.loop.Listen(e.Spec.Listen, e.accept)
 	if err != nil {
@@ -48,9 +49,9 @@
 	e.conns = map[*conn]struct{}{}
 	e.kvStore.reset()
 	e.scheduler.reset()
-	e.coldSince = atFullSpeed
+	e.startedAt = e.cluster.loop.Now()
+	e.startedCold = cold
 	if cold {
-		e.coldSince = e.cluster.loop.Now()
 		e.observe(invariant.EngineStarted, "", 0)
 	}
 	return nil
@@ -59,7 +60,8 @@
 // Addr returns the address at which the engine listens.
 func (e *Engine) Addr() netip.AddrPort { return e.Spec.Listen }
 
-// Kill ends the engine's process: its connections are reset, its KV states lost.
+// Kill ends the engine's process. Its connections are reset and its KV states are lost. It does nothing
+// if the process is not running.
 func (e *Engine) Kill() { e.cluster.do(e.kill) }
 
 // kill ends the engine's process, on the event loop.
@@ -70,16 +72,16 @@
 	e.listener.Close()
 	e.listener = nil
 	e.scheduler.dropQueue()
-	for k := range e.conns {
-		k.reset()
+	for c := range e.conns {
+		c.reset()
 	}
 	e.observe(invariant.EngineDied, "", 0)
 	e.conns = nil
 	e.kvStore.lose()
 }
 
-// Restart starts the engine's process anew at the same address, in slow start and without a
-// fault. Of a process that still runs it only ends the fault.
+// Restart starts the engine's process again, at the same address, in slow start and without a fault.
+// If the process is still running, Restart only clears the fault.
 func (e *Engine) Restart() (err error) {
 	e.cluster.do(func() {
 		if e.fault.Hang {
@@ -93,11 +95,22 @@
 	return err
 }
 
-// requestIDSeparator separates the ids in the request id of a call for several requests.
+// abort releases the KV state of a request and ends its job on this engine.
+func (e *Engine) abort(requestID string) {
+	e.kvStore.release(requestID)
+	for c := range e.conns {
+		if c.job != nil && c.job.requestID == requestID {
+			c.socket.Abort()
+			c.detach()
+		}
+	}
+}
+
+// requestIDSeparator separates the ids of the requests of a batch.
 const requestIDSeparator = ", "
 
-// observe records an event of a request, or of the engine if requestID is empty. A call for
-// several requests is an attempt of each, with an equal share of the work.
+// observe records an event of a request, or of the engine if requestID is "". An event of a batch is
+// recorded for each of its requests, with an equal share of the work.
 func (e *Engine) observe(kind invariant.Kind, requestID string, work float64) {
 	if e.cluster.recording == nil {
 		return
@@ -108,11 +121,11 @@
 	}
 }
 
-// speed returns the share of its full speed at which the engine runs now.
+// speed returns the engine's current speed, as a share of its full speed.
 func (e *Engine) speed() float64 {
 	share := 1.0
-	if e.coldSince >= 0 && e.Spec.SlowStartDuration > 0 {
-		progress := (e.cluster.loop.Now() - e.coldSince).Seconds() / e.Spec.SlowStartDuration.Seconds()
+	if e.startedCold && e.Spec.SlowStartDuration > 0 {
+		progress := (e.cluster.loop.Now() - e.startedAt).Seconds() / e.Spec.SlowStartDuration.Seconds()
 		share = e.Spec.SlowStartInitialSpeed + (1-e.Spec.SlowStartInitialSpeed)*min(progress, 1)
 	}
 	return share / max(e.fault.SlowdownFactor, 1)
--- a/internal/fakeengine/fakeengine.go
+++ b/internal/fakeengine/fakeengine.go
@@ -1,15 +1,14 @@
-// Package fakeengine emulates inference engines for the demo, the tests and the benchmarks.
-// They answer in the published forms (OpenAI's API, rerank, vLLM's disaggregated prefill, ORCA
-// load reports) with made-up content, take the time that a simple formula gives, and fail as
-// they are told.
+// Package fakeengine emulates inference engines for the demo, the tests and the benchmarks. They respond
+// in the published formats (OpenAI's API, rerank, vLLM's disaggregated prefill, ORCA load reports) with
+// made-up content. A simple formula gives their speed, and a Fault makes them fail.
 //
-// A prefill engine retains KV state as bytes and hands them to the decode engine over a socket
-// of its own; the decode engine checks them, so a state that did not arrive whole shows.
+// A prefill engine retains KV states as bytes. The decode engine fetches them over a connection of its
+// own and checks a hash, so a test notices a state that did not arrive whole.
 //
-// They are no model of a real engine's speed: prefills run one after another at a fixed rate,
-// tokens come at a fixed interval however many requests run, nothing is batched, preempted or
-// cached, and KV memory is counted by states and not by bytes. A figure measured with them says
-// something of the router in front, nothing of an engine.
+// The engines do not model the speed of real ones. Prefills run one after another at a fixed rate, and
+// tokens come at a fixed interval regardless of load. Nothing is batched, preempted or cached, and KV
+// memory is counted in states, not in bytes. Figures measured with them describe the router, not an
+// engine.
 package fakeengine
 
 import (
@@ -21,41 +20,41 @@
 	"martenlock/internal/invariant"
 )
 
-// Spec says what an engine is and how fast.
+// Spec describes an engine and its speed.
 type Spec struct {
 	Name, Kind, Pool, Zone, Cell string
 	Role                         control.Role
-	Listen                       netip.AddrPort // port 0 lets the kernel pick one, kept over restarts
-	PrefillTokensPerSecond       float64        // prompt tokens prefilled a second
-	TokenInterval                time.Duration  // between two tokens of an answer
-	DecodeSlots                  int            // requests that decode at once
-	MaxWaiting                   int            // requests that wait for their prefill or a slot
-	AnswerTokens                 int            // tokens of an answer, if the request allows so many
+	Listen                       netip.AddrPort // with port 0 the kernel chooses one, which is kept over restarts
+	PrefillTokensPerSecond       float64        // of the prompt
+	TokenInterval                time.Duration  // between two tokens of a response
+	DecodeSlots                  int            // most requests that decode at once
+	MaxWaiting                   int            // most requests in prefill or waiting for it or for a slot
+	AnswerTokens                 int            // tokens of a response, unless the request has a lower limit
 	Dimensions                   int            // of embeddings
-	SlowStartInitialSpeed        float64        // share of its speed at the begin of a slow start
-	SlowStartDuration            time.Duration  // length of a slow start
+	SlowStartInitialSpeed        float64        // share of the full speed at the start of a slow start
+	SlowStartDuration            time.Duration  // until the engine is warmed up
 }
 
-// Texts in a request that make any engine fail, whatever its fault.
+// Texts in a request that make any engine fail, also one without a fault.
 const (
-	RejectMarker = "REFUSE ME" // it answers 400
-	CrashMarker  = "CRASH ME"  // its process ends
+	RejectMarker = "REFUSE ME" // the engine responds with status 400
+	CrashMarker  = "CRASH ME"  // the engine's process ends
 )
 
-// maxPendingOutput bounds what an engine's connection buffers for a slow peer, in bytes.
+// maxPendingOutput is the most bytes that a connection buffers for a slow peer.
 const maxPendingOutput = 64 << 20
 
 // Cluster is a set of engines that share an event loop.
 type Cluster struct {
 	loop      *eventloop.Loop
-	recording *invariant.Recording
-	clock     func() time.Duration
+	recording *invariant.Recording // nil for none
+	clock     func() time.Duration // for the times of recorded events
 	engines   map[string]*Engine
 	loopEnded chan error
 }
 
-// NewCluster starts an event loop for engines. What they observe goes to the recording, which
-// may be nil, with times of the clock.
+// NewCluster starts an event loop for engines on a goroutine of its own; Close ends it. Events of the
+// engines are recorded with times of clock, unless recording is nil.
 func NewCluster(recording *invariant.Recording, clock func() time.Duration) (*Cluster, error) {
 	loop, err := eventloop.New(eventloop.Options{MaxUnsentBytes: maxPendingOutput})
 	if err != nil {
@@ -72,7 +71,7 @@
 	return c, nil
 }
 
-// Start starts an engine and returns it, in slow start if it is cold.
+// Start starts an engine and returns it. The engine starts in slow start if cold is set.
 func (c *Cluster) Start(spec Spec, cold bool) (*Engine, error) {
 	e := newEngine(c, spec)
 	var err error
@@ -85,13 +84,13 @@
 	return e, err
 }
 
-// Close ends all engines and returns the event loop's error.
+// Close stops the event loop and with it all engines. It returns the loop's error.
 func (c *Cluster) Close() error {
 	c.loop.Post(c.loop.Stop)
 	return <-c.loopEnded
 }
 
-// do runs a function on the event loop and waits for its end.
+// do runs task on the event loop and waits until it has returned.
 func (c *Cluster) do(task func()) {
 	done := make(chan struct{})
 	c.loop.Post(func() {
--- a/internal/fakeengine/fault.go
+++ b/internal/fakeengine/fault.go
@@ -6,30 +6,41 @@
 	"martenlock/internal/invariant"
 )
 
-// Fault is what is wrong with an engine now; the zero Fault is nothing.
+//go:generate go tool stringer -linecomment -type=EmbeddingDefect -output=enum_string.go
+
+// Fault is what is wrong with an engine. The zero Fault is none.
 type Fault struct {
-	Hang                bool          // accepts connections, reads and answers nothing; its sockets stay open
-	ErrorRate           float64       // this share of requests fails with 500
-	RejectAll           bool          // rejects everything
-	KVUnavailable       bool          // says that KV state can't be fetched
-	ResetBefore         bool          // resets the connection instead of executing a request
-	ResetAfter          int           // resets it after so many tokens; 0 for never, -1 for before the first though it was executed
-	StallAfter          int           // sends nothing more after so many tokens; 0 for never
-	SlowdownFactor      float64       // takes so many times longer; 0 and 1 for not
-	PrefillDelay        time.Duration // added to each prefill, embedding and rerank, during which others go on
-	MalformedEmbeddings string        // embeddings are malformed: "short", "long", "inf" or "base64"
-	AnswersLost         bool          // executes requests, but its answers never arrive
+	Hang            bool          // accepts connections but reads and sends nothing; open connections stay open
+	ErrorRate       float64       // share of the requests that fail with status 500
+	RejectAll       bool          // rejects all requests with status 503
+	KVUnavailable   bool          // reports that KV states can't be fetched
+	ResetBefore     bool          // resets the connection in place of executing a request
+	ResetAfter      int           // resets the connection after this many tokens; 0 for never, -1 for after execution but before the first token
+	StallAfter      int           // sends nothing more after this many tokens; 0 for never
+	SlowdownFactor  float64       // multiplies all times; 0 and 1 for full speed
+	PrefillDelay    time.Duration // after each prefill, embeddings or rerank request; others proceed meanwhile
+	EmbeddingDefect EmbeddingDefect
+	AnswersLost     bool // executes requests but sends no response
 }
 
-// How embeddings are malformed.
+// EmbeddingDefect is how the responses to embeddings requests are malformed.
+type EmbeddingDefect uint8
+
+// The defects of embeddings.
 const (
-	embeddingMissing  = "short"  // one embedding is missing
-	embeddingTooLong  = "long"   // the last one has a dimension too many
-	embeddingInfinite = "inf"    // numbers are out of a float's range
-	embeddingNoBase64 = "base64" // the text is not base64
+	// EmbeddingIntact is no defect.
+	EmbeddingIntact EmbeddingDefect = iota // intact
+	// EmbeddingMissing leaves out one embedding.
+	EmbeddingMissing // short
+	// EmbeddingTooLong gives the last embedding an additional dimension.
+	EmbeddingTooLong // long
+	// EmbeddingInfinite makes all elements exceed the range of a float.
+	EmbeddingInfinite // inf
+	// EmbeddingInvalidBase64 makes embeddings in base64 undecodable.
+	EmbeddingInvalidBase64 // base64
 )
 
-// hangPollInterval is how often a job of an engine that hangs looks whether it still does.
+// hangPollInterval is the interval at which a job of a hung engine checks whether it may proceed.
 const hangPollInterval = 20 * time.Millisecond
 
 // SetFault replaces the engine's fault.
@@ -46,35 +57,35 @@
 	})
 }
 
-// resume reads from the sockets again after the engine hung.
+// resume reads from all connections again after the engine has hung.
 func (e *Engine) resume() {
 	e.observe(invariant.EngineResumed, "", 0)
-	for k := range e.conns {
-		k.socket.Resume()
+	for c := range e.conns {
+		c.socket.Resume()
 	}
 }
 
-// takeFailure counts a request and tells whether it is one that fails by the fault's error rate.
-func (e *Engine) takeFailure() bool {
-	e.failureDebt += e.fault.ErrorRate
-	isDue := e.failureDebt >= 1
-	if isDue {
-		e.failureDebt--
+// countFailure counts a request and reports whether it fails by the fault's error rate.
+func (e *Engine) countFailure() bool {
+	e.accumulatedFailures += e.fault.ErrorRate
+	fails := e.accumulatedFailures >= 1
+	if fails {
+		e.accumulatedFailures--
 	}
-	return isDue
+	return fails
 }
 
-// resetsAfter tells whether the connection of an answer is reset after so many tokens.
+// resetsAfter reports whether the connection is reset once this many tokens were sent.
 func (f *Fault) resetsAfter(tokens int) bool {
 	return f.ResetAfter != 0 && tokens >= max(f.ResetAfter, 0)
 }
 
-// isSilentAfter tells whether nothing more of an answer is sent after so many tokens.
-func (f *Fault) isSilentAfter(tokens int) bool {
+// stallsAfter reports whether nothing is sent once this many tokens were sent.
+func (f *Fault) stallsAfter(tokens int) bool {
 	return f.AnswersLost || f.StallAfter > 0 && tokens >= f.StallAfter
 }
 
-// waitWhileHung repeats a step of the job later, when the engine may not hang any more.
+// waitWhileHung repeats a step of the job after hangPollInterval.
 func (j *job) waitWhileHung(step func()) {
 	j.timer.Fire = step
 	j.engine.cluster.loop.StartTimer(&j.timer, hangPollInterval)
--- a/internal/fakeengine/generation.go
+++ b/internal/fakeengine/generation.go
@@ -12,45 +12,47 @@
 	"martenlock/internal/openai"
 )
 
-// unpacedBurstTokens is how many tokens an engine without an interval between tokens sends
-// before it lets other connections have their turn.
+// unpacedBurstTokens is the number of tokens that an engine with a TokenInterval of 0 sends before other
+// connections are served.
 const unpacedBurstTokens = 64
 
-// vocabulary is the text of every answer, repeated.
+// vocabulary is the text of every response, repeated as needed. Each word is a token.
 var vocabulary = strings.Fields("snow on the roof and ice in the pipe keep the boiler warm until the crew has come over the hill")
 
-// completePrefill ends a job's prefill. For an embedding or a rerank that is all there is to do.
+// completePrefill ends a job's prefill and continues with its next stage. Embeddings and rerank requests
+// have no other stage and are answered.
 func (j *job) completePrefill() {
 	if j.engine.fault.Hang {
 		j.waitWhileHung(j.completePrefill)
 		return
 	}
-	j.engine.scheduler.prefillDone(j)
+	j.engine.scheduler.endPrefill(j)
 	switch {
-	case j.call.API == openai.Embeddings:
+	case j.request.API == openai.Embeddings:
 		j.observe(invariant.Executed)
-		j.reply(j.embeddings())
-	case j.call.API == openai.Rerank:
+		j.respond(j.embeddings())
+	case j.request.API == openai.Rerank:
 		j.observe(invariant.Executed)
-		j.reply(j.rerank())
+		j.respond(j.rerank())
 	case j.stage == control.RolePrefill:
-		j.handOver()
+		j.respondWithKVState()
 	default:
 		j.engine.scheduler.addDecode(j)
 	}
 }
 
-// handOver retains the prefill's KV state and answers where a decode engine fetches it.
-func (j *job) handOver() {
+// respondWithKVState retains the KV state of a prefill and responds with where to fetch it.
+func (j *job) respondWithKVState() {
 	state := newKVState(j)
 	j.engine.kvStore.retain(j, state)
 	if j.engine.fault.AnswersLost {
 		return
 	}
-	j.reply(j.prefillResponse(state))
+	j.respond(j.prefillResponse(state))
 }
 
-// startDecode fetches the KV state, if another engine has it, and decodes.
+// startDecode starts the decode of a job that has a slot. If another engine has the KV state, it is
+// fetched first.
 func (j *job) startDecode() {
 	if j.stage == control.RoleDecode {
 		j.startKVFetch()
@@ -59,13 +61,13 @@
 	j.decode()
 }
 
-// decode begins to decode: from here on the request counts as executed.
+// decode makes the first token. From here on the request counts as executed.
 func (j *job) decode() {
 	j.observe(invariant.Executed)
 	j.decodeToken()
 }
 
-// decodeToken makes the next token and waits for the one after it.
+// decodeToken makes the next token and schedules the one after it, or ends the response.
 func (j *job) decodeToken() {
 	fault := &j.engine.fault
 	switch {
@@ -75,24 +77,24 @@
 	case fault.resetsAfter(j.tokensSent):
 		j.conn.reset()
 		return
-	case fault.isSilentAfter(j.tokensSent):
+	case fault.stallsAfter(j.tokensSent):
 		return
 	}
-	if j.call.Stream {
+	if j.request.Stream {
 		j.streamToken()
 	}
 	j.tokensSent++
 	switch {
 	case j.tokensSent < j.tokensWanted:
 		j.awaitNextToken()
-	case j.call.Stream:
+	case j.request.Stream:
 		j.endStream()
 	default:
-		j.reply(j.completion())
+		j.respond(j.completion())
 	}
 }
 
-// awaitNextToken makes the next token when it is due and the connection can take it.
+// awaitNextToken schedules the next token for when it is due and the connection is writable.
 func (j *job) awaitNextToken() {
 	spec := &j.engine.Spec
 	isOutputFull := j.conn.socket.AboveHighWaterMark()
@@ -107,31 +109,31 @@
 	}
 }
 
-// streamToken sends a token, the first one behind the stream's head.
+// streamToken sends the current token. The first is preceded by the head of the response.
 func (j *job) streamToken() {
 	if !j.streamStarted {
 		j.streamStarted = true
 		head := j.conn.appendHead(nil, http.StatusOK, contentTypeEvents)
 		j.conn.socket.Write(append(head, "Transfer-Encoding: chunked\r\n\r\n"...))
 	}
-	j.sendEvent(j.chunk(word(j.tokensSent), "null"))
+	j.sendEvent(j.streamEvent(tokenText(j.tokensSent), "null"))
 }
 
-// endStream sends a stream's last events and ends the job.
+// endStream sends the last events of a stream and finishes the job.
 func (j *job) endStream() {
-	j.sendEvent(j.chunk("", `"stop"`))
+	j.sendEvent(j.streamEvent("", `"stop"`))
 	if j.wantsUsage {
 		j.sendEvent(fmt.Appendf(nil, `{"id":%q,"object":"chat.completion.chunk","created":1,"model":%q,"choices":[],"usage":%s}`,
-			j.requestID, j.call.Model, j.usage()))
+			j.requestID, j.request.Model, j.usage()))
 	}
 	j.conn.socket.Write(http1.AppendChunk(nil, []byte(openai.StreamEnd)))
 	j.conn.socket.Write([]byte(http1.LastChunk))
 	j.engine.counters.served++
 	j.finish()
-	j.conn.done()
+	j.conn.finishRequest()
 }
 
-// sendEvent sends an event of a stream.
+// sendEvent sends one event of a stream as a chunk.
 func (j *job) sendEvent(data []byte) {
 	j.conn.socket.Write(http1.AppendChunk(nil, openai.AppendEvent(nil, data)))
 }
--- a/internal/fakeengine/job.go
+++ b/internal/fakeengine/job.go
@@ -13,72 +13,72 @@
 	"martenlock/internal/timerwheel"
 )
 
-// decodeRules are so wide that an engine takes whatever the router forwards.
-var decodeRules = openai.DecodeOptions{
+// decodeOptions accept everything that the router forwards.
+var decodeOptions = openai.DecodeOptions{
 	BytesPerToken:    4,
 	DefaultMaxTokens: 1 << 20,
 	MaxInputs:        1 << 20,
 	MaxDocuments:     1 << 20,
 }
 
-// job is a request that is being executed.
+// job is the execution of one request.
 type job struct {
 	conn      *conn
 	engine    *Engine
-	requestID string // the router's
-	recordID  string // the client's, for the record
-	call      *openai.Request
+	requestID string // the router's id
+	recordID  string // by which events are recorded
+	request   *openai.Request
 	body      []byte
-	stage     control.Role // the stages to execute: prefill, decode, or both (colocated)
+	stage     control.Role // the stages to compute
 	timer     timerwheel.Timer
 
-	isPrefilling bool // or waits for its prefill
-	hasSlot      bool
-	fetch        *kvFetch // of KV state under way, or nil
+	isPrefilling bool     // in prefill, or waiting for it
+	hasSlot      bool     // for decode
+	fetch        *kvFetch // of its KV state; nil if none is in progress
 
 	tokensWanted  int
 	tokensSent    int
-	wantsUsage    bool // in a stream
+	wantsUsage    bool // at the end of a stream
 	streamStarted bool
-	isOutputFull  bool // waits until the connection has written what it buffers
+	isOutputFull  bool // waits until the connection is writable
 }
 
-// startJob begins to execute the request at hand, or answers why not.
-func (k *conn) startJob(api openai.API) {
-	call, err := openai.Decode(api, k.body, decodeRules)
+// startJob starts the execution of the current request, or responds with an error.
+func (c *conn) startJob(api openai.API) {
+	request, err := openai.Decode(api, c.body, decodeOptions)
 	if err != nil {
-		k.answer(response{status: err.Status, contentType: contentTypeJSON, body: err.AppendJSON(nil)})
-		k.done()
+		c.respond(response{status: err.Status, contentType: contentTypeJSON, body: err.AppendJSON(nil)})
+		c.finishRequest()
 		return
 	}
-	j := newJob(k, call)
-	k.job = j
-	if k.unreadID == "" { // else its begin is recorded
+	j := newJob(c, request)
+	c.job = j
+	if c.unreadID == "" { // otherwise recordUnread has recorded the attempt
 		j.observe(invariant.AttemptBegan)
 	}
-	k.unreadID = ""
-	if j.endsByFault() || j.endsByOverload() {
+	c.unreadID = ""
+	if j.applyFault() || j.rejectIfOverloaded() {
 		return
 	}
-	k.engine.scheduler.add(j)
+	c.engine.scheduler.add(j)
 }
 
-// newJob returns the job of the request at hand.
-func newJob(k *conn, call *openai.Request) *job {
+// newJob returns the job of the current request.
+func newJob(c *conn, request *openai.Request) *job {
 	return &job{
-		conn:         k,
-		engine:       k.engine,
-		requestID:    k.requestID,
-		recordID:     cmp.Or(k.recordID, k.requestID),
-		call:         call,
-		body:         k.body,
-		stage:        requestedStage(k.body),
-		tokensWanted: min(max(k.engine.Spec.AnswerTokens, 1), call.MaxTokens),
-		wantsUsage:   gjson.GetBytes(k.body, "stream_options.include_usage").Bool(),
+		conn:         c,
+		engine:       c.engine,
+		requestID:    c.requestID,
+		recordID:     cmp.Or(c.recordID, c.requestID),
+		request:      request,
+		body:         c.body,
+		stage:        requestedStage(c.body),
+		tokensWanted: min(max(c.engine.Spec.AnswerTokens, 1), request.MaxTokens),
+		wantsUsage:   gjson.GetBytes(c.body, "stream_options.include_usage").Bool(),
 	}
 }
 
-// requestedStage returns the stages that a request's KV transfer parameters ask for.
+// requestedStage returns the stages that the KV transfer parameters of a request ask for.
 func requestedStage(body []byte) control.Role {
 	transfer := gjson.GetBytes(body, kvTransferField)
 	switch {
@@ -90,8 +90,8 @@
 	return control.RoleColocated
 }
 
-// endsByFault applies the faults that come before any work and tells whether one did.
-func (j *job) endsByFault() bool {
+// applyFault applies the faults that precede execution. It reports whether one has ended the job.
+func (j *job) applyFault() bool {
 	switch {
 	case bytes.Contains(j.body, []byte(CrashMarker)):
 		j.engine.kill()
@@ -103,22 +103,22 @@
 		j.conn.reset()
 		return true
 	}
-	isFailure := j.engine.takeFailure()
+	isFailure := j.engine.countFailure()
 	if isFailure {
 		j.fail(http.StatusInternalServerError, "internal_error", "made to fail")
 	}
 	return isFailure
 }
 
-// endsByOverload rejects a job for which the engine has no capacity, or that it can't
-// execute, and tells whether it did.
-func (j *job) endsByOverload() bool {
+// rejectIfOverloaded rejects a job if the engine has no capacity for it, or can't execute it without a
+// KV state. It reports whether it did.
+func (j *job) rejectIfOverloaded() bool {
 	e := j.engine
 	switch {
 	case e.fault.RejectAll || e.scheduler.isFull() || e.kvStore.isFull():
 		j.fail(http.StatusServiceUnavailable, "overloaded", "no place in the queue")
 	case e.Spec.Role == control.RoleDecode && j.stage == control.RoleColocated:
-		j.failKVGone("a writer needs a state")
+		j.failKVGone("a decode engine needs a KV state")
 	default:
 		return false
 	}
@@ -134,7 +134,7 @@
 	j.engine.observe(kind, j.recordID, work)
 }
 
-// work returns what the job takes of the engine's capacity, in seconds at full speed.
+// work returns the share of the engine's capacity that the job takes, in seconds at full speed.
 func (j *job) work() float64 {
 	spec := &j.engine.Spec
 	work := 0.0
@@ -147,23 +147,23 @@
 	return work
 }
 
-// reply answers the job's request and ends the job.
-func (j *job) reply(body []byte) {
+// respond responds with status 200 and finishes the job.
+func (j *job) respond(body []byte) {
 	if j.engine.Spec.Role != control.RolePrefill {
 		j.engine.counters.served++
 	}
 	j.finish()
-	j.conn.answer(response{status: http.StatusOK, contentType: contentTypeJSON, body: body})
-	j.conn.done()
+	j.conn.respond(response{status: http.StatusOK, contentType: contentTypeJSON, body: body})
+	j.conn.finishRequest()
 }
 
-// fail answers the job's request with an error and ends the job.
+// fail responds with an error and finishes the job.
 func (j *job) fail(status int, code, message string) {
 	j.finish()
 	j.conn.fail(status, code, message)
 }
 
-// finish ends a job, whatever became of it.
+// finish ends the job, whether or not it was completed. It releases timer, queue entries and slot.
 func (j *job) finish() {
 	j.engine.cluster.loop.StopTimer(&j.timer)
 	if j.fetch != nil {
--- a/internal/fakeengine/kvfetch.go
+++ b/internal/fakeengine/kvfetch.go
@@ -12,14 +12,14 @@
 	"martenlock/internal/http1"
 )
 
-// kvFetchTimeout bounds the fetch of a KV state, its connection included: on the loopback
-// interface a fetch that takes longer meets an engine that hangs.
+// kvFetchTimeout bounds the fetch of a KV state, including the connection. On the loopback interface
+// only a hung engine takes longer.
 const kvFetchTimeout = 300 * time.Millisecond
 
-// kvFetchFailed is the error text of a KV state that did not arrive.
-const kvFetchFailed = "the state can't be fetched"
+// kvFetchFailed is the message of the error response if a KV state could not be fetched.
+const kvFetchFailed = "the KV state can't be fetched"
 
-// kvFetch moves a KV state from a prefill engine's socket to a decode engine. It implements
+// kvFetch is the fetch of a KV state from a prefill engine, on a connection of its own. It implements
 // eventloop.Handler.
 type kvFetch struct {
 	job    *job
@@ -30,12 +30,12 @@
 	state  []byte
 }
 
-// failKVGone answers that the engine has no KV state of the request.
+// failKVGone responds that the KV state of the request is missing, and finishes the job.
 func (j *job) failKVGone(message string) {
 	j.fail(http.StatusFailedDependency, "kv_state_gone", message)
 }
 
-// startKVFetch begins to fetch the KV state that the request names.
+// startKVFetch starts the fetch of the KV state that the request names.
 func (j *job) startKVFetch() {
 	transfer := gjson.GetBytes(j.body, kvTransferField)
 	address, err := netip.ParseAddrPort(fmt.Sprintf("%s:%d", transfer.Get("remote_host").Str, transfer.Get("remote_port").Int()))
@@ -43,7 +43,7 @@
 		j.failKVGone(kvFetchFailed)
 		return
 	}
-	f := &kvFetch{job: j, parser: http1.NewResponses(&limits)}
+	f := &kvFetch{job: j, parser: http1.NewResponses(&httpLimits)}
 	f.socket, err = j.engine.cluster.loop.Dial(address, f)
 	if err != nil {
 		j.failKVGone(err.Error())
@@ -55,10 +55,10 @@
 	j.engine.cluster.loop.StartTimer(&j.timer, kvFetchTimeout)
 }
 
-// Opened implements eventloop.Handler.
+// Opened implements eventloop.Handler. The request was written before.
 func (f *kvFetch) Opened(*eventloop.Conn) {}
 
-// Data implements eventloop.Handler.
+// Data implements eventloop.Handler. It parses the response.
 func (f *kvFetch) Data(_ *eventloop.Conn, data []byte) int {
 	total := 0
 	for {
@@ -83,16 +83,16 @@
 	}
 }
 
-// EOF implements eventloop.Handler.
+// EOF implements eventloop.Handler. The response is incomplete.
 func (f *kvFetch) EOF(*eventloop.Conn) { f.fail() }
 
-// Closed implements eventloop.Handler.
+// Closed implements eventloop.Handler. The response is incomplete.
 func (f *kvFetch) Closed(*eventloop.Conn, error) { f.fail() }
 
-// Writable implements eventloop.Handler.
+// Writable implements eventloop.Handler. There is no more output.
 func (f *kvFetch) Writable(*eventloop.Conn) {}
 
-// end closes the connection and tells whether the job still waited for the fetch.
+// end closes the connection. It reports whether the job was still waiting for the fetch.
 func (f *kvFetch) end() bool {
 	if f.job.fetch != f {
 		return false
@@ -102,7 +102,7 @@
 	return true
 }
 
-// fail ends the fetch without KV state.
+// fail ends the fetch without a KV state, and with it the job.
 func (f *kvFetch) fail() {
 	wasAwaited := f.end()
 	if wasAwaited {
@@ -110,7 +110,7 @@
 	}
 }
 
-// complete checks the response that has arrived, and begins to decode.
+// complete checks the response and starts to decode.
 func (f *kvFetch) complete() {
 	if f.status != http.StatusOK || f.hash != kvHash(f.state) {
 		f.fail()
--- a/internal/fakeengine/kvstore.go
+++ b/internal/fakeengine/kvstore.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	kvPath          = "/kv/" // and a request's id: where a decode engine fetches KV state
+	kvPath          = "/kv/" // followed by a request id: where a KV state is fetched
 	kvHashHeader    = "x-state-hash"
-	kvTransferField = "kv_transfer_params" // of requests and answers, as vLLM has it
+	kvTransferField = "kv_transfer_params" // vLLM's member of requests and responses
 
 	kvBytesPerToken  = 64
 	kvTokensPerBlock = 16
-	maxKVBytes       = 256 << 10 // of one state: enough to need several reads of a socket
-	maxKVStates      = 10000     // bounds memory
-	// kvOrphanLimit is after how long a state is dropped that nobody fetched or released.
+	maxKVBytes       = 256 << 10 // of one state; takes several reads of a socket
+	maxKVStates      = 10000     // of one engine
+
+	// kvOrphanLimit is the age at which a KV state is released that was neither fetched nor released.
 	kvOrphanLimit = 5 * time.Second
 )
 
-// kvStore holds the KV states that a prefill engine retains for decode engines.
+// kvStore contains the KV states that a prefill engine retains for decode engines.
 type kvStore struct {
 	engine *Engine
 	states map[string]kvState // by the router's request id
@@ -35,19 +36,19 @@
 // kvState is the KV state of one request.
 type kvState struct {
 	bytes    []byte
-	recordID string // the client's request id, for the record
+	recordID string // of its request
 }
 
-// reset empties the store for a new process.
+// reset makes an empty store for a new process.
 func (s *kvStore) reset() { s.states = map[string]kvState{} }
 
-// lose drops all states with their process.
+// lose discards all KV states when the process ends. That is not recorded as a release.
 func (s *kvStore) lose() { s.states = nil }
 
-// isFull tells whether the store retains as many states as it may.
+// isFull reports whether the store has no capacity for another KV state.
 func (s *kvStore) isFull() bool { return len(s.states) >= maxKVStates }
 
-// retain keeps a job's KV state until it is fetched or released, or an orphan.
+// retain stores the KV state of a job until it is fetched or released, or for kvOrphanLimit.
 func (s *kvStore) retain(j *job, state []byte) {
 	id := j.requestID
 	s.states[id] = kvState{bytes: state, recordID: j.recordID}
@@ -56,7 +57,7 @@
 	s.engine.cluster.loop.StartTimer(orphanTimer, kvOrphanLimit)
 }
 
-// release drops a request's KV state, if there is one.
+// release discards the KV state of a request. It does nothing if there is none.
 func (s *kvStore) release(requestID string) {
 	state, isRetained := s.states[requestID]
 	if !isRetained {
@@ -66,34 +67,34 @@
 	s.engine.observe(invariant.KVReleased, state.recordID, 0)
 }
 
-// serveKVState hands a KV state to a decode engine and releases it.
-func (k *conn) serveKVState(requestID string) {
-	store := &k.engine.kvStore
+// serveKVState responds with a KV state and releases it.
+func (c *conn) serveKVState(requestID string) {
+	store := &c.engine.kvStore
 	state, isRetained := store.states[requestID]
 	if !isRetained {
-		k.answer(notFound)
+		c.respond(notFound)
 		return
 	}
-	k.answer(response{
+	c.respond(response{
 		status:      http.StatusOK,
 		contentType: contentTypeBinary,
 		header:      kvHashHeader + ": " + kvHash(state.bytes) + "\r\n",
 		body:        state.bytes,
 	})
-	k.engine.counters.served++
+	c.engine.counters.served++
 	store.release(requestID)
 }
 
-// kvHash returns the hash by which a decode engine checks a KV state.
+// kvHash returns the hash by which a decode engine checks a KV state, in hexadecimal.
 func kvHash(state []byte) string { return strconv.FormatUint(xxhash.Sum64(state), 16) }
 
-// newKVState makes up the KV state of a job: bytes that depend on its whole request.
+// newKVState returns a made-up KV state, which depends on the whole request.
 func newKVState(j *job) []byte {
 	const (
 		wordBytes  = 8
-		multiplier = 0x9e3779b97f4a7c15 // the golden ratio's bits: consecutive words look unrelated
+		multiplier = 0x9e3779b97f4a7c15 // bits of the golden ratio, so that consecutive words differ much
 	)
-	state := make([]byte, min(int(j.call.PromptTokens+1)*kvBytesPerToken, maxKVBytes))
+	state := make([]byte, min(int(j.request.PromptTokens+1)*kvBytesPerToken, maxKVBytes))
 	word := xxhash.Sum64(j.body)
 	for offset := 0; offset+wordBytes <= len(state); offset += wordBytes {
 		word = word*multiplier + 1
@@ -102,7 +103,7 @@
 	return state
 }
 
-// kvTransferParams returns what a decode engine needs to fetch a job's KV state, as JSON.
+// kvTransferParams returns what a decode engine needs to fetch the KV state of a job, as raw JSON.
 func kvTransferParams(j *job, state []byte) string {
 	const format = `{"do_remote_prefill":true,"do_remote_decode":false,"remote_engine_id":%q,"remote_block_ids":[0,%d],"remote_host":%q,"remote_port":%d,"remote_request_id":%q}`
 	spec := &j.engine.Spec
--- a/internal/fakeengine/rerank.go
+++ b/internal/fakeengine/rerank.go
@@ -9,19 +9,19 @@
 	"github.com/tidwall/gjson"
 )
 
-// scoredDocument is a document of a rerank.
+// scoredDocument is a document of a rerank request with its score.
 type scoredDocument struct {
 	index int // in the request
 	text  string
 	score float64
 }
 
-// rerank returns the answer of a rerank request: documents in order of how many of the
-// query's words they have.
+// rerank returns the body of the response to a rerank request. The score of a document is the share of
+// the query's words that it contains.
 func (j *job) rerank() []byte {
 	documents := rankDocuments(j.body)
 	withText := gjson.GetBytes(j.body, "return_documents").Bool()
-	out := fmt.Appendf(nil, `{"id":%q,"model":%q,"results":[`, j.requestID, j.call.Model)
+	out := fmt.Appendf(nil, `{"id":%q,"model":%q,"results":[`, j.requestID, j.request.Model)
 	for i, document := range documents {
 		if i > 0 {
 			out = append(out, ',')
@@ -34,10 +34,10 @@
 		}
 		out = append(out, '}')
 	}
-	return fmt.Appendf(out, `],"usage":{"total_tokens":%d}}`, int(j.call.PromptTokens))
+	return fmt.Appendf(out, `],"usage":{"total_tokens":%d}}`, int(j.request.PromptTokens))
 }
 
-// rankDocuments returns the documents of a request that are to be answered, the best first.
+// rankDocuments returns the best documents of a request, up to its top_n, by descending score.
 func rankDocuments(body []byte) []scoredDocument {
 	queryWords := strings.Fields(strings.ToLower(gjson.GetBytes(body, "query").Str))
 	var documents []scoredDocument
@@ -56,7 +56,7 @@
 	return documents
 }
 
-// relevance returns a document's score between 0 and 1 by the share of the query's words in it.
+// relevance returns the score of a document, between 0 and 1.
 func relevance(queryWords []string, text string) float64 {
 	text = strings.ToLower(text)
 	hits := 0
--- a/internal/fakeengine/scheduler.go
+++ b/internal/fakeengine/scheduler.go
@@ -7,20 +7,20 @@
 	"martenlock/control"
 )
 
-// prefillOverheadTokens is the cost of any prefill beside its prompt, in tokens.
+// prefillOverheadTokens is added to the prompt of each prefill, as the cost of a short one.
 const prefillOverheadTokens = 100
 
-// scheduler decides which job an engine works at: prefills, embeddings and reranks one after
-// another, as many decodes at once as it has slots.
+// scheduler decides which jobs an engine computes. Prefills, embeddings and rerank requests run one
+// after another. Decodes run at once, up to the number of slots.
 type scheduler struct {
 	engine      *Engine
-	prefills    []*job // the first is at work
-	prefilling  int    // jobs whose prefill is not done; a delay by a fault included
-	running     int    // jobs that have a slot
+	prefills    []*job // the first is being computed
+	prefilling  int    // jobs whose prefill is not complete, including those that a fault delays
+	running     int    // jobs with a slot
 	decodeQueue []*job // jobs that wait for a slot
 }
 
-// reset forgets the jobs of an earlier process.
+// reset removes the jobs of an earlier process.
 func (s *scheduler) reset() {
 	s.prefills = nil
 	s.prefilling = 0
@@ -28,16 +28,17 @@
 	s.decodeQueue = nil
 }
 
-// dropQueue forgets the jobs that wait for a slot, so that none starts while others end.
+// dropQueue removes the jobs that wait for a slot. When the process ends, none must start as others
+// release their slots.
 func (s *scheduler) dropQueue() { s.decodeQueue = nil }
 
-// waiting returns how many jobs wait for their prefill or a slot.
+// waiting returns the number of jobs in prefill or waiting for it or for a slot.
 func (s *scheduler) waiting() int { return s.prefilling + len(s.decodeQueue) }
 
-// isFull tells whether no further job may wait.
+// isFull reports whether no further job may wait.
 func (s *scheduler) isFull() bool { return s.waiting() >= s.engine.Spec.MaxWaiting }
 
-// add takes in a job.
+// add schedules a job.
 func (s *scheduler) add(j *job) {
 	if j.stage == control.RoleDecode {
 		s.addDecode(j)
@@ -51,19 +52,20 @@
 	}
 }
 
-// startPrefill begins the first of the prefills.
+// startPrefill starts the first prefill, if there is one.
 func (s *scheduler) startPrefill() {
 	if len(s.prefills) == 0 {
 		return
 	}
 	j := s.prefills[0]
-	j.timer.Fire = func() { s.prefillWorked(j) }
+	j.timer.Fire = func() { s.prefillComputed(j) }
 	seconds := j.prefillTokens() / s.engine.Spec.PrefillTokensPerSecond / s.engine.speed()
 	s.engine.cluster.loop.StartTimer(&j.timer, time.Duration(seconds*float64(time.Second)))
 }
 
-// prefillWorked ends the work at a prefill and begins the next one.
-func (s *scheduler) prefillWorked(j *job) {
+// prefillComputed starts the next prefill. It completes the current one, after the delay of a fault if
+// there is one.
+func (s *scheduler) prefillComputed(j *job) {
 	s.prefills = s.prefills[1:]
 	s.startPrefill()
 	delay := s.engine.fault.PrefillDelay
@@ -75,13 +77,13 @@
 	j.completePrefill()
 }
 
-// prefillDone counts a job whose prefill is done.
-func (s *scheduler) prefillDone(j *job) {
+// endPrefill removes a job from those in prefill.
+func (s *scheduler) endPrefill(j *job) {
 	j.isPrefilling = false
 	s.prefilling--
 }
 
-// addDecode gives a job a slot, or lets it wait for one.
+// addDecode gives a job a slot, or queues it if none is free.
 func (s *scheduler) addDecode(j *job) {
 	if s.running >= s.engine.Spec.DecodeSlots {
 		s.decodeQueue = append(s.decodeQueue, j)
@@ -90,14 +92,14 @@
 	s.startDecode(j)
 }
 
-// startDecode gives a job a slot.
+// startDecode gives a job a free slot.
 func (s *scheduler) startDecode(j *job) {
 	j.hasSlot = true
 	s.running++
 	j.startDecode()
 }
 
-// releaseSlot takes a job's slot back and gives it to the next job.
+// releaseSlot gives the slot of a job to the next one in the queue.
 func (s *scheduler) releaseSlot(j *job) {
 	j.hasSlot = false
 	s.running--
@@ -109,10 +111,10 @@
 	s.startDecode(next)
 }
 
-// withdraw takes a job out of the queues.
+// withdraw removes a job from prefills and queue. It does nothing if the job is in neither.
 func (s *scheduler) withdraw(j *job) {
 	if j.isPrefilling {
-		s.prefillDone(j)
+		s.endPrefill(j)
 		s.withdrawPrefill(j)
 	}
 	index := slices.Index(s.decodeQueue, j)
@@ -121,7 +123,7 @@
 	}
 }
 
-// withdrawPrefill takes a job out of the prefills and, if it was at work, begins the next one.
+// withdrawPrefill removes a job from the prefills. If it was being computed, the next one starts.
 func (s *scheduler) withdrawPrefill(j *job) {
 	index := slices.Index(s.prefills, j)
 	if index < 0 {
@@ -133,5 +135,5 @@
 	}
 }
 
-// prefillTokens returns the cost of the job's prefill, in tokens.
-func (j *job) prefillTokens() float64 { return j.call.PromptTokens + prefillOverheadTokens }
+// prefillTokens returns the cost of a job's prefill, in tokens.
+func (j *job) prefillTokens() float64 { return j.request.PromptTokens + prefillOverheadTokens }
--- a/internal/openaiserver/embed_test.go
+++ b/internal/openaiserver/embed_test.go
@@ -373,7 +373,7 @@
 	stop := make(chan struct{})
 	faults.Go(func() {
 		for i, names := 0, []string{"e1", "k1", "e2", "k2", "e3", "k3"}; ; i++ {
-			f := []fakeengine.Fault{{Hang: true}, {ErrorRate: 0.5}, {MalformedEmbeddings: "short"}, {MalformedEmbeddings: "inf"}, {ResetBefore: true}, {RejectAll: true}, {SlowdownFactor: 10}, {AnswersLost: true}, {PrefillDelay: 300 * ms}}[i%9]
+			f := []fakeengine.Fault{{Hang: true}, {ErrorRate: 0.5}, {EmbeddingDefect: fakeengine.EmbeddingMissing}, {EmbeddingDefect: fakeengine.EmbeddingInfinite}, {ResetBefore: true}, {RejectAll: true}, {SlowdownFactor: 10}, {AnswersLost: true}, {PrefillDelay: 300 * ms}}[i%9]
 			e := w.engine(names[i%len(names)])
 			e.SetFault(f)
 			select {
--- a/internal/openaiserver/scatter_test.go
+++ b/internal/openaiserver/scatter_test.go
@@ -128,10 +128,10 @@
 	many := `{"model":"demo-embed","encoding_format":"%s","input":` + inputs(60, "pipe") + `}`
 	refuse := `{"model":"demo-embed","encoding_format":"%s","input":[` + strings.Repeat(`"pipe",`, 40) + `"` + fakeengine.RejectMarker + `"]}`
 	rejected := func(r reply) bool { return r.status == 400 && strings.Contains(r.body, "no engine takes") }
-	bad := func(what string, engines ...string) map[string]fakeengine.Fault {
+	bad := func(defect fakeengine.EmbeddingDefect, engines ...string) map[string]fakeengine.Fault {
 		m := map[string]fakeengine.Fault{}
 		for _, e := range engines {
-			m[e] = fakeengine.Fault{MalformedEmbeddings: what}
+			m[e] = fakeengine.Fault{EmbeddingDefect: defect}
 		}
 		return m
 	}
@@ -142,12 +142,12 @@
 		body   string
 		want   func(reply) bool
 	}{
-		{"one engine gives too few", bad("short", "e1"), "search", fmt.Sprintf(many, "float"), reply.served},
-		{"one engine gives another length", bad("long", "e1"), "search", fmt.Sprintf(many, "float"), reply.served},
-		{"one engine gives infinities", bad("inf", "e1"), "search", fmt.Sprintf(many, "float"), reply.served},
-		{"one engine gives bad base64", bad("base64", "e1"), "search", fmt.Sprintf(many, "base64"), reply.served},
-		{"all give too few", bad("short", "e1", "e2", "e3"), "search", fmt.Sprintf(many, "float"), reply.refused},
-		{"all give too few, unsafe", bad("short", "e1", "e2", "e3"), "note", fmt.Sprintf(many, "float"), reply.failed},
+		{"one engine gives too few", bad(fakeengine.EmbeddingMissing, "e1"), "search", fmt.Sprintf(many, "float"), reply.served},
+		{"one engine gives another length", bad(fakeengine.EmbeddingTooLong, "e1"), "search", fmt.Sprintf(many, "float"), reply.served},
+		{"one engine gives infinities", bad(fakeengine.EmbeddingInfinite, "e1"), "search", fmt.Sprintf(many, "float"), reply.served},
+		{"one engine gives bad base64", bad(fakeengine.EmbeddingInvalidBase64, "e1"), "search", fmt.Sprintf(many, "base64"), reply.served},
+		{"all give too few", bad(fakeengine.EmbeddingMissing, "e1", "e2", "e3"), "search", fmt.Sprintf(many, "float"), reply.refused},
+		{"all give too few, unsafe", bad(fakeengine.EmbeddingMissing, "e1", "e2", "e3"), "note", fmt.Sprintf(many, "float"), reply.failed},
 		{"one part is refused for good", nil, "search", fmt.Sprintf(refuse, "float"), rejected},
 		{"one engine answers nothing", map[string]fakeengine.Fault{"e1": {Hang: true}}, "search", fmt.Sprintf(many, "float"), reply.served},
 		{"all are full, unsafe", map[string]fakeengine.Fault{"e1": {RejectAll: true}, "e2": {RejectAll: true}, "e3": {RejectAll: true}}, "note", fmt.Sprintf(many, "float"), reply.failed},
