--- /dev/null
+++ b/internal/platform/clientconn_test.go
@@ -0,0 +1,97 @@
+package platform
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"martenlock/internal/platform/platformtest"
+)
+
+// writeUnseen sends bytes that the loop can't see before its next iteration, if it is called on the loop.
+func writeUnseen(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Error(err)
+	}
+}
+
+// longStream returns a stream too long for the buffers of a client that reads late: the rest stays in the server's. Its end is
+// the last chunk, or what breaks the stream off.
+func longStream(end string) (text string, size int) {
+	event := `data: {"a":"` + strings.Repeat("x", 4000) + "\"}\n\n"
+	return platformtest.StreamHead + strings.Repeat(platformtest.Chunk(event), 40) + end, 40 * len(event)
+}
+
+// TestCloseOverUnreadBytesKeepsAnswer: a request that arrives as its connection is closed is not
+// forwarded, and the reset that unread bytes cause does not destroy what was written before:
+// neither an answer, when an idle connection is closed, nor the events of a truncated stream.
+func TestCloseOverUnreadBytesKeepsAnswer(t *testing.T) {
+	for _, test := range []struct {
+		end        string
+		isComplete bool
+	}{{platformtest.LastChunk, true}, {"nonsense\r\n", false}} {
+		h := startHarness(t, "r1", "w1")
+		text, size := longStream(test.end)
+		released := make(chan struct{})
+		h.engines[1].SetScript(func(r *platformtest.Request) bool {
+			<-released
+			return platformtest.Respond(text)(r)
+		})
+		client := h.dialWithReadBuffer(4096)
+		io.WriteString(client, h.chat("ask"))
+		h.waitForAttempts(1, h.engines[1])
+		conn := h.onlyClientConn()
+
+		if test.isComplete {
+			close(released)
+			h.waitOnLoop("the answer", func() bool { return conn.hasAnswered })
+			h.runOnLoop(func() { // in one iteration
+				writeUnseen(t, client, h.chat("note"))
+				conn.closeGracefully()
+			})
+		} else {
+			h.runOnLoop(func() { writeUnseen(t, client, h.chat("note")) }) // stays unread behind the stream
+			close(released)
+		}
+		h.waitOnLoop("the connection to be closed", func() bool { return conn.state == clientClosed })
+
+		answer := readAnswer(client)
+		if answer.Code != http.StatusOK || answer.IsComplete != test.isComplete || len(answer.Body) != size {
+			t.Errorf("complete %v: %d, complete %v, %d bytes of %d", test.isComplete, answer.Code, answer.IsComplete, len(answer.Body), size)
+		}
+		if n := h.engines[0].Attempts(); n != 1 {
+			t.Errorf("%d prefill attempts", n)
+		}
+	}
+}
+
+// dialWithReadBuffer connects a client whose system buffers this many received bytes.
+func (h *harness) dialWithReadBuffer(size int) net.Conn {
+	h.Helper()
+	conn := h.dial()
+	tcp, isTCP := conn.(*net.TCPConn)
+	if !isTCP {
+		h.Fatalf("dialed a %T", conn)
+	}
+	if err := tcp.SetReadBuffer(size); err != nil {
+		h.Fatal(err)
+	}
+	return conn
+}
+
+// onlyClientConn returns the server's end of the only client connection.
+func (h *harness) onlyClientConn() (conn *clientConn) {
+	h.Helper()
+	h.runOnLoop(func() {
+		if n := len(h.server.clients.conns); n != 1 {
+			h.Errorf("%d client connections", n)
+		}
+		for c := range h.server.clients.conns {
+			conn = c
+		}
+	})
+	return conn
+}
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -5,7 +5,11 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+	"strings"
+	"syscall"
 	"testing"
+
+	"github.com/rs/zerolog"
 )
 
 // TestConfigErrorNamesVariableFileAndKey holds for each source of a mistake.
@@ -43,3 +47,55 @@
 		}
 	}
 }
+
+// TestStartErrorsNameFileAndKey: each mistake in the configuration is reported with the file and
+// the key.
+func TestStartErrorsNameFileAndKey(t *testing.T) {
+	h := startHarness(t, "r1", "w1")
+	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
+		t.Error(err)
+	}
+	for key, value := range map[string]any{
+		"listen":    "nowhere",
+		"discovery": "x:y",
+		"seed":      "xyz",
+		"settings":  map[string]any{"RequestClasses": 3},
+		"limits":    map[string]any{"cores": 0.5, "memory_mb": 1, "sockets": 256},
+	} {
+		valid := h.config[key]
+		h.config[key] = value
+		h.saveConfig()
+		if _, err := LoadConfig(h.getenv); err == nil || !strings.Contains(err.Error(), key) || !strings.Contains(err.Error(), h.configPath) {
+			t.Errorf("%s: %v", key, err)
+		}
+		h.config[key] = valid
+	}
+
+	h.config["listen"] = h.server.Addr() // in use
+	h.saveConfig()
+	h.expectAddressInUse()
+
+	h.config["settings"] = map[string]any{"FamilyInfo": map[string]any{"KindRole": []string{"paint"}}}
+	h.saveConfig()
+	if _, err := LoadConfig(h.getenv); err == nil || !strings.Contains(err.Error(), "KindRole") {
+		t.Error(err)
+	}
+}
+
+// expectAddressInUse fails the test unless a second server can't start, with an error that names the file and the key listen.
+func (h *harness) expectAddressInUse() {
+	h.Helper()
+	cfg, err := LoadConfig(h.getenv)
+	if err != nil {
+		h.Error(err)
+		return
+	}
+	_, err = New(cfg, zerolog.Nop())
+	if err == nil || !strings.Contains(err.Error(), "listen") || !strings.Contains(err.Error(), h.configPath) {
+		h.Error(err)
+	}
+	var configErr *ConfigError
+	if !errors.As(err, &configErr) || configErr.File != h.configPath || configErr.Key != "listen" || !errors.Is(err, syscall.EADDRINUSE) {
+		h.Errorf("%#v", err)
+	}
+}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -3,119 +3,116 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
-	"net"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
 
 	"martenlock/control"
 	"martenlock/control/membership"
-	"martenlock/internal/platformsettings"
+	"martenlock/internal/enginetest"
+	"martenlock/internal/platform/platformtest"
 )
 
-// splitInPieces gives a stream a text in pieces that end at these places, and returns the objects
-// without white space, and "-" for each blank line; false where the text is invalid.
-func splitInPieces(stream *jsonStream, text string, ends ...int) (elements []string, isValid bool) {
-	start := 0
-	for _, end := range append(ends, len(text)) {
-		for piece := []byte(text[start:end]); len(piece) > 0; {
-			element := stream.next(piece)
-			switch element.kind {
-			case jsonInvalid:
-				return elements, false
-			case jsonObject:
-				var value any
-				if err := json.Unmarshal(element.object, &value); err != nil {
-					return elements, false
-				}
-				elements = append(elements, strings.ReplaceAll(strings.Join(strings.Fields(string(element.object)), ""), "\n", ""))
-			case jsonBlankLine:
-				elements = append(elements, "-")
-			case jsonIncomplete:
-			}
-			piece = piece[element.length:]
-		}
-		start = end
-	}
-	return elements, true
-}
+// TestEndpointChangesApplyInTheIterationOfTheirArrival: changes apply in the iteration in which
+// they arrive, however they are cut; outdated lists change nothing; malformed messages and the end of a watch lead to a
+// new watch from the last revision.
+func TestEndpointChangesApplyInTheIterationOfTheirArrival(t *testing.T) {
+	h := startHarness(t, "r1", "w1", "w1")
+	draining, other := h.engines[1], h.engines[2]
 
-// TestJSONStreamFindsObjectsInAnyLayoutAndPieces holds for each two places where the bytes may be
-// cut.
-func TestJSONStreamFindsObjectsInAnyLayoutAndPieces(t *testing.T) {
-	text := "{\"a\":[{\"b\":\"x}]\\\\\\\"{\"}],\r\n \"c\": {\n\t\"d\": 1\n}\n}\n\n \r\n{\"e\":2}{\n}"
-	want := "{\"a\":[{\"b\":\"x}]\\\\\\\"{\"}],\"c\":{\"d\":1}} - - - {\"e\":2} {}"
-	for i := 0; i <= len(text); i++ {
-		for j := i; j <= len(text); j++ {
-			if got, isValid := splitInPieces(&jsonStream{maxObjectBytes: 1000}, text, i, j); !isValid || strings.Join(got, " ") != want {
-				t.Fatalf("cut at %d and %d: %v, %q", i, j, isValid, got)
-			}
+	// An engine drains by a message in two pieces.
+	h.revision = 5
+	message := platformtest.IncrementalList(h.revision, draining.EntryInPhase(platformtest.Terminating)) + "\n\n"
+	h.discovery.Send(message[:40])
+	h.discovery.Send(message[40:])
+	h.waitOnLoop("the engine to drain", func() bool { return h.stateOf(draining) == control.Draining })
+	for range 8 {
+		if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
+			t.Fatal(answer)
 		}
 	}
-	for _, bad := range []string{"noise", "[1]", "null", "}", strings.Repeat("{\"a\":1}", 10) + "x", `{"a":"` + strings.Repeat("b", 2000), `{"a":"` + strings.Repeat("b", 1000) + `"}`} {
-		if _, isValid := splitInPieces(&jsonStream{maxObjectBytes: 1000}, bad, len(bad)/2); isValid {
-			t.Errorf("%.30q was taken", bad)
-		}
+	if n := draining.Attempts(); n != 0 {
+		t.Errorf("%d attempts at a draining engine", n)
 	}
-}
 
-// FuzzJSONStream holds that what a text splits into does not depend on the pieces it comes in.
-func FuzzJSONStream(f *testing.F) {
-	f.Add([]byte("{\"a\":[]}\n\n{\n\"b\": \"}\"\n}"), 5)
-	f.Fuzz(func(t *testing.T, b []byte, at int) {
-		at = min(max(at, 0), len(b))
-		whole, wholeIsValid := splitInPieces(&jsonStream{maxObjectBytes: 100}, string(b))
-		cut, cutIsValid := splitInPieces(&jsonStream{maxObjectBytes: 100}, string(b), at)
-		if wholeIsValid != cutIsValid || wholeIsValid && fmt.Sprint(whole) != fmt.Sprint(cut) {
-			t.Errorf("%v %q, and cut at %d: %v %q", wholeIsValid, whole, at, cutIsValid, cut)
-		}
-	})
+	// An outdated list changes nothing, and unusable entries leave the others alone.
+	h.discovery.Send(strings.Replace(h.completeList(), `"revision":5`, `"revision":2`, 1) + "\n")
+	h.revision = 6
+	h.discovery.Send(`{"revision":6,"complete":false,"members":[{"id":"s-9","host_port":"nowhere","flavor":"w1","phase":"in_service"},{"id":"s-8","host_port":"127.0.0.1:1","flavor":"odd","phase":"in_service"}]}` + "\n")
+	h.waitUntilListApplied()
+	h.waitOnLoop("the engine still to drain", func() bool { return h.stateOf(draining) == control.Draining })
+	h.waitOnLoop("three engines", func() bool { return h.server.membership.Len() == 3 })
+
+	// A malformed message, and the end of a watch, lead to a new one from the last revision.
+	h.discovery.Send("%%% noise\n")
+	h.waitFor("a new watch", func() bool { return h.discovery.Calls() == 2 })
+	if since := h.discovery.Since(2); since != "6" {
+		t.Errorf("watch from revision %s", since)
+	}
+	h.discovery.CloseCalls()
+	h.waitFor("another watch", func() bool { return h.discovery.Calls() == 3 })
+
+	// Engines leave the list, and one returns.
+	h.notifyChange(draining.EntryInPhase(platformtest.Terminated), other.EntryInPhase(platformtest.Terminated))
+	h.waitOnLoop("the engines to be gone", func() bool { return h.server.membership.Len() == 1 && len(h.server.endpoints.byID) == 1 })
+	restarted := other.Entry()
+	restarted.UpSinceMillis = time.Now().UnixMilli()
+	h.notifyChange(restarted)
+	h.waitOnLoop("an engine to be back", func() bool { return h.stateOf(other) == control.Ready })
 }
 
-// TestWatchReadsIndentedListInPieces holds that a list over many lines, in pieces, is taken, and
+// TestWatchReadsIndentedListInPieces holds that a list over many lines, in pieces, is applied, and
 // that the watch goes on.
 func TestWatchReadsIndentedListInPieces(t *testing.T) {
-	w := startHarness(t, "r1", "w1")
-	w.revision = 2
+	h := startHarness(t, "r1", "w1")
+	h.revision = 2
+	list := platformtest.CompleteList(h.revision, h.engines[0].Entry(), h.engines[1].EntryInPhase(platformtest.Terminating))
 	var indented bytes.Buffer
-	if err := json.Indent(&indented, []byte(w.message(true, w.engines[0].entry("in_service", 0), w.engines[1].entry("terminating", 0))), "", "  "); err != nil {
+	if err := json.Indent(&indented, []byte(list), "", "  "); err != nil {
 		t.Fatal(err)
 	}
+
 	for piece := range strings.Lines(indented.String() + "\n\n") {
-		w.discovery.send(piece)
+		h.discovery.Send(piece)
 	}
-	w.waitOnLoop("the list is taken", func() bool { return w.server.membership.Revision() == 2 })
-	w.revision = 3
-	w.discovery.send(w.list() + "\n")
-	w.waitOnLoop("and the next one", func() bool { return w.server.membership.Revision() == 3 })
-	if n := w.discovery.watchCount(); n != 1 {
+	h.waitUntilListApplied()
+
+	h.revision = 3
+	h.discovery.Send(h.completeList() + "\n")
+	h.waitUntilListApplied()
+	if n := h.discovery.Calls(); n != 1 {
 		t.Errorf("%d watches", n)
 	}
 }
 
-// TestRepeatedListKeepsIdleConnections holds that a list told again does not make engines look
+// TestRepeatedListKeepsIdleConnections holds that a repeated list does not make engines look
 // restarted.
 func TestRepeatedListKeepsIdleConnections(t *testing.T) {
-	w := startHarness(t, "r1", "w1")
-	up := time.Now().Add(-time.Minute).UnixMilli()
-	tell := func() {
-		w.revision++
-		w.discovery.send(w.message(true, w.engines[0].entry("in_service", up), w.engines[1].entry("in_service", up)) + "\n")
-		w.waitOnLoop("the list is taken", func() bool { return w.server.membership.Revision() == uint64(w.revision) })
+	h := startHarness(t, "r1", "w1")
+	entries := []platformtest.Entry{h.engines[0].Entry(), h.engines[1].Entry()}
+	for i := range entries {
+		entries[i].UpSinceMillis = time.Now().Add(-time.Minute).UnixMilli()
 	}
-	tell()
-	if a := w.roundTrip(w.chat("ask")); a.code != 200 {
-		t.Fatal(a)
+	sendList := func() {
+		h.revision++
+		h.discovery.Send(platformtest.CompleteList(h.revision, entries...) + "\n")
+		h.waitUntilListApplied()
 	}
+	sendList()
+	if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
+		t.Fatal(answer)
+	}
+
 	var startedBefore map[control.EndpointID]control.Time
 	for i := range 200 {
-		tell()
-		w.runOnLoop(func() {
+		sendList()
+
+		h.runOnLoop(func() {
 			startedAt := map[control.EndpointID]control.Time{}
-			for id, e := range w.server.endpoints.byID {
+			for id, e := range h.server.endpoints.byID {
 				startedAt[id] = e.startedAt
 				if e.Idle() != 1 {
 					t.Errorf("%d idle connections after list %d", e.Idle(), i)
@@ -132,152 +129,141 @@
 	}
 }
 
-// TestEndpointUpdateArrivesInTimeThoughCallsHang holds whatever phase of discovery's calls is
-// cut: the watch becomes unresponsive, or half a message comes a byte at a time for ever, the next
-// calls hang before or after their heads.
-func TestEndpointUpdateArrivesInTimeThoughCallsHang(t *testing.T) {
-	const notifiedWithin = 6 * time.Second
-	hang := func(net.Conn) bool { return false }
-	head := func(c net.Conn) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		return false
+// callScript answers a call of discovery.
+type callScript func(platformtest.Conn)
+
+// The ways in which a call of discovery fails.
+var (
+	neverAnswers   callScript = func(platformtest.Conn) {}
+	onlyAnswerHead callScript = func(conn platformtest.Conn) { io.WriteString(conn, platformtest.WatchHead) }
+	answersError   callScript = func(conn platformtest.Conn) {
+		io.WriteString(conn, platformtest.Status(http.StatusInternalServerError, ""))
 	}
-	half := func(c net.Conn) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	closesConn callScript = func(conn platformtest.Conn) { conn.Close() }
+	// endlessMessage sends half a message, a byte at a time for ever.
+	endlessMessage callScript = func(conn platformtest.Conn) {
+		io.WriteString(conn, platformtest.WatchHead)
 		go func() {
 			for {
-				if _, err := io.WriteString(c, chunk("{\n")); err != nil {
+				if _, err := io.WriteString(conn, platformtest.Chunk("{\n")); err != nil {
 					return
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
 		}()
-		return false
 	}
-	refuse := func(c net.Conn) bool { io.WriteString(c, status(500, "")); return false }
-	end := func(c net.Conn) bool { c.Close(); return false }
-	for name, calls := range map[string][]func(net.Conn) bool{
-		"at once": nil, "hang": {hang, hang, hang, hang, hang, hang}, "head": {head}, "half": {half}, "mixed": {refuse, end, hang, head}, "ends": {end, refuse, end, refuse, end},
+)
+
+// TestEndpointUpdateArrivesInTimeThoughCallsHang holds whatever phase of discovery's calls is
+// cut: the watch becomes unresponsive, or half a message comes a byte at a time for ever, the next
+// calls hang before or after their heads.
+func TestEndpointUpdateArrivesInTimeThoughCallsHang(t *testing.T) {
+	const notifiedWithin = 6 * time.Second
+	const oneCallMore = membership.WatchTimeout + 2*time.Second
+	for name, test := range map[string]struct {
+		calls  []callScript // that follow the watch; then calls are answered
+		within time.Duration
+	}{
+		"at once": {within: oneCallMore},
+		"hang":    {[]callScript{neverAnswers, neverAnswers, neverAnswers, neverAnswers, neverAnswers, neverAnswers}, oneCallMore},
+		"head":    {[]callScript{onlyAnswerHead}, notifiedWithin},
+		"half":    {[]callScript{endlessMessage}, notifiedWithin},
+		"mixed":   {[]callScript{answersError, closesConn, neverAnswers, onlyAnswerHead}, notifiedWithin},
+		"ends":    {[]callScript{closesConn, answersError, closesConn, answersError, closesConn}, oneCallMore},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := startHarness(t, "r1", "w1")
-			w.discovery.mu.Lock()
-			before := len(w.discovery.watches)
-			w.revision = 2
-			w.discovery.firstMessage = w.message(false, w.engines[1].entry("terminating", 0))
-			w.discovery.script = func(c net.Conn, call int) bool {
-				if i := call - before - 1; i < len(calls) {
-					return calls[i](c)
+			h := startHarness(t, "r1", "w1")
+			callsBefore := h.discovery.Calls()
+			h.revision = 2
+			h.discovery.SetFirstMessage(platformtest.IncrementalList(h.revision, h.engines[1].EntryInPhase(platformtest.Terminating)))
+			h.discovery.SetScript(func(conn platformtest.Conn, call int) (isAnswered bool) {
+				i := call - callsBefore - 1
+				if i >= len(test.calls) {
+					return false
 				}
+				test.calls[i](conn)
 				return true
-			}
-			w.discovery.mu.Unlock()
+			})
 			since := time.Now()
-			w.waitOnLoop("the drain is known", func() bool { return w.server.membership.Revision() == 2 })
-			took := time.Since(since)
-			if took > notifiedWithin || name != "half" && name != "head" && name != "mixed" && took > membership.WatchTimeout+2*time.Second {
-				t.Errorf("known after %v", took)
+
+			h.waitUntilListApplied()
+
+			if took := time.Since(since); took > min(notifiedWithin, test.within) {
+				t.Errorf("the update arrived after %v", took)
 			}
-			// What the abandoned ones bring later is not taken.
-			w.discovery.mu.Lock()
-			first := w.discovery.watches[0]
-			w.discovery.mu.Unlock()
-			io.WriteString(first, chunk(strings.Replace(w.list(), "\"revision\":2", "\"revision\":9", 1)+"\n"))
-			w.discovery.mu.Lock()
-			last := w.discovery.watches[len(w.discovery.watches)-1]
-			w.discovery.mu.Unlock()
-			io.WriteString(last, chunk(strings.Replace(w.message(false), "\"revision\":2", "\"revision\":3", 1)+"\n"))
-			w.waitOnLoop("the watch at hand is heard", func() bool { return w.server.membership.Revision() == 3 })
-			w.runOnLoop(func() {
-				if len(w.server.discovery.pending) != 0 || w.server.discovery.watch == nil {
-					t.Error("more than one watch")
-				}
-			})
+			h.expectOnlyLatestWatchIsRead()
 		})
 	}
 }
 
-// TestEngineDrainsThoughRestOfEntryIsUnusable holds that word of an end counts by itself.
-func TestEngineDrainsThoughRestOfEntryIsUnusable(t *testing.T) {
-	w := startHarness(t, "r1", "w1", "w1")
-	w.revision = 2
-	w.discovery.send(`{"revision":2,"complete":false,"members":[{"id":"s-1","host_port":"","flavor":"?","phase":"terminating"}]}` + "\n")
-	w.waitOnLoop("it drains", func() bool {
-		s, _ := w.server.membership.Get((&endpointEntry{ID: "s-1"}).endpointID())
-		return s.State == control.Draining && s.Kind == 1 && s.Addr.String() == w.engines[1].ln.Addr().String()
+// expectOnlyLatestWatchIsRead fails the test unless the server applies what the latest watch brings and nothing that an
+// abandoned one brings later.
+func (h *harness) expectOnlyLatestWatchIsRead() {
+	h.Helper()
+	const abandonedRevision, latestRevision = 9, 3
+	h.revision = abandonedRevision
+	h.discovery.SendOn(1, h.completeList()+"\n")
+	h.revision = latestRevision
+	h.discovery.Send(platformtest.IncrementalList(h.revision) + "\n")
+	h.waitUntilListApplied()
+	h.runOnLoop(func() {
+		if len(h.server.discovery.pending) != 0 || h.server.discovery.watch == nil {
+			h.Error("more than one watch")
+		}
 	})
 }
 
-// TestRecurringWarningIsLimitedAndLoggedAgain holds that a condition that lasts is logged once in
-// a while, also after very many kinds of warnings.
-func TestRecurringWarningIsLimitedAndLoggedAgain(t *testing.T) {
-	w := startHarness(t, "r1", "w1")
-	w.runOnLoop(func() {
-		for i := range 2 * maxWarningKinds {
-			w.server.warn(warning{message: fmt.Sprint("kind ", i)}, nil)
-		}
-		lastLogged := w.server.warnings.lastLogged
-		if n := len(lastLogged); n != maxWarningKinds {
-			t.Errorf("%d kinds are remembered", n)
+// TestServesConfiguredEndpointsWithoutDiscovery: a server is ready with the endpoint list in its
+// configuration, and serves, while discovery is unresponsive.
+func TestServesConfiguredEndpointsWithoutDiscovery(t *testing.T) {
+	h := startHarness(t, "r1", "w1")
+	h.config["discovery"] = enginetest.UnreachableAddress(t).String()
+	h.saveConfig()
+	cfg, err := LoadConfig(h.getenv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	server, err := New(cfg, h.server.log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- server.Run() }()
+	withoutDiscovery := &harness{T: t, server: server, discovery: h.discovery, requestCount: 100}
+
+	if answer := withoutDiscovery.roundTrip(healthCheck); answer.Code != http.StatusOK {
+		t.Error(answer)
+	}
+	calls := map[*watchCall]bool{}
+	withoutDiscovery.waitOnLoop("calls to make way for later ones", func() bool {
+		for _, call := range server.discovery.pending {
+			calls[call] = true
 		}
-		kind := warning{message: "kind 0"}
-		longAgo := w.server.loop.Now() - 2*warningInterval
-		lastLogged[kind] = longAgo
-		w.server.warn(kind, nil)
-		if lastLogged[kind] == longAgo {
-			t.Error("a known kind is not logged again")
+		if n := len(server.discovery.pending); n > membership.MaxConcurrentCalls {
+			t.Fatalf("%d calls at once", n)
 		}
+		return len(calls) > membership.MaxConcurrentCalls+2
 	})
-}
+	if answer := withoutDiscovery.roundTrip(withoutDiscovery.chat("note")); answer.Code != http.StatusOK {
+		t.Error(answer)
+	}
 
-// TestWarningLimiterSeparatesKinds holds that one kind within its interval does not hide another.
-func TestWarningLimiterSeparatesKinds(t *testing.T) {
-	var limiter warningLimiter
-	unavailable := warning{message: "status", status: 503}
-	notFound := warning{message: "status", status: 404}
-	for _, step := range []struct {
-		at   time.Duration
-		kind warning
-		want bool
-	}{
-		{0, unavailable, true},
-		{0, notFound, true},
-		{warningInterval - 1, unavailable, false},
-		{warningInterval, unavailable, true},
-		{2*warningInterval - 1, unavailable, false},
-		{2*warningInterval - 1, notFound, true},
-	} {
-		if got := limiter.allow(step.at, step.kind); got != step.want {
-			t.Errorf("status %d at %v: %v, want %v", step.kind.status, step.at, got, step.want)
-		}
+	server.Shutdown()
+	if err := <-ended; err != nil {
+		t.Error(err)
 	}
 }
 
-// TestUnusableEntriesAreReportedAndOthersHold holds that each entry that is left out is named
-// with its field.
-func TestUnusableEntriesAreReportedAndOthersHold(t *testing.T) {
-	settings := &platformsettings.Settings{KindNames: []string{"w1"}, ZoneNames: []string{"a"}}
-	noStart := func(int64) control.Time { return 0 }
-	good := endpointEntry{ID: "good", HostPort: "127.0.0.1:9", Kind: "w1", Zone: "elsewhere", Phase: "in_service"}
-	for _, c := range []struct{ id, address, kind, phase, field string }{
-		{"x", "127.0.0.1:9", "w1", "?", "phase"},
-		{"x", "nowhere", "w1", "in_service", "host_port"},
-		{"x", "127.0.0.1:9", "?", "in_service", "flavor"},
-		{"", "127.0.0.1:9", "w1", "in_service", ""},
-	} {
-		bad := endpointEntry{ID: c.id, HostPort: c.address, Kind: c.kind, Phase: c.phase}
-		message := endpointListMessage{Revision: 3, Complete: true, Entries: []endpointEntry{bad, good}}
-		update, err := message.update(settings, noStart)
-		if len(update.Endpoints) != 1 || update.Endpoints[0].ID != good.endpointID() || update.Endpoints[0].Zone != 1 || update.Revision != 3 || !update.Complete {
-			t.Errorf("%+v: %+v", c, update)
-		}
-		var entryErr *endpointEntryError
-		switch {
-		case c.field == "" && !errors.Is(err, errEntryWithoutID):
-			t.Errorf("%+v: %v", c, err)
-		case c.field != "" && (!errors.As(err, &entryErr) || entryErr.Field != c.field || entryErr.ID != c.id):
-			t.Errorf("%+v: %v", c, err)
-		}
-	}
+// TestEngineDrainsThoughRestOfEntryIsUnusable holds that the end of an engine counts by itself.
+func TestEngineDrainsThoughRestOfEntryIsUnusable(t *testing.T) {
+	h := startHarness(t, "r1", "w1", "w1")
+	engine := h.engines[1]
+
+	h.discovery.Send(fmt.Sprintf(`{"revision":2,"complete":false,"members":[{"id":%q,"host_port":"","flavor":"?","phase":"terminating"}]}`, engine.ID) + "\n")
+
+	h.waitOnLoop("the engine to drain", func() bool {
+		member, _ := h.server.membership.Get(endpointID(engine))
+		return member.State == control.Draining && member.Kind == 1 && member.Addr.String() == engine.Address()
+	})
 }
--- a/internal/platform/eventlog_test.go
+++ b/internal/platform/eventlog_test.go
@@ -6,12 +6,14 @@
 	"time"
 
 	"github.com/rs/zerolog"
+
+	"martenlock/internal/platform/platformtest"
 )
 
-// expectLine fails the test unless a line of this message has these fields.
-func (w *harness) expectLine(message string, want map[string]any) {
-	w.Helper()
-	lines := w.log.lines(message)
+// expectLogged fails the test unless a line of this message has these fields.
+func (h *harness) expectLogged(message string, want map[string]any) {
+	h.Helper()
+	lines := h.log.lines(message)
 	for _, line := range lines {
 		matches := true
 		for field, value := range want {
@@ -21,53 +23,48 @@
 			return
 		}
 	}
-	w.Errorf("no line %q with %v among %v", message, want, lines)
+	h.Errorf("no line %q with %v among %v", message, want, lines)
 }
 
 // TestTimelineOfAFailedRequestIsLogged: the log names the request, its attempts with engines and
 // results, why there was no retry, and what became of the KV state that it left.
 func TestTimelineOfAFailedRequestIsLogged(t *testing.T) {
-	w := startHarness(t, "r1", "w1")
-	w.engines[1].setScript(func(r *recordedRequest) bool {
-		if r.method != "POST" {
-			return wellBehaved(r)
-		}
-		return false // the connection ends without an answer
-	})
-	if got := w.roundTrip(w.chat("note")); got.code != 502 {
-		t.Errorf("answered %d, want 502", got.code)
+	h := startHarness(t, "r1", "w1")
+	h.engines[1].SetScript(platformtest.RespondAndClose(""))
+	if got := h.roundTrip(h.chat("note")); got.Code != 502 {
+		t.Errorf("answered %d, want 502", got.Code)
 	}
-	w.waitFor("the KV state is released", func() bool { return len(w.log.lines("KV released")) > 0 })
-	w.expectLine("attempt ended", map[string]any{
+	h.waitFor("the KV state is released", func() bool { return len(h.log.lines("KV released")) > 0 })
+	h.expectLogged("attempt ended", map[string]any{
 		"request_id": "c1", "attempt": 1, "endpoint_name": "s-1",
 		"role": "decode", "result": "reset", "written": true,
 	})
-	w.expectLine("request ended", map[string]any{"request_id": "c1", "outcome": "failed", "reason": "not_repeatable", "attempts": 2})
-	w.expectLine("KV release enqueued", map[string]any{"request_id": "c1", "reason": "request_finished"})
-	w.expectLine("KV released", map[string]any{"request_id": "c1"})
+	h.expectLogged("request ended", map[string]any{"request_id": "c1", "outcome": "failed", "reason": "not_repeatable", "attempts": 2})
+	h.expectLogged("KV release enqueued", map[string]any{"request_id": "c1", "reason": "request_finished"})
+	h.expectLogged("KV released", map[string]any{"request_id": "c1"})
 }
 
-// TestTimelineOfARetryIsLogged: a retry names the attempt before it, and a refusal its reason.
+// TestTimelineOfARetryIsLogged: a retry names the attempt before it, and a rejection its reason.
 func TestTimelineOfARetryIsLogged(t *testing.T) {
-	w := startHarness(t, "r1", "w1", "w1")
-	for _, e := range w.engines[1:] {
-		e.setScript(repliesToPosts(status(500, "")))
+	h := startHarness(t, "r1", "w1", "w1")
+	for _, e := range h.engines[1:] {
+		e.SetScript(platformtest.Respond(platformtest.Status(500, "")))
 	}
-	if got := w.roundTrip(w.chat("ask")); got.code != 503 {
-		t.Errorf("answered %d, want 503", got.code)
+	if got := h.roundTrip(h.chat("ask")); got.Code != 503 {
+		t.Errorf("answered %d, want 503", got.Code)
 	}
-	w.expectLine("attempt ended", map[string]any{"request_id": "c1", "attempt": 1, "result": "failed", "status": 500})
-	w.expectLine("request retried", map[string]any{"request_id": "c1", "attempt": 2, "reason": "failed"})
-	w.expectLine("request ended", map[string]any{"request_id": "c1", "outcome": "rejected", "reason": "out_of_attempts"})
+	h.expectLogged("attempt ended", map[string]any{"request_id": "c1", "attempt": 1, "result": "failed", "status": 500})
+	h.expectLogged("request retried", map[string]any{"request_id": "c1", "attempt": 2, "reason": "failed"})
+	h.expectLogged("request ended", map[string]any{"request_id": "c1", "outcome": "rejected", "reason": "out_of_attempts"})
 }
 
 // TestReasonOfACloseIsLogged: a connection that the server closes has a line with the reason.
 func TestReasonOfACloseIsLogged(t *testing.T) {
-	w := startHarness(t, "r1", "w1")
-	if got := w.roundTrip("GET / HTTP/3.7\r\n\r\n"); got.code < 400 {
-		t.Errorf("answered %d", got.code)
+	h := startHarness(t, "r1", "w1")
+	if got := h.roundTrip("GET / HTTP/3.7\r\n\r\n"); got.Code < 400 {
+		t.Errorf("answered %d", got.Code)
 	}
-	lines := w.log.lines("client connection closed")
+	lines := h.log.lines("client connection closed")
 	if len(lines) != 1 || lines[0]["reason"] == "" {
 		t.Errorf("logged %v", lines)
 	}
--- /dev/null
+++ b/internal/platform/forwarding_test.go
@@ -0,0 +1,181 @@
+package platform
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"martenlock/internal/platform/platformtest"
+)
+
+// largeEvent is an event of some 8 kB.
+var largeEvent = `data: {"a":"` + strings.Repeat("x", 8000) + "\"}\n\n"
+
+// TestRequestAndEventsPassUnchanged: a request goes to a prefill engine and then to a decode
+// engine as it came, and the client gets the events as they came, on a connection that stays
+// open.
+func TestRequestAndEventsPassUnchanged(t *testing.T) {
+	h := startHarness(t, "r1", "w1")
+	if answer := h.roundTrip(healthCheck); answer.Code != http.StatusOK {
+		t.Fatal(answer)
+	}
+	client := h.dial()
+	reader := bufio.NewReader(client)
+
+	for i := range 3 {
+		text := h.chat([]string{"ask", "note"}[i/2]) // a note may take a connection of its own
+		io.WriteString(client, text)
+		answer := platformtest.ReadAnswer(reader)
+
+		h.expectServed(answer)
+		_, body, _ := strings.Cut(text, "\r\n\r\n")
+		for _, e := range h.engines {
+			h.expectForwarded(e, body)
+		}
+	}
+
+	for _, e := range h.engines {
+		if n := e.Accepted(); n > 2 || n > 1 && e.Role() == platformtest.Prefill {
+			t.Errorf("%d connections to the %s engine for requests one after another", n, e.Role())
+		}
+	}
+}
+
+// expectForwarded fails the test unless the engine's latest request is the client's latest request, with this body.
+func (h *harness) expectForwarded(e *platformtest.Engine, body string) {
+	h.Helper()
+	got := e.LatestRequest()
+	if got.Target != "/v1/chat/completions?x=1" || got.Header.Get("X-Call-Id") != fmt.Sprint("c", h.requestCount) || got.Body != body ||
+		!strings.HasSuffix(got.Header.Get("X-Budget"), "m") {
+		h.Errorf("the %s engine received %q", e.Role(), got.Raw)
+	}
+}
+
+// TestEventsAreForwardedSinglyAndAtOnce: each event reaches its client by itself and at once,
+// while another client takes nothing and further ones keep the server busy.
+func TestEventsAreForwardedSinglyAndAtOnce(t *testing.T) {
+	const maxDelay = 300 * time.Millisecond
+	const eventCount = 10
+	h := startHarness(t, "r1", "w1")
+	written := make(chan time.Time, eventCount)
+	received := make(chan struct{})
+	h.engines[1].SetScript(platformtest.ForAttempts(func(r *platformtest.Request) bool {
+		switch r.ID {
+		case "c1": // its client reads nothing
+			r.Write(platformtest.StreamHead)
+			for range 200 {
+				r.Write(platformtest.Chunk(largeEvent))
+			}
+			return r.Write(platformtest.LastChunk)
+		case "c2":
+			r.Write(platformtest.StreamHead)
+			for range eventCount {
+				written <- time.Now()
+				if !r.Write(platformtest.Chunk(platformtest.FirstEvent)) {
+					return false
+				}
+				<-received // the next event follows only once the client has this one
+			}
+			return r.Write(platformtest.LastChunk)
+		}
+		return platformtest.WellBehaved(r)
+	}))
+
+	h.send(h.chat("ask"))
+	h.waitForAttempts(1, h.engines[1])
+	client := bufio.NewReader(h.send(h.chat("note")))
+
+	for seen := 0; seen < eventCount; {
+		line, err := client.ReadString('\n')
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !strings.HasPrefix(line, "data:") {
+			continue
+		}
+		if delay := time.Since(<-written); delay > maxDelay {
+			t.Errorf("event %d came after %v", seen, delay)
+		}
+		seen++
+		if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
+			t.Error(answer.Code)
+		}
+		received <- struct{}{}
+	}
+}
+
+// TestStreamIsTheSameWhereverItIsCut: a client gets the same stream wherever its engine's bytes
+// are cut, the head and the first event included.
+func TestStreamIsTheSameWhereverItIsCut(t *testing.T) {
+	h := startHarness(t, "r1", "w1")
+	stream := platformtest.Stream()
+	cuts, testEnded := make(chan int, 1), make(chan struct{})
+	defer close(testEnded)
+	h.engines[1].SetScript(platformtest.ForAttempts(func(r *platformtest.Request) bool {
+		cut := <-cuts
+		r.Write(stream[:cut])
+		for range 2 { // the loop has seen the first piece before it can see the second
+			iterated := make(chan struct{})
+			h.server.loop.Post(func() { close(iterated) })
+			select {
+			case <-iterated:
+			case <-testEnded: // the client has all, and the loop has ended
+			}
+		}
+		return r.Write(stream[cut:])
+	}))
+
+	for cut := range len(stream) + 1 {
+		cuts <- cut
+		answer := h.roundTrip(h.chat("note"))
+
+		if !answer.IsCompleteStream() {
+			t.Fatalf("cut at %d: %+v", cut, answer)
+		}
+	}
+}
+
+// TestSlowClientPausesOnlyItsOwnEngine: a client that reads nothing of its stream pauses its own
+// engine alone, and little is buffered for it.
+func TestSlowClientPausesOnlyItsOwnEngine(t *testing.T) {
+	const eventCount = 450
+	const maxUnsent = 256 << 10
+	h := startHarness(t, "r1", "w1")
+	h.engines[1].SetScript(func(r *platformtest.Request) bool {
+		if r.ID != "c1" {
+			return platformtest.WellBehaved(r)
+		}
+		r.Write(platformtest.StreamHead)
+		for range eventCount {
+			if !r.Write(platformtest.Chunk(largeEvent)) {
+				break
+			}
+		}
+		return r.Write(platformtest.LastChunk)
+	})
+
+	slowClient := h.send(h.chat("ask"))
+
+	unsent := 0
+	for range 40 {
+		h.runOnLoop(func() {
+			for c := range h.server.clients.conns {
+				unsent = max(unsent, c.conn.UnsentBytes())
+			}
+		})
+		if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
+			t.Fatal(answer)
+		}
+	}
+	if unsent > maxUnsent {
+		t.Errorf("%d bytes are buffered for one client", unsent)
+	}
+	answer := readAnswer(slowClient)
+	if answer.Code != http.StatusOK || !answer.IsComplete || len(answer.Body) != eventCount*len(largeEvent) {
+		t.Errorf("%d bytes of %d, complete %v", len(answer.Body), eventCount*len(largeEvent), answer.IsComplete)
+	}
+}
--- a/internal/platform/golden_sites_test.go
+++ b/internal/platform/golden_sites_test.go
@@ -167,9 +167,9 @@
 		switch {
 		case line == "" || line[0] == '#':
 		case strings.HasPrefix(line, "[["):
-			table = openTable(root, strings.Trim(line, "[]"), true)
+			table = openTable(t, root, strings.Trim(line, "[]"), true)
 		case line[0] == '[':
-			table = openTable(root, strings.Trim(line, "[]"), false)
+			table = openTable(t, root, strings.Trim(line, "[]"), false)
 		default:
 			key, value, _ := strings.Cut(line, "=")
 			if !json.Valid([]byte(value)) {
@@ -189,7 +189,8 @@
 }
 
 // openTable returns the table of a dotted name; of an array of tables it is the last element.
-func openTable(root map[string]any, name string, element bool) map[string]any {
+func openTable(t *testing.T, root map[string]any, name string, element bool) map[string]any {
+	t.Helper()
 	table := root
 	parts := strings.Split(name, ".")
 	for i, part := range parts {
@@ -205,7 +206,11 @@
 		if table[part] == nil {
 			table[part] = map[string]any{}
 		}
-		table = table[part].(map[string]any)
+		inner, isTable := table[part].(map[string]any)
+		if !isTable {
+			t.Fatalf("[%s]: %s is no table", name, part)
+		}
+		table = inner
 	}
 	return table
 }
@@ -402,17 +407,17 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			site := readSite(t, file)
-			rig := newGoldenRig(t, site.Tier[0].Kind[0].Name, site.Tier[0].Kind[1].Name)
-			rig.zone = site.Net.Zones[0]
-			config := rig.config(siteSettings(t, &site, &wire, &protocol), siteList(rig.members(1), &protocol))
+			g := newGoldenHarness(t, site.Tier[0].Kind[0].Name, site.Tier[0].Kind[1].Name)
+			g.zone = site.Net.Zones[0]
+			config := g.config(siteSettings(t, &site, &wire, &protocol), siteList(g.list(1), &protocol))
 			compareGolden(t, "site-"+name+"-settings", dumpConfig(t, loadGoldenConfig(t, config)))
-			rig.startWith(config)
-			rig.exchange("GET " + protocol.Paths.Ready + " HTTP/1.1\r\nHost: x\r\n\r\n")
+			g.startWith(config)
+			g.exchange("GET " + protocol.Paths.Ready + " HTTP/1.1\r\nHost: x\r\n\r\n")
 			for _, class := range site.Class {
 				deadline := time.Duration(class.Deadline) * time.Millisecond
-				rig.exchange(rig.chat(class.Name, siteEdits(&protocol, deadline)...))
+				g.exchange(g.chat(class.Name, siteEdits(&protocol, deadline)...))
 			}
-			compareGolden(t, "site-"+name, rig.transcript())
+			compareGolden(t, "site-"+name, g.transcript())
 		})
 	}
 }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -8,6 +8,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"martenlock/internal/enginetest"
+	"martenlock/internal/platform/platformtest"
 )
 
 // scenario is one scripted exchange with a router that has one prefill and two decode engines,
@@ -15,83 +18,87 @@
 type scenario struct {
 	name    string
 	flavors []string
-	class   string             // of the request; ask where it is empty
-	edits   []string           // of the request
-	script  map[string][]reply // replies to successive POSTs, by engine flavor
+	class   string                           // of the request; ask where it is empty
+	edits   []string                         // of the request
+	script  map[string][]platformtest.Script // for successive attempts, by engine flavor
 }
 
-// decodeReplies scripts the first replies of the decode engines together.
-func decodeReplies(replies ...reply) map[string][]reply { return map[string][]reply{"w1": replies} }
+// decodeResponds scripts the first responses of the decode engines together.
+func decodeResponds(scripts ...platformtest.Script) map[string][]platformtest.Script {
+	return map[string][]platformtest.Script{"w1": scripts}
+}
 
-// prefillReplies scripts the first replies of the prefill engine.
-func prefillReplies(replies ...reply) map[string][]reply { return map[string][]reply{"r1": replies} }
+// prefillResponds scripts the first responses of the prefill engine.
+func prefillResponds(scripts ...platformtest.Script) map[string][]platformtest.Script {
+	return map[string][]platformtest.Script{"r1": scripts}
+}
 
-const rejected = "X-Rejected: 1\r\n"
+const rejected = platformtest.RejectedHeader
 
-// brokenStream is an answer up to its first event.
-var brokenStream = chunkedHead + chunk(first)
+// prefillDone is the response of an engine that has completed the prefill.
+var prefillDone = platformtest.Respond(platformtest.PrefillResponse)
 
-// outcomeScenarios follow the table of outcomes in docs/platform-design.md. The class ask may be
-// repeated, the class note may not.
+// outcomeScenarios follow the table of outcomes in docs/platform-design.md. The class ask is idempotent,
+// the class note is not.
 var outcomeScenarios = []scenario{
-	{name: "silence-after-first-event", script: decodeReplies(writesThenWaits(brokenStream))}, // the slowest begins first
+	{name: "silence-after-first-event", script: decodeResponds(platformtest.RespondAndStall(platformtest.TruncatedStream()))}, // the slowest begins first
 	{name: "whole-stream"},
 	{name: "whole-stream-at-most-once", class: "note"},
 	{name: "stream-from-mixed", flavors: []string{"m1"}},
 	{name: "stream-client-closes", edits: []string{"Host: api.internal\r\n", "Host: api.internal\r\nConnection: close\r\n"}},
-	{name: "stream-after-interim-answers", script: decodeReplies(writes("HTTP/1.1 102 X\r\n\r\nHTTP/1.1 103 Y\r\nLink: z\r\n\r\n" + whole))},
-
-	{name: "200-without-chunks", script: decodeReplies(writes("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi\n"))},
-	{name: "200-without-chunks-at-most-once", class: "note", script: decodeReplies(writes("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi\n"))},
-	{name: "200-from-prefill", script: prefillReplies(writes(whole))},
-	{name: "200-without-events", script: decodeReplies(writes(chunkedHead + lastChunk))},
-	{name: "200-without-events-at-most-once", class: "note", script: decodeReplies(writes(chunkedHead + lastChunk))},
-
-	{name: "202-from-prefill-without-tokens", script: prefillReplies(writes("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))},
-	{name: "202-from-mixed", flavors: []string{"m1"}, script: map[string][]reply{"m1": {prefillDone}}},
-	{name: "202-from-decode", script: decodeReplies(prefillDone)},
-	{name: "202-from-decode-at-most-once", class: "note", script: decodeReplies(prefillDone)},
-
-	{name: "410-rejected", script: decodeReplies(writes(status(410, rejected)))},
-	{name: "410-rejected-at-most-once", class: "note", script: decodeReplies(writes(status(410, rejected)))},
-	{name: "410", script: decodeReplies(writes(status(410, "")))},
-	{name: "410-at-most-once", class: "note", script: decodeReplies(writes(status(410, "")))},
-	{name: "503-rejected", script: decodeReplies(writes(status(503, rejected)))},
-	{name: "503-rejected-at-most-once", class: "note", script: decodeReplies(writes(status(503, rejected)))},
-	{name: "504-rejected-at-most-once", class: "note", script: decodeReplies(writes(status(504, rejected)))},
-	{name: "503-rejected-by-prefill", class: "note", flavors: []string{"r1", "r1", "w1"}, script: prefillReplies(writes(status(503, rejected)))},
-
-	{name: "408", script: decodeReplies(writes(status(408, "")))},
-	{name: "408-at-most-once", class: "note", script: decodeReplies(writes(status(408, "")))},
-	{name: "429-rejected-at-most-once", class: "note", script: decodeReplies(writes(status(429, rejected)))},
-	{name: "500", script: decodeReplies(writes(status(500, "")))},
-	{name: "500-at-most-once", class: "note", script: decodeReplies(writes(status(500, "")))},
-	{name: "500-from-prefill-at-most-once", class: "note", flavors: []string{"r1", "r1", "w1"}, script: prefillReplies(writes(status(500, "")))},
-	{name: "503-at-most-once", class: "note", script: decodeReplies(writes(status(503, "")))},
-	{name: "504-at-most-once", class: "note", script: decodeReplies(writes(status(504, "")))},
-	{name: "302", script: decodeReplies(writes(status(302, "Location: /x\r\n")))},
-	{name: "302-at-most-once", class: "note", script: decodeReplies(writes(status(302, "Location: /x\r\n")))},
-	{name: "400", script: decodeReplies(writes(status(400, "")))},
-	{name: "400-from-prefill", script: prefillReplies(writes(status(400, "")))},
-	{name: "404-at-most-once", class: "note", script: decodeReplies(writes(status(404, "")))},
-
-	{name: "closed-without-answer", script: decodeReplies(writesThenCloses(""))},
-	{name: "closed-without-answer-at-most-once", class: "note", script: decodeReplies(writesThenCloses(""))},
-	{name: "reset", script: decodeReplies(resets)},
-	{name: "reset-at-most-once", class: "note", script: decodeReplies(resets)},
-	{name: "closed-by-prefill-at-most-once", class: "note", flavors: []string{"r1", "r1", "w1"}, script: prefillReplies(writesThenCloses(""))},
-
-	{name: "unreadable-head", script: decodeReplies(writes("\x01\x02\r\n\r\n"))},
-	{name: "unreadable-head-at-most-once", class: "note", script: decodeReplies(writes("\x01\x02\r\n\r\n"))},
-	{name: "unreadable-chunk-at-most-once", class: "note", script: decodeReplies(writes(chunkedHead + "zz\r\n"))},
-	{name: "unreadable-event", script: decodeReplies(writes(chunkedHead + chunk("\x00\xff noise \n\n")))},
-	{name: "unreadable-event-at-most-once", class: "note", script: decodeReplies(writes(chunkedHead + chunk("\x00\xff noise \n\n")))},
-
-	{name: "no-answer-in-time-at-most-once", class: "note", edits: []string{"16000m", "400m"}, script: decodeReplies(writesThenWaits(""), writesThenWaits(""))},
-	{name: "no-event-in-time-at-most-once", class: "note", edits: []string{"16000m", "400m"}, script: decodeReplies(writesThenWaits(chunkedHead), writesThenWaits(chunkedHead))},
-
-	{name: "closed-after-first-event", script: decodeReplies(writesThenCloses(brokenStream))},
-	{name: "noise-after-first-event", script: decodeReplies(writes(brokenStream + "zz\r\n"))},
+	{name: "stream-after-interim-answers", script: decodeResponds(platformtest.Respond("HTTP/1.1 102 X\r\n\r\nHTTP/1.1 103 Y\r\nLink: z\r\n\r\n" + platformtest.Stream()))},
+
+	{name: "200-without-chunks", script: decodeResponds(platformtest.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi\n"))},
+	{name: "200-without-chunks-at-most-once", class: "note", script: decodeResponds(platformtest.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi\n"))},
+	{name: "200-from-prefill", script: prefillResponds(platformtest.Respond(platformtest.Stream()))},
+	{name: "200-without-events", script: decodeResponds(platformtest.Respond(platformtest.StreamHead + platformtest.LastChunk))},
+	{name: "200-without-events-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.StreamHead + platformtest.LastChunk))},
+
+	{name: "202-from-prefill-without-tokens", script: prefillResponds(platformtest.Respond("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))},
+	{name: "202-from-mixed", flavors: []string{"m1"}, script: map[string][]platformtest.Script{"m1": {prefillDone}}},
+	{name: "202-from-decode", script: decodeResponds(prefillDone)},
+	{name: "202-from-decode-at-most-once", class: "note", script: decodeResponds(prefillDone)},
+
+	{name: "410-rejected", script: decodeResponds(platformtest.Respond(platformtest.Status(410, rejected)))},
+	{name: "410-rejected-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(410, rejected)))},
+	{name: "410", script: decodeResponds(platformtest.Respond(platformtest.Status(410, "")))},
+	{name: "410-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(410, "")))},
+	{name: "503-rejected", script: decodeResponds(platformtest.Respond(platformtest.Status(503, rejected)))},
+	{name: "503-rejected-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(503, rejected)))},
+	{name: "504-rejected-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(504, rejected)))},
+	{name: "503-rejected-by-prefill", class: "note", flavors: []string{"r1", "r1", "w1"}, script: prefillResponds(platformtest.Respond(platformtest.Status(503, rejected)))},
+
+	{name: "408", script: decodeResponds(platformtest.Respond(platformtest.Status(408, "")))},
+	{name: "408-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(408, "")))},
+	{name: "429-rejected-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(429, rejected)))},
+	{name: "500", script: decodeResponds(platformtest.Respond(platformtest.Status(500, "")))},
+	{name: "500-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(500, "")))},
+	{name: "500-from-prefill-at-most-once", class: "note", flavors: []string{"r1", "r1", "w1"}, script: prefillResponds(platformtest.Respond(platformtest.Status(500, "")))},
+	{name: "503-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(503, "")))},
+	{name: "504-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(504, "")))},
+	{name: "302", script: decodeResponds(platformtest.Respond(platformtest.Status(302, "Location: /x\r\n")))},
+	{name: "302-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(302, "Location: /x\r\n")))},
+	{name: "400", script: decodeResponds(platformtest.Respond(platformtest.Status(400, "")))},
+	{name: "400-from-prefill", script: prefillResponds(platformtest.Respond(platformtest.Status(400, "")))},
+	{name: "404-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.Status(404, "")))},
+
+	{name: "closed-without-answer", script: decodeResponds(platformtest.RespondAndClose(""))},
+	{name: "closed-without-answer-at-most-once", class: "note", script: decodeResponds(platformtest.RespondAndClose(""))},
+	{name: "reset", script: decodeResponds(platformtest.ResetAttempts)},
+	{name: "reset-at-most-once", class: "note", script: decodeResponds(platformtest.ResetAttempts)},
+	{name: "closed-by-prefill-at-most-once", class: "note", flavors: []string{"r1", "r1", "w1"}, script: prefillResponds(platformtest.RespondAndClose(""))},
+
+	{name: "unreadable-head", script: decodeResponds(platformtest.Respond("\x01\x02\r\n\r\n"))},
+	{name: "unreadable-head-at-most-once", class: "note", script: decodeResponds(platformtest.Respond("\x01\x02\r\n\r\n"))},
+	{name: "unreadable-chunk-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.StreamHead + "zz\r\n"))},
+	{name: "unreadable-event", script: decodeResponds(platformtest.Respond(platformtest.StreamHead + platformtest.Chunk("\x00\xff noise \n\n")))},
+	{name: "unreadable-event-at-most-once", class: "note", script: decodeResponds(platformtest.Respond(platformtest.StreamHead + platformtest.Chunk("\x00\xff noise \n\n")))},
+
+	{name: "no-answer-in-time-at-most-once", class: "note", edits: []string{"16000m", "400m"}, script: decodeResponds(platformtest.RespondAndStall(""), platformtest.RespondAndStall(""))},
+	{name: "no-event-in-time-at-most-once", class: "note", edits: []string{"16000m", "400m"}, script: decodeResponds(platformtest.RespondAndStall(platformtest.StreamHead), platformtest.RespondAndStall(platformtest.StreamHead))},
+
+	{name: "closed-after-first-event", script: decodeResponds(platformtest.RespondAndClose(platformtest.TruncatedStream()))},
+	{name: "noise-after-first-event", script: decodeResponds(platformtest.Respond(platformtest.TruncatedStream() + "zz\r\n"))},
 }
 
 // TestGoldenOutcomes pins the bytes of one exchange for each outcome of an attempt.
@@ -107,13 +114,13 @@
 			if class == "" {
 				class = "ask"
 			}
-			rig := newGoldenRig(t, flavors...)
-			for flavor, replies := range s.script {
-				rig.script[flavor] = append([]reply(nil), replies...)
+			g := newGoldenHarness(t, flavors...)
+			for flavor, scripts := range s.script {
+				g.script[flavor] = slices.Clone(scripts)
 			}
-			rig.start()
-			rig.exchange(rig.chat(class, s.edits...))
-			compareGolden(t, "outcome-"+s.name, rig.transcript())
+			g.start()
+			g.exchange(g.chat(class, s.edits...))
+			compareGolden(t, "outcome-"+s.name, g.transcript())
 		})
 	}
 }
@@ -123,89 +130,95 @@
 	t.Parallel()
 	t.Run("refused", func(t *testing.T) {
 		t.Parallel()
-		rig := newGoldenRig(t, "r1", "w1")
-		rig.engines[1].listener.Close()
-		rig.start()
-		rig.exchange(rig.chat("note", "16000m", "400m"))
-		compareGolden(t, "unreachable-refused", rig.transcript())
+		g := newGoldenHarness(t, "r1", "w1")
+		g.engines[1].Close()
+		g.start()
+		g.exchange(g.chat("note", "16000m", "400m"))
+		compareGolden(t, "unreachable-refused", g.transcript())
 	})
 	t.Run("no-handshake", func(t *testing.T) {
 		t.Parallel()
-		rig := newGoldenRig(t, "r1", "w1")
-		rig.engines[1].address = unreachable(t)
-		rig.start()
-		rig.exchange(rig.chat("note", "16000m", "400m"))
-		compareGolden(t, "unreachable-no-handshake", rig.transcript())
+		g := newGoldenHarness(t, "r1", "w1")
+		g.engines[1].ListedAddress = enginetest.UnreachableAddress(t).String()
+		g.start()
+		g.exchange(g.chat("note", "16000m", "400m"))
+		compareGolden(t, "unreachable-no-handshake", g.transcript())
 	})
 	t.Run("no-decode-engine", func(t *testing.T) {
 		t.Parallel()
-		rig := newGoldenRig(t, "r1")
-		rig.start()
-		rig.exchange(rig.chat("ask", "16000m", "400m"))
-		compareGolden(t, "unreachable-no-decode-engine", rig.transcript())
+		g := newGoldenHarness(t, "r1")
+		g.start()
+		g.exchange(g.chat("ask", "16000m", "400m"))
+		compareGolden(t, "unreachable-no-decode-engine", g.transcript())
 	})
 }
 
-// TestGoldenClientLimit pins what becomes of a client beyond the router's share of sockets, where
-// none of the others is idle.
-func TestGoldenClientLimit(t *testing.T) {
-	t.Parallel()
-	const mostClients = 12 // of 64 sockets
-	rig := newGoldenRig(t, "r1", "w1")
-	waiting, release := make(chan struct{}, mostClients), make(chan struct{})
-	for range mostClients {
-		rig.script["w1"] = append(rig.script["w1"], func(c *engineCall) bool {
-			waiting <- struct{}{}
-			<-release
-			c.write(whole)
+// deferDecode has the first decode attempts, this many, answered once release is closed. Each of them is reported on waiting.
+func (g *goldenHarness) deferDecode(count int) (waiting <-chan struct{}, release chan<- struct{}) {
+	arrived, released := make(chan struct{}, count), make(chan struct{})
+	for range count {
+		g.script["w1"] = append(g.script["w1"], func(r *platformtest.Request) bool {
+			arrived <- struct{}{}
+			<-released
+			r.Write(platformtest.Stream())
 			return true
 		})
 	}
-	rig.startWith(strings.Replace(rig.config(goldenSettings, rig.members(1)), `"sockets":256`, `"sockets":64`, 1))
-	var held []*client
-	for range mostClients {
-		held = append(held, rig.dial().send(rig.chat("note")))
+	return arrived, released
+}
+
+// TestGoldenClientLimit pins the end of a client's connection beyond the router's share of sockets, if
+// none of the others is idle.
+func TestGoldenClientLimit(t *testing.T) {
+	t.Parallel()
+	const maxClients = 12 // of 64 sockets
+	g := newGoldenHarness(t, "r1", "w1")
+	waiting, release := g.deferDecode(maxClients)
+	g.startWith(strings.Replace(g.config(goldenSettings, g.list(1)), `"sockets":256`, `"sockets":64`, 1))
+	var held []*recordedClient
+	for range maxClients {
+		held = append(held, g.dial().send(g.chat("note")))
 		<-waiting
 	}
-	rig.forgetRecords()
-	beyond := rig.dial()
-	beyond.receive("POST").note()
+	g.forgetRecords()
+	beyond := g.dial()
+	beyond.receive("POST").record()
 	close(release)
 	for _, c := range held {
 		c.receive("POST")
 	}
-	compareGolden(t, "client-limit", rig.transcript())
+	compareGolden(t, "client-limit", g.transcript())
 }
 
-// TestGoldenKeptConnection pins a request that is lost with a connection that carried one before.
+// TestGoldenKeptConnection pins a request that is lost with a reused connection.
 func TestGoldenKeptConnection(t *testing.T) {
 	t.Parallel()
-	rig := newGoldenRig(t, "r1", "w1")
-	rig.script["w1"] = []reply{writes(whole), writesThenCloses("")}
-	rig.start()
-	c := rig.dial()
-	c.send(rig.chat("ask")).receive("POST").note()
-	c.send(rig.chat("ask")).receive("POST").note()
-	compareGolden(t, "outcome-kept-connection-lost", rig.transcript())
+	g := newGoldenHarness(t, "r1", "w1")
+	g.script["w1"] = []platformtest.Script{platformtest.Respond(platformtest.Stream()), platformtest.RespondAndClose("")}
+	g.start()
+	c := g.dial()
+	c.send(g.chat("ask")).receive("POST").record()
+	c.send(g.chat("ask")).receive("POST").record()
+	compareGolden(t, "outcome-kept-connection-lost", g.transcript())
 }
 
 // TestGoldenClientGone pins what engines see of a client that leaves, before and after the first
 // event.
 func TestGoldenClientGone(t *testing.T) {
 	t.Parallel()
-	for name, sent := range map[string]string{"before-first-event": "", "after-first-event": brokenStream} {
+	for name, sent := range map[string]string{"before-first-event": "", "after-first-event": platformtest.TruncatedStream()} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			rig := newGoldenRig(t, "r1", "w1")
+			g := newGoldenHarness(t, "r1", "w1")
 			waiting := make(chan struct{})
-			rig.script["w1"] = []reply{func(c *engineCall) bool {
-				c.write(sent)
+			g.script["w1"] = []platformtest.Script{func(r *platformtest.Request) bool {
+				r.Write(sent)
 				close(waiting)
-				c.waitForEnd()
+				r.AwaitClose()
 				return false
 			}}
-			rig.start()
-			c := rig.dial().send(rig.chat("note"))
+			g.start()
+			c := g.dial().send(g.chat("note"))
 			<-waiting
 			if sent != "" {
 				if _, err := c.reader.ReadString('\n'); err != nil {
@@ -213,56 +226,56 @@
 				}
 			}
 			c.conn.Close()
-			rig.waitForEnding()
-			compareGolden(t, "outcome-client-gone-"+name, rig.transcript())
+			g.waitForEnding()
+			compareGolden(t, "outcome-client-gone-"+name, g.transcript())
 		})
 	}
 }
 
-// TestGoldenProbe pins a probe of an engine that failed.
+// TestGoldenProbe pins the health check of an engine that failed.
 func TestGoldenProbe(t *testing.T) {
 	t.Parallel()
-	rig := newGoldenRig(t, "r1", "w1")
-	rig.script["w1"] = []reply{resets, resets, resets, resets, resets, resets}
+	g := newGoldenHarness(t, "r1", "w1")
+	g.script["w1"] = []platformtest.Script{platformtest.ResetAttempts, platformtest.ResetAttempts, platformtest.ResetAttempts, platformtest.ResetAttempts, platformtest.ResetAttempts, platformtest.ResetAttempts}
 	settings := strings.Replace(goldenSettings, `"Probes":false`, `"Probes":true`, 1)
-	rig.startWith(rig.config(settings, rig.members(1)))
-	const mostRequests = 50
-	for range mostRequests {
-		rig.exchange(rig.chat("note"))
-		if rig.probed() {
+	g.startWith(g.config(settings, g.list(1)))
+	const maxRequests = 50
+	for range maxRequests {
+		g.exchange(g.chat("note"))
+		if g.isHealthChecked() {
 			break
 		}
 	}
-	compareGolden(t, "probe", rig.probeTranscript())
+	compareGolden(t, "probe", g.healthCheckTranscript())
 }
 
-// unusableRequests can't be used as they are. Each is answered by the router itself.
-func unusableRequests(rig *goldenRig) map[string]string {
+// unusableRequests returns requests that the server answers itself.
+func unusableRequests(g *goldenHarness) map[string]string {
 	const post, get = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n", "GET /healthz HTTP/1.1\r\nHost: x\r\n"
 	return map[string]string{
 		"400-noise":              "\x00\x01\x02\xff\r\n\r\n",
-		"400-no-id":              rig.chat("ask", "X-Call-Id: ", "X-Other: "),
-		"400-two-ids":            rig.chat("ask", "X-Call-Id:", "X-Call-Id: other\r\nX-Call-Id:"),
-		"400-bad-id":             rig.chat("ask", "X-Call-Id: ", "X-Call-Id: ../../"),
-		"400-no-class":           rig.chat("ask", "X-Call-Class: ask\r\n", ""),
-		"400-unknown-class":      rig.chat("poem"),
-		"400-no-budget":          rig.chat("ask", "X-Budget: 16000m\r\n", ""),
-		"400-budget-unit":        rig.chat("ask", "16000m", "16000"),
-		"400-budget-zero":        rig.chat("ask", "16000m", "0m"),
-		"400-prompt-length":      rig.chat("ask", "prompt_len=512", "prompt_len=-512"),
-		"400-prefix-over-prompt": rig.chat("ask", "prefix_len=204", "prefix_len=2040"),
+		"400-no-id":              g.chat("ask", "X-Call-Id: ", "X-Other: "),
+		"400-two-ids":            g.chat("ask", "X-Call-Id:", "X-Call-Id: other\r\nX-Call-Id:"),
+		"400-bad-id":             g.chat("ask", "X-Call-Id: ", "X-Call-Id: ../../"),
+		"400-no-class":           g.chat("ask", "X-Call-Class: ask\r\n", ""),
+		"400-unknown-class":      g.chat("poem"),
+		"400-no-budget":          g.chat("ask", "X-Budget: 16000m\r\n", ""),
+		"400-budget-unit":        g.chat("ask", "16000m", "16000"),
+		"400-budget-zero":        g.chat("ask", "16000m", "0m"),
+		"400-prompt-length":      g.chat("ask", "prompt_len=512", "prompt_len=-512"),
+		"400-prefix-over-prompt": g.chat("ask", "prefix_len=204", "prefix_len=2040"),
 		"400-negative-length":    post + "Content-Length: -5\r\n\r\n",
-		"400-two-lengths":        rig.chat("ask", "Content-Length:", "Transfer-Encoding: chunked\r\nContent-Length:"),
+		"400-two-lengths":        g.chat("ask", "Content-Length:", "Transfer-Encoding: chunked\r\nContent-Length:"),
 		"404":                    "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n",
 		"404-head":               "HEAD /v1/models HTTP/1.1\r\nHost: x\r\n\r\n",
 		"405-chat":               "GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n",
 		"405-healthz":            "POST /healthz HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
 		"413":                    post + "Content-Length: 60000000\r\n\r\n",
 		"414":                    "GET /" + strings.Repeat("y", 9<<10) + " HTTP/1.1\r\nHost: x\r\n\r\n",
-		"417":                    rig.chat("ask", "Content-Length:", "Expect: miracle\r\nContent-Length:"),
+		"417":                    g.chat("ask", "Content-Length:", "Expect: miracle\r\nContent-Length:"),
 		"431":                    get + "A: " + strings.Repeat("y", 17<<10) + "\r\n\r\n",
-		"501":                    rig.chat("ask", "Content-Length:", "Transfer-Encoding: gzip\r\nX-Length:"),
-		"505-stream-to-1.0":      rig.chat("ask", "HTTP/1.1", "HTTP/1.0"),
+		"501":                    g.chat("ask", "Content-Length:", "Transfer-Encoding: gzip\r\nX-Length:"),
+		"505-stream-to-1.0":      g.chat("ask", "HTTP/1.1", "HTTP/1.0"),
 		"505-version":            "GET /healthz HTTP/2.0\r\nHost: x\r\n\r\n",
 		"healthz":                get + "\r\n",
 		"healthz-head":           "HEAD /healthz HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -270,81 +283,69 @@
 	}
 }
 
-// TestGoldenUnusable pins the answers that the router gives itself. No engine hears of any.
+// TestGoldenUnusable pins the answers that the server gives itself. No engine receives any of these requests.
 func TestGoldenUnusable(t *testing.T) {
 	t.Parallel()
-	rig := newGoldenRig(t, "r1", "w1").start()
-	requests := unusableRequests(rig)
+	g := newGoldenHarness(t, "r1", "w1").start()
+	requests := unusableRequests(g)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		t.Run(name, func(t *testing.T) {
 			method, _, _ := strings.Cut(requests[name], " ")
-			c := rig.dial().send(requests[name]).receive(method)
+			c := g.dial().send(requests[name]).receive(method)
 			compareGolden(t, "answer-"+name, c.answer)
 		})
 	}
-	compareGolden(t, "answer-without-engines", rig.transcript())
+	compareGolden(t, "answer-without-engines", g.transcript())
 }
 
-// TestGoldenSlowRequest pins the answers to requests that don't come whole in time.
+// TestGoldenSlowRequest pins the answers to requests that don't arrive completely in time.
 func TestGoldenSlowRequest(t *testing.T) {
 	t.Parallel()
-	rig := newGoldenRig(t, "r1", "w1").start()
-	head := rig.dial().send("POST /v1/chat/comp")
-	body := rig.dial().send(strings.TrimSuffix(rig.chat("ask"), `"hello"}]}`))
-	head.receive("POST").note()
-	body.receive("POST").note()
-	compareGolden(t, "answer-408", rig.transcript())
+	g := newGoldenHarness(t, "r1", "w1").start()
+	head := g.dial().send("POST /v1/chat/comp")
+	body := g.dial().send(strings.TrimSuffix(g.chat("ask"), `"hello"}]}`))
+	head.receive("POST").record()
+	body.receive("POST").record()
+	compareGolden(t, "answer-408", g.transcript())
 }
 
 // TestGoldenContinue pins the interim answer to a client that waits for one.
 func TestGoldenContinue(t *testing.T) {
 	t.Parallel()
-	rig := newGoldenRig(t, "r1", "w1").start()
-	rig.exchange(rig.chat("ask", "Content-Length:", "Expect: 100-continue\r\nContent-Length:"))
-	compareGolden(t, "answer-100-continue", rig.transcript())
+	g := newGoldenHarness(t, "r1", "w1").start()
+	g.exchange(g.chat("ask", "Content-Length:", "Expect: 100-continue\r\nContent-Length:"))
+	compareGolden(t, "answer-100-continue", g.transcript())
 }
 
 // TestGoldenSameID pins the answer to a request whose id is that of an open one.
 func TestGoldenSameID(t *testing.T) {
 	t.Parallel()
-	rig := newGoldenRig(t, "r1", "w1")
-	release, waiting := make(chan struct{}), make(chan struct{})
-	rig.script["w1"] = []reply{func(c *engineCall) bool {
-		close(waiting)
-		<-release
-		c.write(whole)
-		return true
-	}}
-	rig.start()
-	text := rig.chat("note")
-	open := rig.dial().send(text)
+	g := newGoldenHarness(t, "r1", "w1")
+	waiting, release := g.deferDecode(1)
+	g.start()
+	text := g.chat("note")
+	open := g.dial().send(text)
 	<-waiting
-	rig.exchange(text)
+	g.exchange(text)
 	close(release)
-	open.receive("POST").note()
-	compareGolden(t, "answer-400-same-id", rig.transcript())
+	open.receive("POST").record()
+	compareGolden(t, "answer-400-same-id", g.transcript())
 }
 
-// TestGoldenTooMany pins the refusal of a request beyond the most that a router may hold.
+// TestGoldenTooMany pins the rejection of a request beyond the limit of open requests.
 func TestGoldenTooMany(t *testing.T) {
 	t.Parallel()
-	rig := newGoldenRig(t, "r1", "w1")
-	release, waiting := make(chan struct{}), make(chan struct{})
-	rig.script["w1"] = []reply{func(c *engineCall) bool {
-		close(waiting)
-		<-release
-		c.write(whole)
-		return true
-	}}
+	g := newGoldenHarness(t, "r1", "w1")
+	waiting, release := g.deferDecode(1)
 	settings := strings.Replace(goldenSettings, `"MostHeld":1000`, `"MostHeld":1`, 1)
-	rig.keepRetryAfter = true
-	rig.startWith(rig.config(settings, rig.members(1)))
-	held := rig.dial().send(rig.chat("note"))
+	g.keepRetryAfter = true
+	g.startWith(g.config(settings, g.list(1)))
+	held := g.dial().send(g.chat("note"))
 	<-waiting
-	rig.exchange(rig.chat("note"))
+	g.exchange(g.chat("note"))
 	close(release)
-	held.receive("POST").note()
-	compareGolden(t, "answer-503-too-many", rig.transcript())
+	held.receive("POST").record()
+	compareGolden(t, "answer-503-too-many", g.transcript())
 }
 
 // TestGoldenHealthz pins the states in which a router isn't ready: without engines, and stopping.
@@ -353,39 +354,39 @@
 	const get = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 	t.Run("no-engines", func(t *testing.T) {
 		t.Parallel()
-		rig := newGoldenRig(t)
-		rig.watch = func(net.Conn, int) {}
-		rig.startWith(rig.config(goldenSettings, ""))
-		rig.exchange(get)
-		compareGolden(t, "healthz-no-engines", rig.transcript())
+		g := newGoldenHarness(t)
+		g.discovery.SetScript(func(platformtest.Conn, int) bool { return true }) // and never answers
+		g.startWith(g.config(goldenSettings, ""))
+		g.exchange(get)
+		compareGolden(t, "healthz-no-engines", g.transcript())
 	})
 	t.Run("stopping", func(t *testing.T) {
 		t.Parallel()
-		rig := newGoldenRig(t, "r1", "w1")
-		rig.start()
-		c := rig.dial().send(get).receive("GET").note()
+		g := newGoldenHarness(t, "r1", "w1")
+		g.start()
+		c := g.dial().send(get).receive("GET").record()
 		ready := c.answer
-		rig.router.Shutdown()
+		g.server.Shutdown()
 		for c.answer == ready { // until the loop has seen it
 			c.send(get).receive("GET")
 		}
-		c.note()
-		compareGolden(t, "healthz-stopping", rig.transcript())
+		c.record()
+		compareGolden(t, "healthz-stopping", g.transcript())
 	})
 }
 
-// TestGoldenStopping pins the refusal of a request that is whole only after a router that stops
+// TestGoldenStopping pins the rejection of a request that is complete only after a server that shuts down
 // has closed its listener.
 func TestGoldenStopping(t *testing.T) {
 	t.Parallel()
-	rig := newGoldenRig(t, "r1", "w1")
-	rig.keepRetryAfter = true
-	rig.start()
-	address := rig.router.Addr()
-	text := rig.chat("note")
+	g := newGoldenHarness(t, "r1", "w1")
+	g.keepRetryAfter = true
+	g.start()
+	address := g.server.Addr()
+	text := g.chat("note")
 	half := len(text) / 2
-	c := rig.dial().send(text[:half])
-	rig.router.Shutdown()
+	c := g.dial().send(text[:half])
+	g.server.Shutdown()
 	for { // until it is closed
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -394,39 +395,40 @@
 		conn.Close()
 		time.Sleep(10 * time.Millisecond)
 	}
-	c.send(text[half:]).receive("POST").note()
-	compareGolden(t, "answer-503-stopping", rig.transcript())
+	c.send(text[half:]).receive("POST").record()
+	compareGolden(t, "answer-503-stopping", g.transcript())
 }
 
 // TestGoldenDiscovery pins the calls of a router whose watches end: the next one begins from the
 // revision that it holds.
 func TestGoldenDiscovery(t *testing.T) {
 	t.Parallel()
-	list := func(rig *goldenRig) string { return watchHead + chunk(rig.members(7)+"\n") }
-	for name, answer := range map[string]func(rig *goldenRig) string{
-		"watch-ends":   func(rig *goldenRig) string { return list(rig) + lastChunk },
+	list := func(g *goldenHarness) string { return platformtest.WatchHead + platformtest.Chunk(g.list(7)+"\n") }
+	for name, answer := range map[string]func(g *goldenHarness) string{
+		"watch-ends":   func(g *goldenHarness) string { return list(g) + platformtest.LastChunk },
 		"watch-breaks": list,
-		"unreadable":   func(rig *goldenRig) string { return list(rig) + chunk("noise\n") },
-		"status":       func(*goldenRig) string { return status(500, "") },
+		"unreadable":   func(g *goldenHarness) string { return list(g) + platformtest.Chunk("noise\n") },
+		"status":       func(*goldenHarness) string { return platformtest.Status(500, "") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			rig := newGoldenRig(t, "r1", "w1")
+			g := newGoldenHarness(t, "r1", "w1")
 			second := make(chan struct{})
-			rig.watch = func(conn net.Conn, number int) {
-				switch number {
+			g.discovery.SetScript(func(conn platformtest.Conn, call int) (isAnswered bool) {
+				switch call {
 				case 1:
-					io.WriteString(conn, answer(rig))
+					io.WriteString(conn, answer(g))
 					conn.Close()
 				case 2:
-					io.WriteString(conn, list(rig))
+					io.WriteString(conn, list(g))
 					close(second)
 				}
-			}
-			rig.start()
+				return true
+			})
+			g.start()
 			<-second
-			rig.exchange(rig.chat("ask"))
-			compareGolden(t, "discovery-"+name, rig.transcript())
+			g.exchange(g.chat("ask"))
+			compareGolden(t, "discovery-"+name, g.transcript())
 		})
 	}
 }
--- /dev/null
+++ b/internal/platform/jsonstream_test.go
@@ -0,0 +1,67 @@
+package platform
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// splitInPieces gives a stream a text in pieces that end at these places, and returns the objects
+// without white space, and "-" for each blank line; false where the text is invalid.
+func splitInPieces(stream *jsonStream, text string, ends ...int) (elements []string, isValid bool) {
+	start := 0
+	for _, end := range append(ends, len(text)) {
+		for piece := []byte(text[start:end]); len(piece) > 0; {
+			element := stream.next(piece)
+			switch element.kind {
+			case jsonInvalid:
+				return elements, false
+			case jsonObject:
+				var value any
+				if err := json.Unmarshal(element.object, &value); err != nil {
+					return elements, false
+				}
+				elements = append(elements, strings.ReplaceAll(strings.Join(strings.Fields(string(element.object)), ""), "\n", ""))
+			case jsonBlankLine:
+				elements = append(elements, "-")
+			case jsonIncomplete:
+			}
+			piece = piece[element.length:]
+		}
+		start = end
+	}
+	return elements, true
+}
+
+// TestJSONStreamFindsObjectsInAnyLayoutAndPieces holds for each two places where the bytes may be
+// cut.
+func TestJSONStreamFindsObjectsInAnyLayoutAndPieces(t *testing.T) {
+	text := "{\"a\":[{\"b\":\"x}]\\\\\\\"{\"}],\r\n \"c\": {\n\t\"d\": 1\n}\n}\n\n \r\n{\"e\":2}{\n}"
+	want := "{\"a\":[{\"b\":\"x}]\\\\\\\"{\"}],\"c\":{\"d\":1}} - - - {\"e\":2} {}"
+	for i := 0; i <= len(text); i++ {
+		for j := i; j <= len(text); j++ {
+			if got, isValid := splitInPieces(&jsonStream{maxObjectBytes: 1000}, text, i, j); !isValid || strings.Join(got, " ") != want {
+				t.Fatalf("cut at %d and %d: %v, %q", i, j, isValid, got)
+			}
+		}
+	}
+	for _, bad := range []string{"noise", "[1]", "null", "}", strings.Repeat("{\"a\":1}", 10) + "x", `{"a":"` + strings.Repeat("b", 2000), `{"a":"` + strings.Repeat("b", 1000) + `"}`} {
+		if _, isValid := splitInPieces(&jsonStream{maxObjectBytes: 1000}, bad, len(bad)/2); isValid {
+			t.Errorf("%.30q was taken", bad)
+		}
+	}
+}
+
+// FuzzJSONStream holds that what a text splits into does not depend on the pieces it comes in.
+func FuzzJSONStream(f *testing.F) {
+	f.Add([]byte("{\"a\":[]}\n\n{\n\"b\": \"}\"\n}"), 5)
+	f.Fuzz(func(t *testing.T, b []byte, at int) {
+		at = min(max(at, 0), len(b))
+		whole, wholeIsValid := splitInPieces(&jsonStream{maxObjectBytes: 100}, string(b))
+		cut, cutIsValid := splitInPieces(&jsonStream{maxObjectBytes: 100}, string(b), at)
+		if wholeIsValid != cutIsValid || wholeIsValid && fmt.Sprint(whole) != fmt.Sprint(cut) {
+			t.Errorf("%v %q, and cut at %d: %v %q", wholeIsValid, whole, at, cutIsValid, cut)
+		}
+	})
+}
--- /dev/null
+++ b/internal/platform/platformtest/discovery.go
@@ -0,0 +1,155 @@
+package platformtest
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"martenlock/internal/enginetest"
+)
+
+// Conn is a connection that a test writes to itself.
+type Conn = net.Conn
+
+// WatchHead begins the response to a watch.
+const WatchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+// Discovery is the discovery service on a loopback port. It answers each call with a first message and holds it open.
+type Discovery struct {
+	listener *enginetest.Listener
+
+	mu           sync.Mutex
+	calls        []discoveryCall
+	firstMessage string
+	script       func(conn Conn, call int) (isAnswered bool)
+}
+
+// discoveryCall is a call that discovery received.
+type discoveryCall struct {
+	conn Conn
+	head string
+}
+
+// StartDiscovery starts a discovery service that serves until the test ends, with the first message of each watch.
+func StartDiscovery(t *testing.T, firstMessage string) *Discovery {
+	t.Helper()
+	d := &Discovery{firstMessage: firstMessage}
+	d.listener = enginetest.Listen(t, d.serve)
+	return d
+}
+
+func (d *Discovery) serve(conn *net.TCPConn) {
+	reader := bufio.NewReader(conn)
+	head, err := enginetest.ReadRaw(reader)
+	if err != nil {
+		return
+	}
+	d.answer(conn, head)
+	enginetest.AwaitClose(reader)
+}
+
+// answer answers a call by the script, or with the first message.
+func (d *Discovery) answer(conn Conn, head string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.calls = append(d.calls, discoveryCall{conn: conn, head: head})
+	if d.script != nil && d.script(conn, len(d.calls)) {
+		return
+	}
+	_, _ = io.WriteString(conn, WatchHead+Chunk(d.firstMessage+"\n")) // a router that is gone watches again
+}
+
+// SetFirstMessage sets the first message of the watches from now on.
+func (d *Discovery) SetFirstMessage(message string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.firstMessage = message
+}
+
+// SetScript sets how the calls from now on are answered: script answers a call, which it is given with its number from 1,
+// or reports that it doesn't; then the call gets the first message.
+func (d *Discovery) SetScript(script func(conn Conn, call int) (isAnswered bool)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.script = script
+}
+
+// Send sends bytes on the latest watch, as one chunk.
+func (d *Discovery) Send(text string) { d.SendOn(d.Calls(), text) }
+
+// SendOn sends bytes on the watch of this number, from 1, as one chunk.
+func (d *Discovery) SendOn(call int, text string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	_, _ = io.WriteString(d.calls[call-1].conn, Chunk(text)) // the router may have abandoned this watch
+}
+
+// SendHeartbeats sends an empty line on the latest watch at this interval, until the test ends.
+func (d *Discovery) SendHeartbeats(t *testing.T, interval time.Duration) {
+	t.Helper()
+	ticker := time.NewTicker(interval)
+	ended := make(chan struct{})
+	t.Cleanup(func() {
+		ticker.Stop()
+		close(ended)
+	})
+	go func() {
+		for {
+			select {
+			case <-ended:
+				return
+			case <-ticker.C:
+				if d.Calls() > 0 {
+					d.Send("\n")
+				}
+			}
+		}
+	}()
+}
+
+// Calls returns how many calls discovery has received.
+func (d *Discovery) Calls() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.calls)
+}
+
+// RequestHeads returns the exact heads of the calls received.
+func (d *Discovery) RequestHeads() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	heads := make([]string, len(d.calls))
+	for i, call := range d.calls {
+		heads[i] = call.head
+	}
+	return heads
+}
+
+// Since returns the revision from which the call of this number, from 1, asks for changes; "" if it names none.
+func (d *Discovery) Since(call int) string {
+	request, err := http.ReadRequest(bufio.NewReader(strings.NewReader(d.RequestHeads()[call-1])))
+	if err != nil {
+		return ""
+	}
+	return request.URL.Query().Get("since")
+}
+
+// CloseCalls closes the connections of all calls.
+func (d *Discovery) CloseCalls() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, call := range d.calls {
+		_ = call.conn.Close() // the router may have closed it
+	}
+}
+
+// Close has discovery refuse new calls.
+func (d *Discovery) Close() { d.listener.Close() }
+
+// Address returns the address on which discovery listens.
+func (d *Discovery) Address() string { return d.listener.Addr().String() }
--- /dev/null
+++ b/internal/platform/platformtest/engine.go
@@ -0,0 +1,199 @@
+package platformtest
+
+import (
+	"cmp"
+	"fmt"
+	"net/http"
+	"sync"
+	"testing"
+
+	"martenlock/internal/enginetest"
+)
+
+// Request is a request that an engine received.
+type Request struct {
+	*enginetest.Request
+	Engine     *Engine
+	ID         string
+	TimeBudget string // with its unit
+}
+
+// AwaitClose returns once the router has ended the connection.
+func (r *Request) AwaitClose() {
+	r.Request.AwaitClose()
+	if _, onClose := r.Engine.observers(); onClose != nil {
+		onClose(r)
+	}
+}
+
+// Script answers one request and reports whether the engine keeps the connection open.
+type Script func(*Request) (keepOpen bool)
+
+// Engine is an engine of the platform on a loopback port.
+type Engine struct {
+	server     *enginetest.Engine
+	ID, Flavor string
+	// ListedAddress is the address in the endpoint list; the engine's own if empty.
+	ListedAddress string
+
+	mu                 sync.Mutex
+	onRequest, onClose func(*Request)
+}
+
+// Observe has onRequest called for each request before its script, and onClose when the router has ended the connection of
+// a request whose script awaits that. Either may be nil. They are called on the goroutine of the connection.
+func (e *Engine) Observe(onRequest, onClose func(*Request)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.onRequest, e.onClose = onRequest, onClose
+}
+
+func (e *Engine) observers() (onRequest, onClose func(*Request)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.onRequest, e.onClose
+}
+
+// StartEngines starts well-behaved engines of these flavors, named idPrefix and a number from 0.
+func StartEngines(t *testing.T, idPrefix string, flavors ...string) []*Engine {
+	t.Helper()
+	engines := make([]*Engine, len(flavors))
+	for i, flavor := range flavors {
+		engines[i] = &Engine{ID: fmt.Sprintf("%s-%d", idPrefix, i), Flavor: flavor}
+		engines[i].server = enginetest.Start(t, engines[i].serverScript(WellBehaved))
+	}
+	return engines
+}
+
+// serverScript adapts a script of the platform to the engine's server.
+func (e *Engine) serverScript(script Script) enginetest.Script {
+	return func(received *enginetest.Request) bool {
+		request := &Request{Request: received, Engine: e, ID: received.Header.Get("X-Call-Id"), TimeBudget: received.Header.Get("X-Budget")}
+		if onRequest, _ := e.observers(); onRequest != nil {
+			onRequest(request)
+		}
+		return script(request)
+	}
+}
+
+// SetScript sets how requests are answered from now on.
+func (e *Engine) SetScript(script Script) { e.server.SetScript(e.serverScript(script)) }
+
+// Address returns the address on which the engine listens.
+func (e *Engine) Address() string { return e.server.Addr().String() }
+
+// Close has the engine refuse new connections.
+func (e *Engine) Close() { e.server.Close() }
+
+// Accepted returns how many connections the engine has accepted.
+func (e *Engine) Accepted() int { return e.server.Accepted() }
+
+// Attempts returns how many attempts the engine has received, not counting KV releases and health checks.
+func (e *Engine) Attempts() int { return e.server.CountRequests(http.MethodPost) }
+
+// LatestRequest returns the latest request received.
+func (e *Engine) LatestRequest() *enginetest.Request {
+	requests := e.server.Requests()
+	return requests[len(requests)-1]
+}
+
+// ForgetRequests drops the record of requests.
+func (e *Engine) ForgetRequests() { e.server.ForgetRequests() }
+
+// Entry returns the engine's entry in the endpoint list, in service from the start.
+func (e *Engine) Entry() Entry {
+	return Entry{ID: e.ID, Address: cmp.Or(e.ListedAddress, e.Address()), Flavor: e.Flavor}
+}
+
+// EntryInPhase returns the engine's entry in another phase.
+func (e *Engine) EntryInPhase(phase string) Entry {
+	entry := e.Entry()
+	entry.Phase = phase
+	return entry
+}
+
+// Roles of engines.
+const (
+	Prefill = "prefill"
+	Decode  = "decode"
+	Mixed   = "mixed"
+)
+
+var roleByFlavor = map[string]string{
+	"r1": Prefill, "x9": Prefill, "intake": Prefill, "desk": Prefill,
+	"w1": Decode, "y9": Decode, "speaker": Decode, "reader-aloud": Decode,
+	"m1": Mixed,
+}
+
+// Role returns the role of the engine's flavor.
+func (e *Engine) Role() string { return roleByFlavor[e.Flavor] }
+
+// WellBehaved is the script of a healthy engine.
+func WellBehaved(r *Request) bool {
+	switch {
+	case r.Method == http.MethodDelete:
+		return r.Write("HTTP/1.1 204 No Content\r\n\r\n")
+	case r.Method == http.MethodGet:
+		return r.Write(Status(http.StatusOK, ""))
+	case r.Engine.Role() == Prefill:
+		return r.Write(PrefillResponse)
+	}
+	return r.Write(Stream())
+}
+
+// ForAttempts answers attempts by a script. KV releases and health checks are answered as by a healthy engine.
+func ForAttempts(script Script) Script {
+	return func(r *Request) bool {
+		if r.Method != http.MethodPost {
+			return WellBehaved(r)
+		}
+		return script(r)
+	}
+}
+
+// Respond answers each attempt with these bytes.
+func Respond(text string) Script {
+	return ForAttempts(func(r *Request) bool { return r.Write(text) })
+}
+
+// RespondAndClose answers each attempt with these bytes and closes the connection.
+func RespondAndClose(text string) Script {
+	return ForAttempts(func(r *Request) bool {
+		r.Write(text)
+		return false
+	})
+}
+
+// RespondAndStall answers each attempt with these bytes and sends nothing more until the router ends the connection.
+func RespondAndStall(text string) Script {
+	return ForAttempts(func(r *Request) bool {
+		r.Write(text)
+		r.AwaitClose()
+		return false
+	})
+}
+
+// RespondAfter answers each attempt as a healthy engine does, once released is closed.
+func RespondAfter(released <-chan struct{}) Script {
+	return ForAttempts(func(r *Request) bool {
+		<-released
+		return WellBehaved(r)
+	})
+}
+
+// ResetAttempts ends the connection of each attempt with a TCP reset and no response.
+func ResetAttempts(r *Request) bool {
+	return ForAttempts(func(r *Request) bool {
+		r.Reset()
+		return false
+	})(r)
+}
+
+// AnswerByTest hands the connection of each attempt to the test, which answers on it.
+func AnswerByTest(conns chan<- Conn) Script {
+	return ForAttempts(func(r *Request) bool {
+		conns <- r.Conn
+		r.AwaitClose()
+		return false
+	})
+}
--- /dev/null
+++ b/internal/platform/platformtest/protocol.go
@@ -0,0 +1,109 @@
+// Package platformtest plays the platform's side of its protocol for tests: engines and discovery on loopback sockets that
+// answer by a script, and the bytes of requests, responses and endpoint lists.
+//
+// It uses nothing of package platform, so that a test of the platform server meets it on sockets only.
+package platformtest
+
+import (
+	"cmp"
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// Parts of a streamed response.
+const (
+	// StreamHead begins a streamed response.
+	StreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	// FirstEvent is the first event of a stream.
+	FirstEvent = `data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":null}]}` + "\n\n"
+	// LastToken is the event that finishes the text.
+	LastToken = `data: {"choices":[{"index":0,"delta":{"content":"x"},"finish_reason":"stop"}]}` + "\n\n"
+	// DoneEvent is the last event of a stream.
+	DoneEvent = "data: [DONE]\n\n"
+	// Events are the events of a complete stream.
+	Events = FirstEvent + LastToken + DoneEvent
+	// LastChunk ends a response in chunks.
+	LastChunk = "0\r\n\r\n"
+)
+
+// RejectedHeader is the header field of a response that rejects the request without having executed it.
+const RejectedHeader = "X-Rejected: 1\r\n"
+
+// PrefillResponse is the response of an engine that has completed a prefill and retains the KV state.
+const PrefillResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":12}"
+
+// Chunk returns text as one chunk of a response.
+func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+
+// Stream returns a complete streamed response of Events.
+func Stream() string {
+	return TruncatedStream() + Chunk(LastToken) + Chunk(DoneEvent) + LastChunk
+}
+
+// TruncatedStream returns a streamed response up to its first event.
+func TruncatedStream() string { return StreamHead + Chunk(FirstEvent) }
+
+// Status returns a response without a body. Each of its header fields ends with a line break.
+func Status(code int, fields string) string {
+	return fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: 0\r\n\r\n", code, fields)
+}
+
+// ChatRequest describes a client's request.
+type ChatRequest struct {
+	ID, Class  string
+	TimeBudget string // with its unit, as 4000m for 4 s
+	Body       string
+}
+
+// Text returns the request's bytes. Edits are pairs of a text in them and what replaces its first occurrence.
+func (r ChatRequest) Text(tb testing.TB, edits ...string) string {
+	tb.Helper()
+	text := fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: api.internal\r\nContent-Type: application/json\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\n"+
+		"X-Route-Hash: 7f3a9c21e0b4d655\r\nX-Budget: %s\r\nX-Call-Info: prefix=5c0f6e1a2b3d4c59,prompt_len=512,prefix_len=204,max_out=80\r\nContent-Length: %d\r\n\r\n%s",
+		r.ID, r.Class, r.TimeBudget, len(r.Body), r.Body)
+	for i := 0; i+1 < len(edits); i += 2 {
+		if !strings.Contains(text, edits[i]) {
+			tb.Fatalf("no %q in the request", edits[i])
+		}
+		text = strings.Replace(text, edits[i], edits[i+1], 1)
+	}
+	return text
+}
+
+// Phases of an engine in the endpoint list.
+const (
+	InService   = "in_service"
+	Terminating = "terminating"
+	Terminated  = "terminated"
+)
+
+// Entry is an engine's entry in the endpoint list.
+type Entry struct {
+	ID, Address, Flavor string
+	Zone                string // "a" if empty
+	Phase               string // InService if empty
+	UpSinceMillis       int64
+}
+
+// String returns the entry in the form of discovery's messages.
+func (e Entry) String() string {
+	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":%q,"cell":1,"phase":%q,"size":1.0,"up_since_ms":%d}`,
+		e.ID, e.Address, cmp.Or(e.Zone, "a"), e.Flavor, cmp.Or(e.Phase, InService), e.UpSinceMillis)
+}
+
+// CompleteList returns a message of discovery that lists all endpoints.
+func CompleteList(revision int, entries ...Entry) string { return listMessage(revision, true, entries) }
+
+// IncrementalList returns a message of discovery that lists the endpoints that have changed.
+func IncrementalList(revision int, entries ...Entry) string {
+	return listMessage(revision, false, entries)
+}
+
+func listMessage(revision int, isComplete bool, entries []Entry) string {
+	members := make([]string, len(entries))
+	for i, entry := range entries {
+		members[i] = entry.String()
+	}
+	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, isComplete, strings.Join(members, ","))
+}
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/processes_test.go
@@ -18,6 +18,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"martenlock/internal/enginetest"
+	"martenlock/internal/platform/platformtest"
 )
 
 // Environment variables that make a process of the test binary a router or an engine.
@@ -30,10 +33,10 @@
 const (
 	prefillBehavior      = "prefill"
 	decodeBehavior       = "decode"
-	prefillThenReset     = "prefill, then reset"      // retains the KV state and resets the connection in place of an answer
-	decodeWithoutAnswer  = "decode without answer"    // takes the request and is silent
+	prefillThenReset     = "prefill, then reset"      // retains the KV state and resets the connection instead of answering
+	decodeWithoutAnswer  = "decode without answer"    // receives the request and never answers
 	decodeKVStateMissing = "decode, KV state missing" // rejects: it can't fetch the KV state
-	prefillOnce          = "prefill once"             // is silent from the second prefill on
+	prefillOnce          = "prefill once"             // never answers from the second prefill on
 )
 
 // engineEventKind is what an engine process did for a request.
@@ -41,10 +44,10 @@
 
 // What engine processes report.
 const (
-	kvRetained   engineEventKind = "retained"  // a prefill has ended, its KV state waits
-	kvTaken      engineEventKind = "taken"     // a decode attempt has arrived whole
-	kvReleased   engineEventKind = "released"  // a release call has arrived
-	prefillTaken engineEventKind = "prefilled" // a prefill attempt has arrived whole
+	kvRetained      engineEventKind = "retained"  // a prefill has ended and left KV state
+	kvFetched       engineEventKind = "fetched"   // a decode attempt has arrived completely
+	kvReleased      engineEventKind = "released"  // a release call has arrived
+	prefillReceived engineEventKind = "prefilled" // a prefill attempt has arrived completely
 )
 
 // engineEvent is a line that an engine process writes to its standard output.
@@ -93,12 +96,12 @@
 	}
 	switch s.behavior {
 	case prefillBehavior:
-		s.report(prefillTaken, requestID)
+		s.report(prefillReceived, requestID)
 		s.report(kvRetained, requestID)
 		w.WriteHeader(http.StatusAccepted)
 		_, _ = io.WriteString(w, `{"cached_tokens":12}`)
 	case prefillOnce:
-		s.report(prefillTaken, requestID)
+		s.report(prefillReceived, requestID)
 		if s.prefills.Add(1) > 1 {
 			<-r.Context().Done()
 			return
@@ -107,19 +110,20 @@
 		w.WriteHeader(http.StatusAccepted)
 		_, _ = io.WriteString(w, `{"cached_tokens":12}`)
 	case prefillThenReset:
-		s.report(prefillTaken, requestID)
+		s.report(prefillReceived, requestID)
 		s.report(kvRetained, requestID)
-		conn, _, _ := w.(http.Hijacker).Hijack()
-		_ = conn.(*net.TCPConn).SetLinger(0)
-		_ = conn.Close()
+		conn, _, err := http.NewResponseController(w).Hijack()
+		if err == nil {
+			enginetest.Reset(conn)
+		}
 	case decodeBehavior:
-		s.report(kvTaken, requestID)
+		s.report(kvFetched, requestID)
 		w.Header().Set("Content-Type", "text/event-stream")
-		_, _ = io.WriteString(w, first)
-		w.(http.Flusher).Flush()
-		_, _ = io.WriteString(w, second+done)
+		_, _ = io.WriteString(w, platformtest.FirstEvent)
+		_ = http.NewResponseController(w).Flush() // the client's end shows at the next write
+		_, _ = io.WriteString(w, platformtest.LastToken+platformtest.DoneEvent)
 	case decodeWithoutAnswer:
-		s.report(kvTaken, requestID)
+		s.report(kvFetched, requestID)
 		<-r.Context().Done()
 	case decodeKVStateMissing:
 		w.Header().Set("X-Rejected", "1")
@@ -136,25 +140,24 @@
 	proxy   *silentProxy
 }
 
-// stop has the process do nothing any more; its connections stay open, and new ones are established.
-// It returns once the process has stopped.
-func (e *engineProcess) stop(f *fleet) {
-	f.Helper()
+// stop stops the process: its connections stay open, and new ones are established. It returns once the process has stopped.
+func (e *engineProcess) stop(t *testing.T) {
+	t.Helper()
 	if err := e.command.Process.Signal(syscall.SIGSTOP); err != nil {
-		f.Fatal(err)
+		t.Fatal(err)
 	}
-	f.waitFor("the process is stopped", func() bool { return isStopped(f.T, e.command.Process.Pid) })
+	waitFor(t, "the process to stop", func() bool { return isStopped(t, e.command.Process.Pid) })
 }
 
-// resume has a stopped process go on.
-func (e *engineProcess) resume(f *fleet) {
-	f.Helper()
+// resume continues a stopped process.
+func (e *engineProcess) resume(t *testing.T) {
+	t.Helper()
 	if err := e.command.Process.Signal(syscall.SIGCONT); err != nil {
-		f.Fatal(err)
+		t.Fatal(err)
 	}
 }
 
-// isStopped tells whether all threads of a process are stopped (proc(5)).
+// isStopped reports whether all threads of a process are stopped (proc(5)).
 func isStopped(t *testing.T, pid int) bool {
 	t.Helper()
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
@@ -174,51 +177,58 @@
 	return true
 }
 
-// entry is the engine's entry in the endpoint list.
-func (e *engineProcess) entry() string {
+// listed returns the engine's entry in the endpoint list.
+func (e *engineProcess) listed() platformtest.Entry {
 	address := e.address
 	if e.proxy != nil {
 		address = e.proxy.listener.Addr().String()
 	}
-	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":%q,"cell":1,"phase":"in_service","size":1.0,"up_since_ms":0}`,
-		e.name, address, e.flavor)
+	return platformtest.Entry{ID: e.name, Address: address, Flavor: e.flavor}
 }
 
-// silentProxy passes connections on to an engine until it is cut. Then it takes all bytes and
-// passes none on, and nothing ends.
+// silentProxy forwards connections to an engine until it is cut. Then it accepts all bytes and
+// forwards none, and no connection ends.
 type silentProxy struct {
-	listener net.Listener
+	listener *enginetest.Listener
 	target   string
-	closers  *closers
+
 	mu       sync.Mutex
-	clients  []net.Conn
+	clients  []*net.TCPConn
+	engines  []net.Conn
 	isCut    bool
+	isClosed bool
 }
 
-// serve passes connections on until the listener is closed.
-func (p *silentProxy) serve() {
-	for {
-		client, err := p.listener.Accept()
-		if err != nil {
-			return
-		}
-		p.closers.add(client)
-		p.mu.Lock()
-		p.clients = append(p.clients, client)
-		p.mu.Unlock()
-		engine, err := net.Dial("tcp", p.target)
-		if err != nil {
-			client.Close()
-			continue
-		}
-		p.closers.add(engine)
-		go p.pass(client, engine)
-		go p.pass(engine, client)
+// startSilentProxy starts a proxy in front of an engine's address.
+func startSilentProxy(t *testing.T, target string) *silentProxy {
+	t.Helper()
+	p := &silentProxy{target: target}
+	p.listener = enginetest.Listen(t, p.serve)
+	t.Cleanup(p.closeEngineConns)
+	return p
+}
+
+// serve forwards one connection in both directions.
+func (p *silentProxy) serve(client *net.TCPConn) {
+	engine, err := net.Dial("tcp", p.target)
+	if err != nil {
+		return
+	}
+	p.mu.Lock()
+	p.clients = append(p.clients, client)
+	p.engines = append(p.engines, engine)
+	if p.isClosed {
+		engine.Close()
 	}
+	p.mu.Unlock()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(client, engine) })
+	directions.Go(func() { p.forward(engine, client) })
+	directions.Wait()
 }
 
-// pass passes one direction on.
-func (p *silentProxy) pass(from, to net.Conn) {
+// forward forwards one direction.
+func (p *silentProxy) forward(from, to net.Conn) {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buffer)
@@ -226,7 +236,7 @@
 		isCut := p.isCut
 		p.mu.Unlock()
 		if !isCut && n > 0 {
-			_, _ = to.Write(buffer[:n])
+			_, _ = to.Write(buffer[:n]) // its end shows in the other direction
 		}
 		if err != nil {
 			if !isCut {
@@ -237,11 +247,11 @@
 	}
 }
 
-// setCut has the proxy pass nothing on, or pass on again what comes from now on.
+// setCut sets whether the proxy forwards nothing of what arrives from now on.
 func (p *silentProxy) setCut(isCut bool) {
 	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.isCut = isCut
-	p.mu.Unlock()
 }
 
 // reset resets the connections that clients have made so far.
@@ -249,21 +259,29 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, client := range p.clients {
-		_ = client.(*net.TCPConn).SetLinger(0)
-		client.Close()
+		enginetest.Reset(client)
 	}
 	p.clients = nil
 }
 
-// fleet is routers and engines in processes of their own, and a discovery of the test's.
-type fleet struct {
+func (p *silentProxy) closeEngineConns() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.isClosed = true
+	for _, conn := range p.engines {
+		conn.Close()
+	}
+}
+
+// cluster is routers and engines in processes of their own, and discovery in the test's.
+type cluster struct {
 	*testing.T
-	closers  closers
-	engines  []*engineProcess
-	routers  []*routerProcess
-	mu       sync.Mutex
-	events   []engineEvent
-	requests int
+	engines      []*engineProcess
+	routers      []*routerProcess
+	requestCount int
+
+	mu     sync.Mutex
+	events []engineEvent
 }
 
 // routerProcess is a router in a process of its own.
@@ -273,10 +291,10 @@
 }
 
 // signal sends the first router a signal.
-func (f *fleet) signal(signal syscall.Signal) {
-	f.Helper()
-	if err := f.routers[0].command.Process.Signal(signal); err != nil {
-		f.Fatal(err)
+func (c *cluster) signal(signal syscall.Signal) {
+	c.Helper()
+	if err := c.routers[0].command.Process.Signal(signal); err != nil {
+		c.Fatal(err)
 	}
 }
 
@@ -286,45 +304,38 @@
 	proxied  bool
 }
 
-// startFleet starts engines, and one router that knows them.
-func startFleet(t *testing.T, specs ...engineSpec) *fleet {
+// startCluster starts engines, and one router that knows them.
+func startCluster(t *testing.T, specs ...engineSpec) *cluster {
 	t.Helper()
-	f := &fleet{T: t}
-	t.Cleanup(func() {
-		f.closers.mu.Lock()
-		defer f.closers.mu.Unlock()
-		for _, closer := range f.closers.list {
-			closer.Close()
-		}
-	})
+	c := &cluster{T: t}
 	for i, spec := range specs {
-		f.startEngine(fmt.Sprintf("s-%d", i), spec)
+		c.startEngine(fmt.Sprintf("s-%d", i), spec)
 	}
-	f.startRouter()
-	return f
+	c.startRouter()
+	return c
 }
 
 // startProcess starts the test binary in another role and returns its standard output and error.
-func (f *fleet) startProcess(variables ...string) (command *exec.Cmd, stdout, stderr *bufio.Reader) {
-	f.Helper()
+func (c *cluster) startProcess(variables ...string) (command *exec.Cmd, stdout, stderr *bufio.Reader) {
+	c.Helper()
 	executable, err := os.Executable()
 	if err != nil {
-		f.Fatal(err)
+		c.Fatal(err)
 	}
 	command = exec.Command(executable)
 	command.Env = append(os.Environ(), variables...)
 	output, err := command.StdoutPipe()
 	if err != nil {
-		f.Fatal(err)
+		c.Fatal(err)
 	}
 	errors, err := command.StderrPipe()
 	if err != nil {
-		f.Fatal(err)
+		c.Fatal(err)
 	}
 	if err := command.Start(); err != nil {
-		f.Fatal(err)
+		c.Fatal(err)
 	}
-	f.Cleanup(func() {
+	c.Cleanup(func() {
 		_ = command.Process.Kill()
 		_ = command.Wait()
 	})
@@ -332,110 +343,79 @@
 }
 
 // startEngine starts an engine process.
-func (f *fleet) startEngine(name string, spec engineSpec) {
-	f.Helper()
-	command, stdout, _ := f.startProcess(engineProcessVariable + "=" + spec.behavior)
+func (c *cluster) startEngine(name string, spec engineSpec) {
+	c.Helper()
+	command, stdout, _ := c.startProcess(engineProcessVariable + "=" + spec.behavior)
 	address, err := stdout.ReadString('\n')
 	if err != nil {
-		f.Fatal(err)
+		c.Fatal(err)
 	}
 	e := &engineProcess{command: command, name: name, flavor: "w1", address: strings.TrimSpace(address)}
 	if strings.HasPrefix(spec.behavior, prefillBehavior) {
 		e.flavor = "r1"
 	}
 	if spec.proxied {
-		e.proxy = &silentProxy{listener: f.listen(), target: e.address, closers: &f.closers}
-		go e.proxy.serve()
+		e.proxy = startSilentProxy(c.T, e.address)
 	}
-	f.engines = append(f.engines, e)
-	go f.recordEvents(e, stdout)
-}
-
-// listen opens a listener on loopback.
-func (f *fleet) listen() net.Listener {
-	f.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		f.Fatal(err)
-	}
-	f.closers.add(listener)
-	return listener
+	c.engines = append(c.engines, e)
+	go c.recordEvents(e, stdout)
 }
 
 // recordEvents keeps what an engine reports.
-func (f *fleet) recordEvents(e *engineProcess, stdout *bufio.Reader) {
+func (c *cluster) recordEvents(e *engineProcess, stdout *bufio.Reader) {
 	decoder := json.NewDecoder(stdout)
 	for {
 		event := engineEvent{engine: e}
 		if decoder.Decode(&event) != nil {
 			return
 		}
-		f.mu.Lock()
-		f.events = append(f.events, event)
-		f.mu.Unlock()
-	}
-}
-
-// list is the complete endpoint list.
-func (f *fleet) list() string {
-	var entries []string
-	for _, e := range f.engines {
-		entries = append(entries, e.entry())
-	}
-	return fmt.Sprintf(`{"revision":1,"complete":true,"members":[%s]}`, strings.Join(entries, ","))
-}
-
-// serveDiscovery answers watches with the list and heartbeats.
-func (f *fleet) serveDiscovery() string {
-	listener := f.listen()
-	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.WriteString(w, f.list()+"\n")
-		ticker := time.NewTicker(time.Second)
-		defer ticker.Stop()
-		for {
-			w.(http.Flusher).Flush()
-			select {
-			case <-r.Context().Done():
-				return
-			case <-ticker.C:
-				_, _ = io.WriteString(w, "\n")
-			}
-		}
-	})
-	go func() { _ = http.Serve(listener, handler) }()
-	return listener.Addr().String()
+		c.mu.Lock()
+		c.events = append(c.events, event)
+		c.mu.Unlock()
+	}
+}
+
+// completeList returns the complete endpoint list.
+func (c *cluster) completeList() string {
+	var entries []platformtest.Entry
+	for _, e := range c.engines {
+		entries = append(entries, e.listed())
+	}
+	return platformtest.CompleteList(1, entries...)
 }
 
 // startRouter starts a router process, and waits until it serves.
-func (f *fleet) startRouter() {
-	f.Helper()
+func (c *cluster) startRouter() {
+	c.Helper()
+	discovery := platformtest.StartDiscovery(c.T, c.completeList())
+	discovery.SendHeartbeats(c.T, time.Second)
 	config, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": f.serveDiscovery(),
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.Address(),
 		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 256},
-		"known": json.RawMessage(f.list()), "settings": json.RawMessage(testSettings),
+		"known": json.RawMessage(c.completeList()), "settings": json.RawMessage(testSettings),
 	})
 	if err != nil {
-		f.Fatal(err)
+		c.Fatal(err)
 	}
-	path := filepath.Join(f.TempDir(), "config.json")
+	path := filepath.Join(c.TempDir(), "config.json")
 	if err := os.WriteFile(path, config, 0o600); err != nil {
-		f.Fatal(err)
+		c.Fatal(err)
 	}
-	command, _, log := f.startProcess(routerProcessVariable+"=1", "PROXY_CONFIG="+path)
+	command, _, log := c.startProcess(routerProcessVariable+"=1", "PROXY_CONFIG="+path)
 	var line struct{ Message, Listen string }
 	for line.Message != "serving" {
 		text, err := log.ReadBytes('\n')
 		if err != nil {
-			f.Fatal("the router does not serve: ", err)
+			c.Fatal("the router does not serve: ", err)
 		}
 		_ = json.Unmarshal(text, &line)
 	}
-	f.routers = append(f.routers, &routerProcess{command: command, address: line.Listen})
-	go f.copyLog(log)
+	c.routers = append(c.routers, &routerProcess{command: command, address: line.Listen})
+	go c.copyLog(log)
 }
 
 // copyLog reads the router's log to its end, and shows it where the tests are verbose.
-func (f *fleet) copyLog(log *bufio.Reader) {
+func (c *cluster) copyLog(log *bufio.Reader) {
 	for {
 		text, err := log.ReadString('\n')
 		if err != nil {
@@ -447,40 +427,49 @@
 	}
 }
 
-// ask sends a request of a class to the routers in turn, on a new connection, and returns its id and the answer, which
-// comes when the client has had it.
-func (f *fleet) ask(class string, edits ...string) (requestID string, answered <-chan clientAnswer) {
-	f.Helper()
-	requestID, _, answered = f.askOn(class, edits...)
-	return requestID, answered
+// sentRequest is a client's request on its way.
+type sentRequest struct {
+	id       string
+	conn     net.Conn
+	answered <-chan platformtest.Answer // has the answer once the client has received it
 }
 
-// askOn is ask, and returns the connection too.
-func (f *fleet) askOn(class string, edits ...string) (requestID string, conn net.Conn, answered <-chan clientAnswer) {
-	f.Helper()
-	f.requests++
-	requestID = fmt.Sprintf("c%d", f.requests)
-	request := (&harness{T: f.T, requestCount: f.requests - 1}).chat(class, edits...)
-	router := f.routers[f.requests%len(f.routers)]
+// send sends a request of a class to the routers in turn, on a new connection.
+func (c *cluster) send(class string, edits ...string) sentRequest {
+	c.Helper()
+	c.requestCount++
+	text := chatText(c.T, c.requestCount, class, "", edits...)
+	router := c.routers[c.requestCount%len(c.routers)]
 	conn, err := net.Dial("tcp", router.address)
 	if err != nil {
-		f.Fatal(err)
+		c.Fatal(err)
 	}
-	f.closers.add(conn)
-	answer := make(chan clientAnswer, 1)
+	c.Cleanup(func() { conn.Close() })
+	answered := make(chan platformtest.Answer, 1)
 	go func() {
-		_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
-		_, _ = io.WriteString(conn, request)
-		answer <- readAnswer(bufio.NewReader(conn))
+		conn.SetDeadline(time.Now().Add(20 * time.Second))
+		io.WriteString(conn, text)
+		answered <- readAnswer(conn)
 	}()
-	return requestID, conn, answer
+	return sentRequest{id: fmt.Sprintf("c%d", c.requestCount), conn: conn, answered: answered}
+}
+
+// warmUp has this many requests served, one after another.
+func (c *cluster) warmUp(class string, count int) {
+	c.Helper()
+	for range count {
+		request := c.send(class)
+		if answer := <-request.answered; answer.Code != http.StatusOK {
+			c.Fatalf("warming up: %d", answer.Code)
+		}
+	}
 }
 
 // eventsOf returns what engines reported of a request, in order of time.
-func (f *fleet) eventsOf(requestID string) (events []engineEvent) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, event := range f.events {
+func (c *cluster) eventsOf(requestID string) (events []engineEvent) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, event := range c.events {
 		if event.RequestID == requestID {
 			events = append(events, event)
 		}
@@ -489,16 +478,16 @@
 	return events
 }
 
-// retainedFor returns how long the KV state of a request's latest prefill was neither taken nor
+// retainedFor returns how long the KV state of a request's latest prefill was neither fetched nor
 // released, up to now where it still is.
-func (f *fleet) retainedFor(requestID string) time.Duration {
+func (c *cluster) retainedFor(requestID string) time.Duration {
 	var since, until time.Time
-	for _, event := range f.eventsOf(requestID) {
+	for _, event := range c.eventsOf(requestID) {
 		switch {
 		case event.Kind == kvRetained:
 			since = event.At
 			until = time.Time{}
-		case until.IsZero() && !since.IsZero() && (event.Kind == kvTaken || event.Kind == kvReleased):
+		case until.IsZero() && !since.IsZero() && (event.Kind == kvFetched || event.Kind == kvReleased):
 			until = event.At
 		}
 	}
@@ -507,9 +496,3 @@
 	}
 	return cmp.Or(until, time.Now()).Sub(since)
 }
-
-// waitFor polls a condition until it holds.
-func (f *fleet) waitFor(what string, ok func() bool) {
-	f.Helper()
-	(&harness{T: f.T}).waitFor(what, ok)
-}
--- a/internal/platform/signals_test.go
+++ b/internal/platform/signals_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestMain is a router or an engine where a test has started the process so.
+// TestMain makes the process a router or an engine if a test has started it as one.
 func TestMain(m *testing.M) {
 	if behavior := os.Getenv(engineProcessVariable); behavior != "" {
 		runEngineProcess(behavior)
@@ -36,12 +36,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := startHarness(t, "r1", "w1")
-			text, err := os.ReadFile(w.configPath)
+			h := startHarness(t, "r1", "w1")
+			text, err := os.ReadFile(h.configPath)
 			if err != nil {
 				t.Fatal(err)
 			}
-			pipe := w.configPath + ".pipe"
+			pipe := h.configPath + ".pipe"
 			if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -58,7 +58,7 @@
 			}
 			ended := make(chan error, 1)
 			go func() { ended <- cmd.Wait() }()
-			f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // it reads its file: signals are heeded from before that
+			f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // the server reads its file: it has registered for signals
 			if err != nil {
 				t.Fatal(err)
 			}
--- /dev/null
+++ b/internal/platform/timebudget_test.go
@@ -0,0 +1,82 @@
+package platform
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"martenlock/internal/platform/platformtest"
+)
+
+// TestForwardedBudgetNeverExceedsRemainingTime: no attempt tells its engine more time than its
+// client has left, whatever preceded it.
+func TestForwardedBudgetNeverExceedsRemainingTime(t *testing.T) {
+	for _, test := range []struct {
+		left time.Duration
+		want string
+	}{{2500 * time.Microsecond, "2m"}, {time.Second, "1000m"}, {999 * time.Microsecond, "999u"}, {0, "1u"}, {-time.Second, "1u"}} {
+		if got := string(appendTimeBudget(nil, test.left)); got != "X-Budget: "+test.want+"\r\n" {
+			t.Errorf("%v: %q", test.left, got)
+		}
+	}
+	const (
+		clientBudget = 4 * time.Second // of each request of the harness
+		delay        = 150 * time.Millisecond
+	)
+	h := startHarness(t, "r1", "w1", "w1")
+	delayed := func(script platformtest.Script) platformtest.Script {
+		return func(r *platformtest.Request) bool {
+			time.Sleep(delay)
+			return script(r)
+		}
+	}
+	h.engines[0].SetScript(delayed(platformtest.WellBehaved))
+	for _, e := range h.engines[1:] {
+		e.SetScript(delayed(func(r *platformtest.Request) bool {
+			return r.Write(platformtest.Status(http.StatusServiceUnavailable, platformtest.RejectedHeader))
+		}))
+	}
+	sentAt := time.Now()
+
+	h.roundTrip(h.chat("ask"))
+
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	attempts := 0
+	for _, r := range h.requests {
+		if r.Method != http.MethodPost {
+			continue
+		}
+		forwarded, err := time.ParseDuration(r.TimeBudget + "s") // 3849m: milliseconds
+		if err != nil {
+			t.Fatal(r.TimeBudget, err)
+		}
+		elapsed := time.Duration(attempts) * delay // at least
+		if left := clientBudget - elapsed; forwarded > left || forwarded < 3*time.Second || r.ReceivedAt.Sub(sentAt) < elapsed {
+			t.Errorf("attempt %d has a budget of %v, %v are left", attempts, forwarded, left)
+		}
+		attempts++
+	}
+	if attempts < 3 {
+		t.Errorf("%d attempts", attempts)
+	}
+}
+
+// TestAnswerPrecedesTimeoutOfTheSameIteration: an answer that begins before the loop sees that
+// its time is up goes to the client.
+func TestAnswerPrecedesTimeoutOfTheSameIteration(t *testing.T) {
+	h := startHarness(t, "r1", "w1")
+	conns := make(chan platformtest.Conn, 1)
+	h.engines[1].SetScript(platformtest.AnswerByTest(conns))
+	client := h.send(h.chat("note", "4000m", "600m"))
+	engineConn := <-conns
+
+	h.runInOneIteration(func() {
+		time.Sleep(700 * time.Millisecond) // a loop held up beyond the deadline
+		writeUnseen(t, engineConn, platformtest.Stream())
+	})
+
+	if answer := readAnswer(client); answer.Code != http.StatusOK || !answer.IsComplete {
+		t.Errorf("%d %s", answer.Code, answer.Body)
+	}
+}
