--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -45,7 +45,8 @@
 		if err != nil {
 			return err
 		}
-		if _, err = out.Write(encoded); err != nil {
+		_, err = out.Write(encoded)
+		if err != nil {
 			return err
 		}
 	}
--- a/control/admission/limits.go
+++ b/control/admission/limits.go
@@ -14,15 +14,15 @@
 	Decode  float64 // of prompt and answer together, by the memory of the largest decode endpoint
 }
 
-// Endpoint is the part of an endpoint that the limits depend on.
-type Endpoint struct {
+// EndpointCapacity is the role of an endpoint and the tokens that its memory holds.
+type EndpointCapacity struct {
 	Role         control.Role
-	MemoryTokens float64 // tokens that its memory holds; 0 is not known and counts as unlimited
+	MemoryTokens float64 // 0 is not known and counts as unlimited
 }
 
 // NewTokenLimits returns the limits at the given endpoints. contextTokens is the model's context length, or 0
 // if it is not known.
-func NewTokenLimits(contextTokens float64, endpoints []Endpoint) TokenLimits {
+func NewTokenLimits(contextTokens float64, endpoints []EndpointCapacity) TokenLimits {
 	limits := TokenLimits{Context: contextTokens}
 	for _, endpoint := range endpoints {
 		memory := infiniteIfUnknown(endpoint.MemoryTokens)
--- a/control/admission/limits_test.go
+++ b/control/admission/limits_test.go
@@ -58,16 +58,16 @@
 		}
 	}
 	for _, c := range []struct {
-		endpoints             []Endpoint
+		endpoints             []EndpointCapacity
 		prompt, answer, limit float64
 		neverFits             bool
 	}{
-		{[]Endpoint{{control.RolePrefill, 1000}, {control.RoleDecode, 300}}, 599, 0, 300, false},
-		{[]Endpoint{{control.RolePrefill, 1000}, {control.RoleDecode, 300}}, 601, 0, 300, true},
-		{[]Endpoint{{control.RolePrefill, 100}, {control.RoleDecode, 300}}, 201, 0, 100, true},
-		{[]Endpoint{{control.RolePrefill, 100}, {control.RoleDecode, 300}, {control.RoleColocated, 0}}, 1e9, 0, math.Inf(1), false},
-		{[]Endpoint{{control.RoleColocated, 100}, {control.RoleColocated, 400}}, 700, 40, 400, false},
-		{[]Endpoint{{control.RoleColocated, 100}, {control.RoleColocated, 400}}, 700, 60, 400, true},
+		{[]EndpointCapacity{{control.RolePrefill, 1000}, {control.RoleDecode, 300}}, 599, 0, 300, false},
+		{[]EndpointCapacity{{control.RolePrefill, 1000}, {control.RoleDecode, 300}}, 601, 0, 300, true},
+		{[]EndpointCapacity{{control.RolePrefill, 100}, {control.RoleDecode, 300}}, 201, 0, 100, true},
+		{[]EndpointCapacity{{control.RolePrefill, 100}, {control.RoleDecode, 300}, {control.RoleColocated, 0}}, 1e9, 0, math.Inf(1), false},
+		{[]EndpointCapacity{{control.RoleColocated, 100}, {control.RoleColocated, 400}}, 700, 40, 400, false},
+		{[]EndpointCapacity{{control.RoleColocated, 100}, {control.RoleColocated, 400}}, 700, 60, 400, true},
 	} {
 		limit, neverFits := NewTokenLimits(0, c.endpoints).NeverFits(&estimator, c.prompt, c.answer)
 		if neverFits != c.neverFits || limit != c.limit {
--- a/control/admission/queue_test.go
+++ b/control/admission/queue_test.go
@@ -90,14 +90,14 @@
 }
 
 // enqueue offers a request of equal units to the queue and reports whether it was accepted.
-func (s *simulation) enqueue(id RequestID, tenant uint64, units int, tokens float64, patience time.Duration) bool {
-	_, rejected := s.queue.Enqueue(at(s.now), Request{id, tenant, unitsOf(units, tokens), at(s.now + patience)})
+func (s *simulation) enqueue(id RequestID, tenant uint64, units int, tokens float64, timeout time.Duration) bool {
+	_, rejected := s.queue.Enqueue(at(s.now), Request{id, tenant, unitsOf(units, tokens), at(s.now + timeout)})
 	return !rejected
 }
 
-// observeSmall records a small request with an objective and a patience of one second.
+// observeSmall records a small request whose objective and client time-out are one second.
 func (s *simulation) observeSmall(elapsed time.Duration) {
-	s.queue.ObserveSmall(at(s.now), SmallRequest{Elapsed: elapsed, Objective: second, Patience: second})
+	s.queue.ObserveSmall(at(s.now), SmallRequest{Elapsed: elapsed, Objective: second, ClientTimeout: second})
 }
 
 // cancel cancels a request and all outstanding units, and frees the endpoints.
@@ -167,7 +167,7 @@
 		ID:         m.lastID,
 		Tenant:     rapid.Uint64Range(0, 3).Draw(m.t, "tenant"),
 		UnitTokens: slices.Clone(tokens),
-		Deadline:   at(m.now + second*time.Duration(rapid.IntRange(0, 9).Draw(m.t, "patience"))),
+		Deadline:   at(m.now + second*time.Duration(rapid.IntRange(0, 9).Draw(m.t, "timeout"))),
 	}
 	if _, rejected := m.queue.Enqueue(at(m.now), request); !rejected {
 		m.unitTokens[m.lastID] = tokens
@@ -450,14 +450,14 @@
 }
 
 // TestClientCannotHoldBackOthers: one client cannot hold back another's large requests, neither by cancelling its
-// own early nor by small requests without patience.
+// own early nor by small requests with a short client time-out.
 func TestClientCannotHoldBackOthers(t *testing.T) {
 	s := newSimulation(2, 10000, Settings{LargeTokens: 1, OutstandingWork: 100 * time.Millisecond})
 	s.enqueue(1, 1, 60, 1000, time.Hour)
 	s.run(3 * second)
 
 	for id := RequestID(2); id < 80; id++ { // its units take 200 ms each and are cancelled after 100 ms
-		s.queue.ObserveSmall(at(s.now), SmallRequest{Elapsed: second, Objective: second, Patience: 50 * time.Millisecond})
+		s.queue.ObserveSmall(at(s.now), SmallRequest{Elapsed: second, Objective: second, ClientTimeout: 50 * time.Millisecond})
 		s.enqueue(id, 1, 2, 2000, time.Hour)
 		s.run(s.now + 100*time.Millisecond)
 		s.cancel(id)
--- a/control/admission/share.go
+++ b/control/admission/share.go
@@ -26,9 +26,9 @@
 
 // SmallRequest is the latency of a small request of the pool.
 type SmallRequest struct {
-	Elapsed   time.Duration // to its first token or complete answer; at least Objective if it was rejected
-	Objective time.Duration // the latency objective for Elapsed
-	Patience  time.Duration // how long its client waits
+	Elapsed       time.Duration // to its first token or complete answer; at least Objective if it was rejected
+	Objective     time.Duration // the latency objective for Elapsed
+	ClientTimeout time.Duration // how long its client waits
 }
 
 // share is the fraction of their bound that large requests may use, from minShare to 1. It follows additive
@@ -48,7 +48,7 @@
 // less than the objective are ignored: one client could hold back all large requests with them.
 func (s *share) observe(now control.Time, request SmallRequest, hasOutstanding bool, interval time.Duration) {
 	s.lastSmallAt = now
-	if request.Patience < request.Objective {
+	if request.ClientTimeout < request.Objective {
 		return
 	}
 	inTime := float64(request.Elapsed) <= lateFraction*float64(request.Objective)
--- a/control/coalesce/coalesce_test.go
+++ b/control/coalesce/coalesce_test.go
@@ -90,7 +90,7 @@
 func (m *model) add() {
 	m.lastID++
 	added := &expectedRequest{key: Key{byte(rapid.IntRange(0, 2).Draw(m.t, "key"))}}
-	added.deadline = m.now + control.Time(rapid.IntRange(1, 50).Draw(m.t, "patience"))
+	added.deadline = m.now + control.Time(rapid.IntRange(1, 50).Draw(m.t, "timeout"))
 	_, isComputed := m.leaderOf(added.key)
 	m.requests[m.lastID] = added
 	if m.group.Add(added.key, m.lastID, added.deadline) == isComputed {
--- a/internal/openaiserver/httpexchange.go
+++ b/internal/openaiserver/httpexchange.go
@@ -137,5 +137,5 @@
 	if result == outcome.Rejected {
 		elapsed = max(elapsed, objective)
 	}
-	queue.ObserveSmall(now, admission.SmallRequest{Elapsed: elapsed, Objective: objective, Patience: request.timeBudget})
+	queue.ObserveSmall(now, admission.SmallRequest{Elapsed: elapsed, Objective: objective, ClientTimeout: request.timeBudget})
 }
--- a/internal/openaiserver/pool.go
+++ b/internal/openaiserver/pool.go
@@ -147,7 +147,7 @@
 	p.readyEndpoints = 0
 	p.modelRevision = ""
 	p.revisionsMixed = false
-	var capacities []admission.Endpoint
+	var capacities []admission.EndpointCapacity
 	for i := range list {
 		node := &list[i]
 		kind := slices.Index(p.config.Kinds, node.Kind) // a retired pool's configuration may number kinds differently
@@ -155,7 +155,7 @@
 			continue
 		}
 		if node.State != control.Gone {
-			capacities = append(capacities, admission.Endpoint{
+			capacities = append(capacities, admission.EndpointCapacity{
 				Role:         p.config.Control.Engines.Kinds[kind].Role,
 				MemoryTokens: float64(p.config.Control.Engines.Kinds[kind].MemoryTokens),
 			})
