--- /dev/null
+++ b/internal/httpserver/conn.go
@@ -0,0 +1,246 @@
+package httpserver
+
+import (
+	"time"
+
+	"martenlock/internal/eventloop"
+	"martenlock/internal/http1"
+	"martenlock/internal/timerwheel"
+)
+
+// State is what a connection is doing.
+type State uint8
+
+// The states.
+const (
+	// Idle connections wait for the first byte of a request.
+	Idle State = iota // idle
+	// Receiving connections have a request that is arriving.
+	Receiving // receiving
+	// Serving connections have a request that the handler answers later. Further ones wait unread.
+	Serving // serving
+	// Closed connections are neither read nor written.
+	Closed // closed
+)
+
+// isReading reports whether bytes from the client are parsed.
+func (s State) isReading() bool { return s == Idle || s == Receiving }
+
+// Conn is a client's connection. It implements eventloop.Handler. Conns.Add makes it ready for
+// use.
+type Conn struct {
+	conns   *Conns
+	handler Handler
+	conn    *eventloop.Conn
+	parser  *http1.Parser
+
+	state      State
+	stateTimer timerwheel.Timer // bounds the time in the state; while serving, the time without progress of the client
+
+	// The current request, and its response. The fields outlive the request until the next head.
+	body         []byte // counted by Conns.memory
+	minorVersion int    // of HTTP/1
+	isHead       bool   // the response has no body
+	keepAlive    bool   // the connection stays open after the response
+	framing      Framing
+
+	acceptedAt   time.Duration
+	hasAnswered  bool          // to an earlier request
+	lastAnswerAt time.Duration // the end of the latest response
+}
+
+// Handler returns the connection's handler.
+func (c *Conn) Handler() Handler { return c.handler }
+
+// State returns what the connection is doing.
+func (c *Conn) State() State { return c.state }
+
+// AcceptedAt returns when the connection was accepted, on the loop's clock.
+func (c *Conn) AcceptedAt() time.Duration { return c.acceptedAt }
+
+// HasAnswered reports whether a request was answered on this connection.
+func (c *Conn) HasAnswered() bool { return c.hasAnswered }
+
+// IsBetweenRequests reports whether the client's next byte begins a new request. Otherwise the
+// rest of the current one can't be told from it.
+func (c *Conn) IsBetweenRequests() bool { return c.parser.Idle() }
+
+// Body returns the body of the current request as far as it has arrived. It is valid until the
+// request's response is finished.
+func (c *Conn) Body() []byte { return c.body }
+
+// TakeBody is Body for a caller that keeps the bytes. The caller releases them in Memory.
+func (c *Conn) TakeBody() []byte {
+	body := c.body
+	c.body = nil
+	return body
+}
+
+// StartServing tells the connection that the handler answers the current request later.
+func (c *Conn) StartServing() { c.state = Serving }
+
+// SendContinue sends 100 Continue to a client that waits for it before it sends a body.
+func (c *Conn) SendContinue(head *http1.Head) {
+	if head.ExpectContinue && (head.ContentLength > 0 || head.Chunked) {
+		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+}
+
+// Opened implements eventloop.Handler. Accepted connections are already established.
+func (c *Conn) Opened(*eventloop.Conn) {}
+
+// Data implements eventloop.Handler. It parses up to the end of one request.
+func (c *Conn) Data(_ *eventloop.Conn, data []byte) int {
+	consumed := 0
+	for c.state.isReading() {
+		if c.state == Idle && consumed < len(data) {
+			c.startReceiving()
+		}
+		used, kind, body, err := c.parser.Next(data[consumed:])
+		consumed += used
+		if err != nil {
+			c.handler.RequestMalformed(err)
+			return len(data)
+		}
+		switch kind {
+		case http1.NeedMore:
+			return consumed
+		case http1.HeadDone:
+			c.receiveHead(&c.parser.Head)
+		case http1.Data:
+			c.receiveBody(body)
+		case http1.End:
+			c.conns.loop.StopTimer(&c.stateTimer)
+			c.handler.RequestReceived()
+		}
+	}
+	if c.state == Closed {
+		return len(data)
+	}
+	c.conn.Pause()
+	return consumed
+}
+
+// EOF implements eventloop.Handler. A client that ends its sending half counts as gone.
+func (c *Conn) EOF(*eventloop.Conn) {
+	c.abandonRequest()
+	c.Close()
+}
+
+// Closed implements eventloop.Handler. It tells the handler that its client is gone.
+func (c *Conn) Closed(*eventloop.Conn, error) {
+	c.abandonRequest()
+	c.markClosed()
+}
+
+// Writable implements eventloop.Handler. It resumes the response.
+func (c *Conn) Writable(*eventloop.Conn) {
+	if c.state != Serving {
+		return
+	}
+	c.conns.loop.StopTimer(&c.stateTimer)
+	c.handler.Writable()
+}
+
+// startReceiving processes the first byte of a request.
+func (c *Conn) startReceiving() {
+	c.state = Receiving
+	c.conns.idle.MarkBusy(c)
+	options := &c.conns.Options
+	if c.hasAnswered || options.FirstRequestTimeout == 0 {
+		c.conns.loop.StartTimer(&c.stateTimer, options.RequestTimeout)
+	}
+}
+
+// receiveHead keeps what framing needs of a request's head.
+func (c *Conn) receiveHead(head *http1.Head) {
+	c.keepAlive = head.KeepAlive && !c.conns.stopsKeepAlive
+	c.minorVersion = head.MinorVersion
+	c.isHead = string(head.Method) == "HEAD"
+	c.handler.HeadReceived(head)
+}
+
+// receiveBody adds to the request's body, or aborts the request if there is no memory for it.
+func (c *Conn) receiveBody(data []byte) {
+	if !c.conns.reserveBody(c, len(data)) {
+		c.handler.RequestAborted(OutOfMemory)
+		return
+	}
+	c.body = append(c.body, data...)
+}
+
+// discardBody releases the request's body.
+func (c *Conn) discardBody() {
+	c.conns.memory.Release(len(c.body))
+	c.body = nil
+}
+
+// handleTimeout ends a connection that was in its state for too long.
+func (c *Conn) handleTimeout() {
+	switch c.state {
+	case Serving:
+		c.handler.Closing(WriteStalled)
+		c.abandonRequest()
+		c.Abort()
+	case Receiving:
+		c.handler.RequestAborted(RequestTimedOut)
+	default:
+		c.handler.Closing(IdleTimeout)
+		c.Close()
+	}
+}
+
+// abandonRequest tells the handler that its client is gone. The connection must be closed next.
+func (c *Conn) abandonRequest() {
+	if c.state == Serving {
+		c.handler.ClientGone()
+	}
+}
+
+// Close closes the connection after the output. If a response may still be on its way, what
+// arrives meanwhile is read and discarded: closing over unread bytes causes a reset, which would
+// destroy the response.
+func (c *Conn) Close() {
+	if c.isDeliveringResponse() {
+		c.conn.CloseLingering()
+	} else {
+		c.conn.Close()
+	}
+	c.markClosed()
+}
+
+// isDeliveringResponse reports whether a finished response may not have reached the client yet.
+func (c *Conn) isDeliveringResponse() bool {
+	deliveryTime := c.conns.Options.ResponseDeliveryTime
+	if deliveryTime == 0 || !c.hasAnswered {
+		return false
+	}
+	return c.conns.loop.Now()-c.lastAnswerAt < deliveryTime || c.conn.UnsentBytes() > 0
+}
+
+// CloseLingering closes the connection after the output, for a client that may still be sending.
+func (c *Conn) CloseLingering() {
+	c.conn.CloseLingering()
+	c.markClosed()
+}
+
+// Abort closes the connection at once and discards the output.
+func (c *Conn) Abort() {
+	c.conn.Abort()
+	c.markClosed()
+}
+
+// Reset closes the connection at once, in a way that the client can't take for the end of a
+// response.
+func (c *Conn) Reset() {
+	c.conn.Reset()
+	c.markClosed()
+}
+
+// markClosed forgets a connection that was closed.
+func (c *Conn) markClosed() {
+	c.state = Closed
+	c.conns.loop.StopTimer(&c.stateTimer)
+	c.discardBody()
+	c.conns.remove(c)
+}
--- /dev/null
+++ b/internal/httpserver/conns.go
@@ -0,0 +1,130 @@
+package httpserver
+
+import (
+	"iter"
+	"maps"
+
+	"martenlock/control/connlimit"
+	"martenlock/internal/eventloop"
+	"martenlock/internal/http1"
+)
+
+// Conns is a clients' listener and the open connections that it accepted. NewConns returns one
+// that is ready for use.
+type Conns struct {
+	// Listener is set by the server before it adds connections.
+	Listener *eventloop.Listener
+	// Options may be replaced at any time. Timers that run keep their time.
+	Options Options
+
+	loop           *eventloop.Loop
+	memory         Memory
+	open           map[*Conn]struct{}
+	idle           connlimit.IdleList[*Conn]
+	stopsKeepAlive bool // each response closes its connection
+}
+
+// NewConns returns a table without listener and connections.
+func NewConns(loop *eventloop.Loop, memory Memory) *Conns {
+	return &Conns{loop: loop, memory: memory, open: map[*Conn]struct{}{}}
+}
+
+// Add makes c the handler's connection on an accepted one. It starts idle.
+func (cs *Conns) Add(c *Conn, accepted *eventloop.Conn, handler Handler) {
+	*c = Conn{
+		conns:      cs,
+		handler:    handler,
+		conn:       accepted,
+		parser:     http1.NewRequests(cs.Options.Parsing),
+		acceptedAt: cs.loop.Now(),
+	}
+	c.stateTimer.Fire = c.handleTimeout
+	cs.open[c] = struct{}{}
+	cs.idle.MarkIdle(c)
+	timeout := cs.Options.FirstRequestTimeout
+	if timeout == 0 {
+		timeout = cs.Options.IdleTimeout
+	}
+	cs.loop.StartTimer(&c.stateTimer, timeout)
+}
+
+// remove forgets a connection.
+func (cs *Conns) remove(c *Conn) {
+	delete(cs.open, c)
+	cs.idle.Remove(c)
+}
+
+// Len returns the number of open connections. Those that are closed but still linger don't count.
+func (cs *Conns) Len() int { return len(cs.open) }
+
+// All returns the open connections, in no order. They may be closed meanwhile.
+func (cs *Conns) All() iter.Seq[*Conn] { return maps.Keys(cs.open) }
+
+// EvictIdle closes the connection that has been idle for longest, and reports whether one was
+// idle.
+func (cs *Conns) EvictIdle() bool {
+	c, found := cs.idle.LongestIdle()
+	if !found {
+		return false
+	}
+	c.handler.Closing(Evicted)
+	c.Close()
+	return true
+}
+
+// StopKeepAlive makes each response whose head is not yet written the last one of its connection.
+func (cs *Conns) StopKeepAlive() { cs.stopsKeepAlive = true }
+
+// CloseAfterResponses makes the current response of each connection its last one, even if its head
+// has promised otherwise.
+func (cs *Conns) CloseAfterResponses() {
+	for c := range cs.open {
+		c.keepAlive = false
+	}
+}
+
+// CloseIdle closes the idle connections of a server that shuts down.
+func (cs *Conns) CloseIdle() {
+	for c := range cs.open {
+		if c.state == Idle {
+			c.handler.Closing(Shutdown)
+			c.Close()
+		}
+	}
+}
+
+// reserveBody reserves memory for more bytes of a connection's body, and reports whether there is
+// any. With Options.EvictsUploads it evicts larger incomplete bodies first.
+func (cs *Conns) reserveBody(c *Conn, bytes int) bool {
+	for !cs.memory.Reserve(bytes) {
+		if !cs.Options.EvictsUploads {
+			return false
+		}
+		largest := cs.largestUpload()
+		if largest == nil || largest == c {
+			return false
+		}
+		largest.handler.RequestAborted(UploadEvicted)
+	}
+	return true
+}
+
+// largestUpload returns the connection whose incomplete body is to be evicted first, or nil if
+// there is none.
+func (cs *Conns) largestUpload() *Conn {
+	var largest *Conn
+	for c := range cs.open {
+		if c.state != Receiving || len(c.body) == 0 {
+			continue
+		}
+		if largest == nil || c.partialRequest().EvictedBefore(largest.partialRequest()) {
+			largest = c
+		}
+	}
+	return largest
+}
+
+// partialRequest is the received part of the current request, as evictions compare it.
+func (c *Conn) partialRequest() connlimit.PartialRequest {
+	return connlimit.PartialRequest{BufferedBytes: len(c.body), AcceptedAt: c.acceptedAt}
+}
--- a/internal/platform/cancellation_test.go
+++ b/internal/platform/cancellation_test.go
@@ -86,7 +86,7 @@
 	h.runOnLoop(func() {
 		a := h.attemptsInFlight(h.engines[0])[0]
 		a.finish(control.TimedOut, false)
-		a.exchange.client.EOF(a.exchange.client.conn)
+		a.exchange.client.conn.EOF(nil)
 		h.server.mailbox.Poll()
 
 		if h.server.exchanges.byID[a.exchange.id] != a.exchange {
@@ -162,7 +162,7 @@
 			var engineConn net.Conn
 			maxAttempts := 0
 			if event == requestArrives {
-				h.waitOnLoop("the connection", func() bool { return len(h.server.clients.conns) == 1 })
+				h.waitOnLoop("the connection", func() bool { return h.server.clients.Len() == 1 })
 			} else {
 				io.WriteString(client, h.chat("ask"))
 				engineConn = <-conns
--- a/internal/platform/clientconn_test.go
+++ b/internal/platform/clientconn_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"martenlock/internal/httpserver"
 	"martenlock/internal/platform/platformtest"
 )
 
@@ -47,16 +48,16 @@
 
 		if test.isComplete {
 			close(released)
-			h.waitOnLoop("the answer", func() bool { return conn.hasAnswered })
+			h.waitOnLoop("the answer", func() bool { return conn.HasAnswered() })
 			h.runOnLoop(func() { // in one iteration
 				writeUnseen(t, client, h.chat("note"))
-				conn.closeGracefully()
+				conn.Close()
 			})
 		} else {
 			h.runOnLoop(func() { writeUnseen(t, client, h.chat("note")) }) // stays unread behind the stream
 			close(released)
 		}
-		h.waitOnLoop("the connection to be closed", func() bool { return conn.state == clientClosed })
+		h.waitOnLoop("the connection to be closed", func() bool { return conn.State() == httpserver.Closed })
 
 		answer := readAnswer(client)
 		if answer.Code != http.StatusOK || answer.IsComplete != test.isComplete || len(answer.Body) != size {
@@ -83,13 +84,13 @@
 }
 
 // onlyClientConn returns the server's end of the only client connection.
-func (h *harness) onlyClientConn() (conn *clientConn) {
+func (h *harness) onlyClientConn() (conn *httpserver.Conn) {
 	h.Helper()
 	h.runOnLoop(func() {
-		if n := len(h.server.clients.conns); n != 1 {
+		if n := h.server.clients.Len(); n != 1 {
 			h.Errorf("%d client connections", n)
 		}
-		for c := range h.server.clients.conns {
+		for c := range h.server.clients.All() {
 			conn = c
 		}
 	})
--- a/internal/platform/draining_test.go
+++ b/internal/platform/draining_test.go
@@ -16,7 +16,7 @@
 	for _, drainsFirst := range []bool{true, false} {
 		h := startHarness(t, "r1", "w1")
 		client := h.dial()
-		h.waitOnLoop("the connection", func() bool { return len(h.server.clients.conns) == 1 })
+		h.waitOnLoop("the connection", func() bool { return h.server.clients.Len() == 1 })
 
 		h.runInOneIteration(func() {
 			if drainsFirst {
--- a/internal/platform/eventlog.go
+++ b/internal/platform/eventlog.go
@@ -109,8 +109,8 @@
 // logClose logs that this server closed a client's connection.
 func (c *clientConn) logClose(reason string) {
 	c.server.events.connection().
-		Stringer("state", c.state).
+		Stringer("state", c.conn.State()).
 		Str("reason", reason).
-		Dur("age_ms", c.server.loop.Now()-c.acceptedAt).
+		Dur("age_ms", c.server.loop.Now()-c.conn.AcceptedAt()).
 		Msg("client connection closed")
 }
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -64,13 +64,12 @@
 		server:    s,
 		id:        s.exchanges.newID(),
 		meta:      client.request.meta,
-		body:      client.request.body,
+		body:      client.conn.TakeBody(),
 		client:    client,
 		startedAt: s.loop.Now(),
 	}
-	client.state = clientServing
+	client.conn.StartServing()
 	client.exchange = e
-	client.request.body = nil
 	s.exchanges.add(e)
 	event := e.meta.request
 	event.ID = e.id
--- a/internal/platform/forwarding_test.go
+++ b/internal/platform/forwarding_test.go
@@ -163,8 +163,8 @@
 	unsent := 0
 	for range 40 {
 		h.runOnLoop(func() {
-			for c := range h.server.clients.conns {
-				unsent = max(unsent, c.conn.UnsentBytes())
+			for c := range h.server.clients.All() {
+				unsent = max(unsent, c.UnsentBytes())
 			}
 		})
 		if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
--- a/internal/platform/limits_test.go
+++ b/internal/platform/limits_test.go
@@ -20,10 +20,10 @@
 	}
 
 	h.waitOnLoop("the connections to be within their limit", func() bool {
-		listener, limits := h.server.clients.listener, h.server.limits
+		listener, limits := h.server.clients.Listener, h.server.limits
 		return listener.Open() <= limits.maxClientConns && listener.MaxOpen < h.server.config.Limits.Sockets-limits.maxEngineConns
 	})
-	h.waitOnLoop("the idle connections to be closed", func() bool { return len(h.server.clients.conns) == 0 })
+	h.waitOnLoop("the idle connections to be closed", func() bool { return h.server.clients.Len() == 0 })
 }
 
 // TestIdleConnectionFloodLeavesDescriptorsForOthers: idle clients fill their share of the
@@ -43,7 +43,7 @@
 	}
 	h.runOnLoop(func() {
 		const ownDescriptors = 19 // package connlimit lists them
-		listener, limit := h.server.clients.listener, h.server.config.Limits.Sockets
+		listener, limit := h.server.clients.Listener, h.server.config.Limits.Sockets
 		if inUse := listener.MaxOpen + h.server.limits.maxEngineConns + ownDescriptors; inUse > limit || listener.Open() > listener.MaxOpen {
 			t.Errorf("%d descriptors of %d; %d clients, %d at most", inUse, limit, listener.Open(), listener.MaxOpen)
 		}
@@ -80,5 +80,5 @@
 		}
 	}
 
-	h.waitOnLoop("the uploads to be closed", func() bool { return h.server.bufferedBytes == 0 && len(h.server.clients.conns) == 0 })
+	h.waitOnLoop("the uploads to be closed", func() bool { return h.server.bufferedBytes == 0 && h.server.clients.Len() == 0 })
 }
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -17,6 +17,7 @@
 	"martenlock/control/membership"
 	"martenlock/internal/decisionloop"
 	"martenlock/internal/eventloop"
+	"martenlock/internal/httpserver"
 	"martenlock/internal/timerwheel"
 )
 
@@ -31,7 +32,7 @@
 
 	mailbox decisionloop.Mailbox[*exchange] // of the decision module
 
-	clients       clientTable
+	clients       *httpserver.Conns
 	exchanges     exchangeTable
 	endpoints     endpointTable
 	kvReleases    kvReleases
@@ -67,7 +68,6 @@
 		config:    config,
 		limits:    newResourceLimits(config.Limits),
 		log:       log,
-		clients:   newClientTable(),
 		exchanges: newExchangeTable(),
 	}
 	var err error
@@ -80,6 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
+	s.clients = newClients(s)
 	s.events = newEventLog(log, s.loop.Now)
 	s.endpoints = newEndpointTable(s)
 	s.kvReleases = newKVReleases(s)
@@ -88,19 +89,19 @@
 	if len(config.Known) > 0 && s.applyEndpointList(config.Known) != nil {
 		return nil, configFileError(config.File, "known", errNotEndpointList)
 	}
-	s.clients.listener, err = s.loop.Listen(config.Listen, s.accept)
+	s.clients.Listener, err = s.loop.Listen(config.Listen, s.accept)
 	if err != nil {
 		return nil, configFileError(config.File, "listen", err)
 	}
 	// Evicted connections keep their descriptors until the end of the iteration.
-	s.clients.listener.MaxOpen = connlimit.AcceptLimit(s.limits.maxClientConns)
+	s.clients.Listener.MaxOpen = connlimit.AcceptLimit(s.limits.maxClientConns)
 	s.schedulePoll()
 	s.subscribe(config.Discovery)
 	return s, nil
 }
 
 // Addr returns the address on which the server listens.
-func (s *Server) Addr() string { return s.clients.listener.Addr().String() }
+func (s *Server) Addr() string { return s.clients.Listener.Addr().String() }
 
 // Run serves until a shutdown is complete. Its error is that of the event loop.
 func (s *Server) Run() error { return s.loop.Run() }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -41,6 +41,7 @@
 			return
 		}
 		s.shutdown.phase = serverLameDuck
+		s.clients.StopKeepAlive()
 		s.log.Info().Int("open_requests", len(s.exchanges.byID)).Msg("shutdown started")
 		s.shutdown.timer.Fire = s.startDraining
 		s.loop.StartTimer(&s.shutdown.timer, connlimit.ShutdownAcceptWindow)
@@ -50,13 +51,8 @@
 // startDraining closes idle connections and the listener.
 func (s *Server) startDraining() {
 	s.shutdown.phase = serverDraining
-	for client := range s.clients.conns {
-		if client.state == clientIdle {
-			client.logClose("shutdown")
-			client.closeGracefully()
-		}
-	}
-	s.clients.listener.Close()
+	s.clients.CloseIdle()
+	s.clients.Listener.Close()
 	s.stopWhenDrained()
 }
 
@@ -78,6 +74,6 @@
 // isDrained reports whether no request, connection or KV release is open. Connections that linger after
 // their last answer count as open.
 func (s *Server) isDrained() bool {
-	return len(s.clients.conns) == 0 && len(s.exchanges.byID) == 0 &&
-		s.kvReleases.scheduler.Len() == 0 && s.clients.listener.Open() == 0
+	return s.clients.Len() == 0 && len(s.exchanges.byID) == 0 &&
+		s.kvReleases.scheduler.Len() == 0 && s.clients.Listener.Open() == 0
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"martenlock/control"
+	"martenlock/internal/httpserver"
 	"martenlock/internal/platform/platformtest"
 )
 
@@ -113,8 +114,8 @@
 
 // busyClientConns returns how many client connections have begun a request. It runs on the loop.
 func (h *harness) busyClientConns() (count int) {
-	for c := range h.server.clients.conns {
-		if c.state != clientIdle {
+	for c := range h.server.clients.All() {
+		if c.State() != httpserver.Idle {
 			count++
 		}
 	}
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -61,8 +61,8 @@
 // traceClients logs the clients' connections and the counters since the start.
 func (s *Server) traceClients() {
 	s.log.Info().
-		Int("client_sockets", s.clients.listener.Open()).
-		Int("client_connections", len(s.clients.conns)).
+		Int("client_sockets", s.clients.Listener.Open()).
+		Int("client_connections", s.clients.Len()).
 		Int("active_requests", len(s.exchanges.byID)).
 		Int("engine_connections", s.endpoints.connBudget.Open()).
 		Int("buffered_bytes", s.bufferedBytes).
