--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -1,6 +1,7 @@
 package httpserver
 
 import (
+	"net/http"
 	"time"
 
 	"martenlock/internal/eventloop"
@@ -156,7 +157,8 @@
 func (c *Conn) receiveHead(head *http1.Head) {
 	c.keepAlive = head.KeepAlive && !c.conns.stopsKeepAlive
 	c.minorVersion = head.MinorVersion
-	c.isHead = string(head.Method) == "HEAD"
+	c.isHead = string(head.Method) == http.MethodHead
+	c.framing = ByLength
 	c.handler.HeadReceived(head)
 }
 
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -19,7 +19,7 @@
 	// last response.
 	RequestAborted(reason AbortReason)
 	// Writable is called while serving, when the client has taken enough of a response whose
-	// WriteBody reported that it is full.
+	// WriteBody reported that it must pause.
 	Writable()
 	// ClientGone is called while serving, when the client has left or takes nothing of its
 	// response. The connection is closed after the call.
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -84,9 +84,9 @@
 // WriteHead writes the head of a response whose body comes in pieces.
 func (c *Conn) WriteHead(head []byte) { c.conn.Write(head) }
 
-// WriteBody writes a piece of the body, and reports whether the client is slow to take it. If so,
-// the handler should pause until Writable is called.
-func (c *Conn) WriteBody(data []byte) (isFull bool) {
+// WriteBody writes a piece of the body, and reports whether the handler must pause: the client
+// is slow to take it. Writable is called when the response can go on.
+func (c *Conn) WriteBody(data []byte) (mustPause bool) {
 	if c.framing == Chunked {
 		var size [chunkSizeBytes]byte
 		c.conn.Write(append(strconv.AppendInt(size[:0], int64(len(data)), 16), crlf...))
@@ -95,11 +95,11 @@
 	} else {
 		c.conn.Write(data)
 	}
-	isFull = c.conn.AboveHighWaterMark()
-	if isFull && !c.stateTimer.Running() {
+	mustPause = c.conn.AboveHighWaterMark()
+	if mustPause && !c.stateTimer.Running() {
 		c.conns.loop.StartTimer(&c.stateTimer, c.conns.Options.WriteStallTimeout)
 	}
-	return isFull
+	return mustPause
 }
 
 // EndBody ends the body of a complete response and finishes the request.
--- a/internal/openaiserver/clients.go
+++ b/internal/openaiserver/clients.go
@@ -1,52 +1,45 @@
 package openaiserver
 
 import (
-	"martenlock/control/connlimit"
+	"martenlock/internal/config"
 	"martenlock/internal/eventloop"
+	"martenlock/internal/httpserver"
 )
 
-// clientTable is the clients' listener and the connections that it accepted.
-type clientTable struct {
-	listener *eventloop.Listener
-	conns    map[*clientConn]struct{}
-	idle     connlimit.IdleList[*clientConn]
-}
-
-// newClientTable returns a table without listener and connections.
-func newClientTable() clientTable {
-	return clientTable{conns: map[*clientConn]struct{}{}}
-}
-
-// add takes in a new connection, which is idle.
-func (t *clientTable) add(client *clientConn) {
-	t.conns[client] = struct{}{}
-	t.idle.MarkIdle(client)
-}
-
-// remove forgets a connection.
-func (t *clientTable) remove(client *clientConn) {
-	delete(t.conns, client)
-	t.idle.Remove(client)
+// clientOptions returns the bounds of clients' connections.
+func clientOptions(limits *config.Limits) httpserver.Options {
+	return httpserver.Options{
+		Parsing:            &limits.HTTP,
+		RequestTimeout:     limits.RequestTimeout,
+		IdleTimeout:        limits.IdleTimeout,
+		WriteStallTimeout:  limits.WriteStallTimeout,
+		AnnouncesKeepAlive: true,
+	}
 }
 
-// accept returns the handler of a new connection. The last one that fits closes the one that has
+// accept returns the handler of a new connection. The last one that fits evicts the one that has
 // been idle for longest.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
-	client := newClientConn(s, conn)
-	if s.clients.listener.Open() >= s.clients.listener.MaxOpen {
-		s.evictIdleClient()
+	if s.clients.Listener.Open() >= s.clients.Listener.MaxOpen {
+		s.clients.EvictIdle()
 	}
-	s.clients.add(client)
-	s.loop.StartTimer(&client.stateTimer, s.config.Limits.IdleTimeout)
-	return client
+	client := &clientConn{server: s}
+	s.clients.Add(&client.conn, conn, client)
+	return &client.conn
 }
 
-// evictIdleClient closes the connection that has been idle for longest, where one is idle.
-func (s *Server) evictIdleClient() {
-	client, found := s.clients.idle.LongestIdle()
-	if !found {
-		return
+// bodyMemory implements httpserver.Memory. Buffered answers share its bound.
+type bodyMemory struct{ server *Server }
+
+// Reserve implements httpserver.Memory.
+func (m bodyMemory) Reserve(bytes int) bool {
+	s := m.server
+	if s.bufferedBytes+int64(bytes) > maxBufferedBytes {
+		return false
 	}
-	s.counters.idleConnsEvicted++
-	client.close()
+	s.bufferedBytes += int64(bytes)
+	return true
 }
+
+// Release implements httpserver.Memory.
+func (m bodyMemory) Release(bytes int) { m.server.bufferedBytes -= int64(bytes) }
--- a/internal/openaiserver/dispatch.go
+++ b/internal/openaiserver/dispatch.go
@@ -18,8 +18,8 @@
 	modelsPath = "/v1/models"
 )
 
-// dispatch handles a completely received request: it answers it or starts its operation.
-func (c *clientConn) dispatch() {
+// RequestReceived implements httpserver.Handler. It answers the request or starts its operation.
+func (c *clientConn) RequestReceived() {
 	switch {
 	case c.request.isGet && c.request.path == healthPath:
 		c.respondHealth()
@@ -74,7 +74,7 @@
 // bounds, and rejects it otherwise.
 func (c *clientConn) dispatchCall() {
 	s := c.server
-	call, err := openai.Decode(c.request.api, c.request.body, s.config.Request.OpenAI)
+	call, err := openai.Decode(c.request.api, c.conn.Body(), s.config.Request.OpenAI)
 	if err != nil {
 		c.respondError(err, "")
 		return
@@ -134,7 +134,7 @@
 	request := c.newInferenceRequest(p, call, class)
 	c.request.forwarded = nil
 	exchange := &httpExchange{client: c, request: request, operation: noOperation{}, startedAt: s.now()}
-	c.state = clientServing
+	c.conn.StartServing()
 	c.exchange = exchange
 	s.openRequests++
 	s.bufferedBytes += request.overheadBytes()
--- a/internal/openaiserver/httpexchange.go
+++ b/internal/openaiserver/httpexchange.go
@@ -1,12 +1,11 @@
 package openaiserver
 
 import (
-	"strconv"
-
 	"martenlock/control"
 	"martenlock/control/admission"
 	"martenlock/control/outcome"
 	"martenlock/internal/http1"
+	"martenlock/internal/httpserver"
 	"martenlock/internal/openai"
 )
 
@@ -18,79 +17,54 @@
 	operation       operation
 	startedAt       control.Time
 	latencyObserved bool // the admission queue was notified of the request's latency
-	isChunked       bool // the answer's transfer coding is chunked
 }
 
-// chunkSizeBytes is the size of a buffer for a chunk's length in hexadecimal digits. An int64 has 16 and a sign.
-const chunkSizeBytes = 20
-
 // respond implements responder. It writes a complete answer.
 func (e *httpExchange) respond(a answer) {
 	e.complete(a.outcome)
 	e.client.writeResponse(a.status, a.contentType, a.requestID, a.fields, a.body)
-	e.client.finishRequest()
 }
 
 // begin implements responder. It writes the head of an answer that comes in pieces.
 func (e *httpExchange) begin(head answerHead) {
 	e.observeLatency(outcome.Served)
-	hasLength := head.length >= 0
-	e.isChunked = !hasLength && e.client.request.minorVersion == 1
-	out := e.client.appendResponseHead(head.status, head.contentType, head.requestID, !hasLength && !e.isChunked)
-	switch {
-	case e.isChunked:
+	conn := &e.client.conn
+	framing := conn.SelectFraming(head.length >= 0)
+	out := e.client.appendResponseHead(head.status, head.contentType, head.requestID)
+	switch framing {
+	case httpserver.Chunked:
 		out = append(out, "Transfer-Encoding: chunked\r\n\r\n"...)
-	case hasLength:
+	case httpserver.ByLength:
 		out = http1.AppendContentLength(out, int(head.length))
-	default:
+	case httpserver.UntilClose:
 		out = append(out, crlf...)
 	}
-	e.client.conn.Write(out)
+	conn.WriteHead(out)
 }
 
-// write implements responder. It writes a piece of the answer and bounds the time in which the client accepts none of it.
-func (e *httpExchange) write(data []byte) (mustPause bool) {
-	conn := e.client.conn
-	if e.isChunked {
-		var size [chunkSizeBytes]byte
-		conn.Write(strconv.AppendInt(size[:0], int64(len(data)), 16))
-		conn.Write(crlf)
-		conn.Write(data)
-		conn.Write(crlf)
-	} else {
-		conn.Write(data)
-	}
-	mustPause = conn.AboveHighWaterMark()
-	if mustPause {
-		e.client.startWriteStallTimeout()
-	}
-	return mustPause
-}
+// write implements responder.
+func (e *httpExchange) write(data []byte) (mustPause bool) { return e.client.conn.WriteBody(data) }
 
 // end implements responder. It completes an answer that came in pieces.
 func (e *httpExchange) end() {
-	if e.isChunked {
-		e.client.conn.Write([]byte(http1.LastChunk))
-	}
 	e.complete(outcome.Served)
-	e.client.finishRequest()
+	e.client.conn.EndBody()
 }
 
 // abort implements responder. A stream gets an error event. Then the connection ends in a way that no client can
 // take for the end of a complete answer.
 func (e *httpExchange) abort(reason string) {
-	conn := e.client.conn
-	if e.isChunked && e.request.call.Stream {
-		err := openai.Error{Message: reason, Type: errorTypeServer, Code: "engine_failed"}
-		conn.Write(http1.AppendChunk(nil, openai.AppendEvent(nil, err.AppendJSON(nil))))
-	}
-	if e.isChunked { // the missing last chunk shows that the answer is incomplete
-		conn.Close()
-	} else { // a plain close would look like the end of an answer without a length
+	conn := &e.client.conn
+	e.complete(outcome.Failed)
+	if conn.Framing() != httpserver.Chunked { // a plain close would look like the end of an answer without a length
 		conn.Reset()
+		return
 	}
-	e.complete(outcome.Failed)
-	e.client.markClosed()
+	if e.request.call.Stream {
+		err := openai.Error{Message: reason, Type: errorTypeServer, Code: "engine_failed"}
+		conn.WriteBody(openai.AppendEvent(nil, err.AppendJSON(nil)))
+	}
+	conn.Close() // the missing last chunk shows that the answer is incomplete
 }
 
 // isBatch implements responder: one client waits for the answer.
--- a/internal/openaiserver/reload.go
+++ b/internal/openaiserver/reload.go
@@ -77,7 +77,8 @@
 		MaxPerEngine:   limits.MaxEngineConns,
 		Limits:         http1.Limits{Line: limits.HTTP.Line, Headers: limits.HTTP.Headers, Fields: limits.HTTP.Fields, Body: limits.MaxResponseBytes},
 	}
-	listener := s.clients.listener
+	s.clients.Options = clientOptions(limits)
+	listener := s.clients.Listener
 	listener.MaxOpen = s.config.MaxConnections
 	descriptors, err := raiseDescriptorLimit()
 	if err != nil {
--- a/internal/openaiserver/server.go
+++ b/internal/openaiserver/server.go
@@ -19,6 +19,7 @@
 	"martenlock/control"
 	"martenlock/internal/config"
 	"martenlock/internal/eventloop"
+	"martenlock/internal/httpserver"
 	"martenlock/internal/nodes"
 )
 
@@ -29,7 +30,7 @@
 	log       zerolog.Logger
 	startedAt time.Time
 
-	clients  clientTable
+	clients  *httpserver.Conns
 	pools    poolTable
 	engines  engineTable
 	topology topology
@@ -79,7 +80,6 @@
 		config:     cfg,
 		log:        log,
 		startedAt:  time.Now(),
-		clients:    newClientTable(),
 		engines:    newEngineTable(),
 		topology:   newTopology(),
 		requestIDs: newRequestIDs(binary.LittleEndian.Uint64(random[:8])),
@@ -88,8 +88,9 @@
 	if s.seed == 0 {
 		s.seed = binary.LittleEndian.Uint64(random[8:])
 	}
+	s.clients = httpserver.NewConns(loop, bodyMemory{server: s})
 	s.createPools()
-	s.clients.listener, err = loop.Listen(cfg.Listen, s.accept)
+	s.clients.Listener, err = loop.Listen(cfg.Listen, s.accept)
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +100,7 @@
 }
 
 // Addr returns the address on which the server listens.
-func (s *Server) Addr() string { return s.clients.listener.Addr().String() }
+func (s *Server) Addr() string { return s.clients.Listener.Addr().String() }
 
 // Run serves until a shutdown is complete. It returns the error of the event loop, if any.
 func (s *Server) Run() error { return s.loop.Run() }
--- a/internal/openaiserver/shutdown.go
+++ b/internal/openaiserver/shutdown.go
@@ -26,10 +26,10 @@
 		return
 	}
 	s.shutdown.inProgress = true
-	s.clients.listener.Close()
-	for client := range s.clients.conns {
-		client.drain()
-	}
+	s.clients.StopKeepAlive()
+	s.clients.Listener.Close()
+	s.clients.CloseAfterResponses()
+	s.clients.CloseIdle()
 	s.shutdown.drainTimer.Fire = s.stopWhenDrained
 	s.stopWhenDrained()
 	s.shutdown.timeoutTimer.Fire = s.abortOpenRequests
@@ -38,7 +38,7 @@
 
 // stopWhenDrained stops the loop if no client is connected, and schedules another check otherwise.
 func (s *Server) stopWhenDrained() {
-	if s.clients.listener.Open() == 0 {
+	if s.clients.Listener.Open() == 0 {
 		s.loop.Stop()
 		return
 	}
@@ -48,7 +48,9 @@
 // abortOpenRequests aborts the requests that are open when the shutdown times out.
 func (s *Server) abortOpenRequests() {
 	s.log.Warn().Int("open_requests", s.openRequests).Msg("shutdown limit reached, open requests aborted")
-	for client := range s.clients.conns {
-		client.abortForShutdown()
+	for conn := range s.clients.All() {
+		if client, isClient := conn.Handler().(*clientConn); isClient {
+			client.abortForShutdown()
+		}
 	}
 }
--- a/internal/openaiserver/stats.go
+++ b/internal/openaiserver/stats.go
@@ -57,7 +57,7 @@
 		Oversized:         s.counters.oversized,
 		IdleConnsEvicted:  s.counters.idleConnsEvicted,
 		OpenRequests:      s.openRequests,
-		ClientConnections: s.clients.listener.Open(),
+		ClientConnections: s.clients.Listener.Open(),
 		Timers:            s.loop.RunningTimers(),
 		BufferedBytes:     s.bufferedBytes,
 	}
@@ -70,8 +70,8 @@
 			stats.CacheBytes += p.embeddings.cache.WeightedSize()
 		}
 	}
-	for client := range s.clients.conns {
-		stats.MaxUnsentBytes = max(stats.MaxUnsentBytes, client.conn.UnsentBytes())
+	for conn := range s.clients.All() {
+		stats.MaxUnsentBytes = max(stats.MaxUnsentBytes, conn.UnsentBytes())
 	}
 	for _, e := range s.engines.byID {
 		stats.EngineConnections += e.Open()
