--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -47,7 +47,7 @@
 	h.waitOnLoop("three engines", func() bool { return h.server.membership.Len() == 3 })
 
 	// A malformed message, and the end of a watch, lead to a new one from the last revision.
-	h.discovery.Send("%%% noise\n")
+	h.discovery.Send("%%% no JSON\n")
 	h.waitFor("a new watch", func() bool { return h.discovery.Calls() == 2 })
 	if since := h.discovery.Since(2); since != "6" {
 		t.Errorf("watch from revision %s", since)
--- a/internal/platform/eventlog_test.go
+++ b/internal/platform/eventlog_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"testing"
 	"time"
 
@@ -31,10 +32,13 @@
 func TestTimelineOfAFailedRequestIsLogged(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	h.engines[1].SetScript(platformtest.RespondAndClose(""))
-	if got := h.roundTrip(h.chat("note")); got.Code != 502 {
-		t.Errorf("answered %d, want 502", got.Code)
+
+	answer := h.roundTrip(h.chat("note"))
+	h.waitFor("the KV release", func() bool { return len(h.log.lines("KV released")) > 0 })
+
+	if answer.Code != http.StatusBadGateway {
+		t.Errorf("answered %d, want 502", answer.Code)
 	}
-	h.waitFor("the KV state is released", func() bool { return len(h.log.lines("KV released")) > 0 })
 	h.expectLogged("attempt ended", map[string]any{
 		"request_id": "c1", "attempt": 1, "endpoint_name": "s-1",
 		"role": "decode", "result": "reset", "written": true,
@@ -50,8 +54,11 @@
 	for _, e := range h.engines[1:] {
 		e.SetScript(platformtest.Respond(platformtest.Status(500, "")))
 	}
-	if got := h.roundTrip(h.chat("ask")); got.Code != 503 {
-		t.Errorf("answered %d, want 503", got.Code)
+
+	answer := h.roundTrip(h.chat("ask"))
+
+	if answer.Code != http.StatusServiceUnavailable {
+		t.Errorf("answered %d, want 503", answer.Code)
 	}
 	h.expectLogged("attempt ended", map[string]any{"request_id": "c1", "attempt": 1, "result": "failed", "status": 500})
 	h.expectLogged("request retried", map[string]any{"request_id": "c1", "attempt": 2, "reason": "failed"})
@@ -61,8 +68,11 @@
 // TestReasonOfACloseIsLogged: a connection that the server closes has a line with the reason.
 func TestReasonOfACloseIsLogged(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
-	if got := h.roundTrip("GET / HTTP/3.7\r\n\r\n"); got.Code < 400 {
-		t.Errorf("answered %d", got.Code)
+
+	answer := h.roundTrip("GET / HTTP/3.7\r\n\r\n")
+
+	if answer.Code < 400 {
+		t.Errorf("answered %d", answer.Code)
 	}
 	lines := h.log.lines("client connection closed")
 	if len(lines) != 1 || lines[0]["reason"] == "" {
@@ -70,23 +80,26 @@
 	}
 }
 
-// TestEventLogIsBounded: a flood of one kind gets the burst and then the rate, tells how much was left out, and takes
-// nothing from the other kind.
+// TestEventLogIsBounded: a flood of one kind gets the burst and then the rate, reports how many lines were suppressed, and
+// leaves the other kind its lines.
 func TestEventLogIsBounded(t *testing.T) {
 	var written logBuffer
 	now := time.Second
 	events := newEventLog(zerolog.New(&written), func() time.Duration { return now })
+
 	for range 10 * eventLineBurst {
 		events.request().Msg("request")
 	}
 	if n := len(written.lines("request")); n != eventLineBurst {
 		t.Errorf("%d lines at once, want %d", n, eventLineBurst)
 	}
+
 	events.connection().Msg("connection")
 	lines := written.lines("connection")
 	if len(lines) != 1 || lines[0]["lines_suppressed"] != float64(9*eventLineBurst) {
 		t.Errorf("the other kind: %v", lines)
 	}
+
 	const seconds = 10
 	before := len(written.lines("request"))
 	for range seconds * 1000 {
--- a/internal/platform/forwarding_test.go
+++ b/internal/platform/forwarding_test.go
@@ -56,7 +56,7 @@
 }
 
 // TestEventsAreForwardedSinglyAndAtOnce: each event reaches its client by itself and at once,
-// while another client takes nothing and further ones keep the server busy.
+// while another client reads nothing and further ones keep the server busy.
 func TestEventsAreForwardedSinglyAndAtOnce(t *testing.T) {
 	const maxDelay = 300 * time.Millisecond
 	const eventCount = 10
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -119,7 +119,9 @@
 				g.script[flavor] = slices.Clone(scripts)
 			}
 			g.start()
+
 			g.exchange(g.chat(class, s.edits...))
+
 			compareGolden(t, "outcome-"+s.name, g.transcript())
 		})
 	}
@@ -133,7 +135,9 @@
 		g := newGoldenHarness(t, "r1", "w1")
 		g.engines[1].Close()
 		g.start()
+
 		g.exchange(g.chat("note", "16000m", "400m"))
+
 		compareGolden(t, "unreachable-refused", g.transcript())
 	})
 	t.Run("no-handshake", func(t *testing.T) {
@@ -141,14 +145,18 @@
 		g := newGoldenHarness(t, "r1", "w1")
 		g.engines[1].ListedAddress = enginetest.UnreachableAddress(t).String()
 		g.start()
+
 		g.exchange(g.chat("note", "16000m", "400m"))
+
 		compareGolden(t, "unreachable-no-handshake", g.transcript())
 	})
 	t.Run("no-decode-engine", func(t *testing.T) {
 		t.Parallel()
 		g := newGoldenHarness(t, "r1")
 		g.start()
+
 		g.exchange(g.chat("ask", "16000m", "400m"))
+
 		compareGolden(t, "unreachable-no-decode-engine", g.transcript())
 	})
 }
@@ -175,6 +183,7 @@
 	g := newGoldenHarness(t, "r1", "w1")
 	waiting, release := g.deferDecode(maxClients)
 	g.startWith(strings.Replace(g.config(goldenSettings, g.list(1)), `"sockets":256`, `"sockets":64`, 1))
+
 	var held []*recordedClient
 	for range maxClients {
 		held = append(held, g.dial().send(g.chat("note")))
@@ -190,15 +199,17 @@
 	compareGolden(t, "client-limit", g.transcript())
 }
 
-// TestGoldenKeptConnection pins a request that is lost with a reused connection.
-func TestGoldenKeptConnection(t *testing.T) {
+// TestGoldenReusedConnectionLost pins a request that is lost with a reused connection.
+func TestGoldenReusedConnectionLost(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
 	g.script["w1"] = []platformtest.Script{platformtest.Respond(platformtest.Stream()), platformtest.RespondAndClose("")}
 	g.start()
+
 	c := g.dial()
 	c.send(g.chat("ask")).receive("POST").record()
 	c.send(g.chat("ask")).receive("POST").record()
+
 	compareGolden(t, "outcome-kept-connection-lost", g.transcript())
 }
 
@@ -218,6 +229,7 @@
 				return false
 			}}
 			g.start()
+
 			c := g.dial().send(g.chat("note"))
 			<-waiting
 			if sent != "" {
@@ -227,18 +239,20 @@
 			}
 			c.conn.Close()
 			g.waitForEnding()
+
 			compareGolden(t, "outcome-client-gone-"+name, g.transcript())
 		})
 	}
 }
 
-// TestGoldenProbe pins the health check of an engine that failed.
-func TestGoldenProbe(t *testing.T) {
+// TestGoldenHealthCheck pins the health check of an engine that failed.
+func TestGoldenHealthCheck(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
 	g.script["w1"] = []platformtest.Script{platformtest.ResetAttempts, platformtest.ResetAttempts, platformtest.ResetAttempts, platformtest.ResetAttempts, platformtest.ResetAttempts, platformtest.ResetAttempts}
 	settings := strings.Replace(goldenSettings, `"Probes":false`, `"Probes":true`, 1)
 	g.startWith(g.config(settings, g.list(1)))
+
 	const maxRequests = 50
 	for range maxRequests {
 		g.exchange(g.chat("note"))
@@ -283,8 +297,8 @@
 	}
 }
 
-// TestGoldenUnusable pins the answers that the server gives itself. No engine receives any of these requests.
-func TestGoldenUnusable(t *testing.T) {
+// TestGoldenAnswersWithoutEngine pins the answers that the server gives itself. No engine receives any of these requests.
+func TestGoldenAnswersWithoutEngine(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1").start()
 	requests := unusableRequests(g)
@@ -292,6 +306,7 @@
 		t.Run(name, func(t *testing.T) {
 			method, _, _ := strings.Cut(requests[name], " ")
 			c := g.dial().send(requests[name]).receive(method)
+
 			compareGolden(t, "answer-"+name, c.answer)
 		})
 	}
@@ -306,6 +321,7 @@
 	body := g.dial().send(strings.TrimSuffix(g.chat("ask"), `"hello"}]}`))
 	head.receive("POST").record()
 	body.receive("POST").record()
+
 	compareGolden(t, "answer-408", g.transcript())
 }
 
@@ -314,37 +330,42 @@
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1").start()
 	g.exchange(g.chat("ask", "Content-Length:", "Expect: 100-continue\r\nContent-Length:"))
+
 	compareGolden(t, "answer-100-continue", g.transcript())
 }
 
-// TestGoldenSameID pins the answer to a request whose id is that of an open one.
-func TestGoldenSameID(t *testing.T) {
+// TestGoldenIDOfOpenRequest pins the answer to a request whose id is that of an open one.
+func TestGoldenIDOfOpenRequest(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
 	waiting, release := g.deferDecode(1)
 	g.start()
+
 	text := g.chat("note")
 	open := g.dial().send(text)
 	<-waiting
 	g.exchange(text)
 	close(release)
 	open.receive("POST").record()
+
 	compareGolden(t, "answer-400-same-id", g.transcript())
 }
 
-// TestGoldenTooMany pins the rejection of a request beyond the limit of open requests.
-func TestGoldenTooMany(t *testing.T) {
+// TestGoldenLimitOfOpenRequests pins the rejection of a request beyond the limit of open requests.
+func TestGoldenLimitOfOpenRequests(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
 	waiting, release := g.deferDecode(1)
 	settings := strings.Replace(goldenSettings, `"MostHeld":1000`, `"MostHeld":1`, 1)
 	g.keepRetryAfter = true
 	g.startWith(g.config(settings, g.list(1)))
+
 	held := g.dial().send(g.chat("note"))
 	<-waiting
 	g.exchange(g.chat("note"))
 	close(release)
 	held.receive("POST").record()
+
 	compareGolden(t, "answer-503-too-many", g.transcript())
 }
 
@@ -357,13 +378,16 @@
 		g := newGoldenHarness(t)
 		g.discovery.SetScript(func(platformtest.Conn, int) bool { return true }) // and never answers
 		g.startWith(g.config(goldenSettings, ""))
+
 		g.exchange(get)
+
 		compareGolden(t, "healthz-no-engines", g.transcript())
 	})
 	t.Run("stopping", func(t *testing.T) {
 		t.Parallel()
 		g := newGoldenHarness(t, "r1", "w1")
 		g.start()
+
 		c := g.dial().send(get).receive("GET").record()
 		ready := c.answer
 		g.server.Shutdown()
@@ -371,17 +395,19 @@
 			c.send(get).receive("GET")
 		}
 		c.record()
+
 		compareGolden(t, "healthz-stopping", g.transcript())
 	})
 }
 
-// TestGoldenStopping pins the rejection of a request that is complete only after a server that shuts down
+// TestGoldenRequestAfterShutdown pins the rejection of a request that is complete only after a server that shuts down
 // has closed its listener.
-func TestGoldenStopping(t *testing.T) {
+func TestGoldenRequestAfterShutdown(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
 	g.keepRetryAfter = true
 	g.start()
+
 	address := g.server.Addr()
 	text := g.chat("note")
 	half := len(text) / 2
@@ -396,6 +422,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	c.send(text[half:]).receive("POST").record()
+
 	compareGolden(t, "answer-503-stopping", g.transcript())
 }
 
@@ -426,8 +453,10 @@
 				return true
 			})
 			g.start()
+
 			<-second
 			g.exchange(g.chat("ask"))
+
 			compareGolden(t, "discovery-"+name, g.transcript())
 		})
 	}
--- a/internal/platform/jsonstream_test.go
+++ b/internal/platform/jsonstream_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// splitInPieces gives a stream a text in pieces that end at these places, and returns the objects
-// without white space, and "-" for each blank line; false where the text is invalid.
+// splitInPieces gives a stream a text in pieces that end at these places. It returns the objects
+// without white space and "-" for each blank line, and reports whether the text is valid.
 func splitInPieces(stream *jsonStream, text string, ends ...int) (elements []string, isValid bool) {
 	start := 0
 	for _, end := range append(ends, len(text)) {
@@ -34,8 +34,8 @@
 	return elements, true
 }
 
-// TestJSONStreamFindsObjectsInAnyLayoutAndPieces holds for each two places where the bytes may be
-// cut.
+// TestJSONStreamFindsObjectsInAnyLayoutAndPieces: objects are found wherever the bytes are cut in two
+// places, and malformed or oversized ones are reported.
 func TestJSONStreamFindsObjectsInAnyLayoutAndPieces(t *testing.T) {
 	text := "{\"a\":[{\"b\":\"x}]\\\\\\\"{\"}],\r\n \"c\": {\n\t\"d\": 1\n}\n}\n\n \r\n{\"e\":2}{\n}"
 	want := "{\"a\":[{\"b\":\"x}]\\\\\\\"{\"}],\"c\":{\"d\":1}} - - - {\"e\":2} {}"
@@ -46,22 +46,22 @@
 			}
 		}
 	}
-	for _, bad := range []string{"noise", "[1]", "null", "}", strings.Repeat("{\"a\":1}", 10) + "x", `{"a":"` + strings.Repeat("b", 2000), `{"a":"` + strings.Repeat("b", 1000) + `"}`} {
+	for _, bad := range []string{"no JSON", "[1]", "null", "}", strings.Repeat("{\"a\":1}", 10) + "x", `{"a":"` + strings.Repeat("b", 2000), `{"a":"` + strings.Repeat("b", 1000) + `"}`} {
 		if _, isValid := splitInPieces(&jsonStream{maxObjectBytes: 1000}, bad, len(bad)/2); isValid {
-			t.Errorf("%.30q was taken", bad)
+			t.Errorf("%.30q was accepted", bad)
 		}
 	}
 }
 
-// FuzzJSONStream holds that what a text splits into does not depend on the pieces it comes in.
+// FuzzJSONStream: the objects of a text do not depend on the pieces in which it arrives.
 func FuzzJSONStream(f *testing.F) {
 	f.Add([]byte("{\"a\":[]}\n\n{\n\"b\": \"}\"\n}"), 5)
 	f.Fuzz(func(t *testing.T, b []byte, at int) {
 		at = min(max(at, 0), len(b))
-		whole, wholeIsValid := splitInPieces(&jsonStream{maxObjectBytes: 100}, string(b))
+		uncut, uncutIsValid := splitInPieces(&jsonStream{maxObjectBytes: 100}, string(b))
 		cut, cutIsValid := splitInPieces(&jsonStream{maxObjectBytes: 100}, string(b), at)
-		if wholeIsValid != cutIsValid || wholeIsValid && fmt.Sprint(whole) != fmt.Sprint(cut) {
-			t.Errorf("%v %q, and cut at %d: %v %q", wholeIsValid, whole, at, cutIsValid, cut)
+		if uncutIsValid != cutIsValid || uncutIsValid && fmt.Sprint(uncut) != fmt.Sprint(cut) {
+			t.Errorf("%v %q, and cut at %d: %v %q", uncutIsValid, uncut, at, cutIsValid, cut)
 		}
 	})
 }
--- a/internal/platform/kvrelease_test.go
+++ b/internal/platform/kvrelease_test.go
@@ -69,9 +69,9 @@
 	return answered
 }
 
-// TestPrefillIsHeldUntilReleaseIsConfirmed: the release of what an earlier prefill may have left is answered before
+// TestPrefillIsDeferredUntilReleaseIsConfirmed: the release of what an earlier prefill may have left is answered before
 // the further prefill is sent, and where no engine answers it, nothing is sent.
-func TestPrefillIsHeldUntilReleaseIsConfirmed(t *testing.T) {
+func TestPrefillIsDeferredUntilReleaseIsConfirmed(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	var mu sync.Mutex
 	var order []string // of the requests that engines have answered, by method and flavor
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestHeldPrefillEndsAsNotSent: an attempt is not deferred past its client's time, and not sent to an engine that
+// TestDeferredPrefillEndsAsNotSent: an attempt is not deferred past its client's time, and not sent to an engine that
 // drains by then.
-func TestHeldPrefillEndsAsNotSent(t *testing.T) {
+func TestDeferredPrefillEndsAsNotSent(t *testing.T) {
 	for name, drains := range map[string]bool{"no engine answers the release": false, "the engine drains": true} {
 		t.Run(name, func(t *testing.T) {
 			h := startHarness(t, "r1", "w1", "w1")
--- a/internal/platform/limits_test.go
+++ b/internal/platform/limits_test.go
@@ -71,7 +71,7 @@
 		text := h.chat("ask", "Content-Length: ", "Content-Length: 2620")
 		go io.WriteString(client, text+strings.Repeat("x", uploadBytes))
 	}
-	h.waitOnLoop("the memory for bodies to be taken", func() bool { return h.server.bufferedBytes > capacity-300<<10 })
+	h.waitOnLoop("the memory for bodies to be in use", func() bool { return h.server.bufferedBytes > capacity-300<<10 })
 
 	h.messageContent = strings.Repeat("a", 150<<10)
 	for range 20 {
--- a/internal/platform/outcome_test.go
+++ b/internal/platform/outcome_test.go
@@ -7,8 +7,8 @@
 	"martenlock/internal/upstream"
 )
 
-// TestOutcomes is the table of outcomes in docs/platform-design.md.
-func TestOutcomes(t *testing.T) {
+// TestResultFollowsResponseAndConnError is the table of outcomes in docs/platform-design.md.
+func TestResultFollowsResponseAndConnError(t *testing.T) {
 	for _, test := range []struct {
 		role       control.Role
 		status     int
--- a/internal/platform/randomfaults_test.go
+++ b/internal/platform/randomfaults_test.go
@@ -117,7 +117,7 @@
 		r.Reset()
 		return false
 	case malformedEvent:
-		return r.Write(platformtest.StreamHead + platformtest.Chunk("\x00\x01 noise"))
+		return r.Write(platformtest.StreamHead + platformtest.Chunk("\x00\x01 no event"))
 	case malformedHead:
 		return r.Write("\xff\xfe HTTP\r\n\r\n")
 	case truncatedStream:
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -9,7 +9,7 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestReloadRetriesTornFile: a torn file changes nothing and is read again; the whole one moves
+// TestReloadRetriesTornFile: a torn file changes nothing and is read again. The complete one moves
 // discovery, and open requests go on.
 func TestReloadRetriesTornFile(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
--- a/internal/platform/signals_test.go
+++ b/internal/platform/signals_test.go
@@ -25,14 +25,14 @@
 	os.Exit(0)
 }
 
-// TestSignalsAlwaysEndWithExitCodeZero: the process ends with 0 on SIGTERM, also where that
-// comes before the server is ready, twice, or with SIGHUP, and while its file is slow to read.
-// The file is a pipe: opening it for writing waits until the server reads it, and the server
+// TestSignalsAlwaysEndWithExitCodeZero: the process ends with 0 on SIGTERM, also if that
+// arrives before the server is ready, twice, or with SIGHUP, and while the configuration is slow to read.
+// The configuration is a pipe: opening it for writing waits until the server reads it, and the server
 // waits for what is written.
 func TestSignalsAlwaysEndWithExitCodeZero(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"once": {syscall.SIGTERM}, "twice": {syscall.SIGTERM, syscall.SIGTERM},
-		"after a word to read": {syscall.SIGHUP, syscall.SIGTERM}, "and before one": {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM},
+		"after a reload": {syscall.SIGHUP, syscall.SIGTERM}, "before and after a reload": {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/platform/timebudget_test.go
+++ b/internal/platform/timebudget_test.go
@@ -8,7 +8,7 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestForwardedBudgetNeverExceedsRemainingTime: no attempt tells its engine more time than its
+// TestForwardedBudgetNeverExceedsRemainingTime: no attempt has a larger time budget than its
 // client has left, whatever preceded it.
 func TestForwardedBudgetNeverExceedsRemainingTime(t *testing.T) {
 	for _, test := range []struct {
