--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -55,7 +55,7 @@
 	}
 	c, err := Parse(path, text)
 	if err != nil {
-		return c, err
+		return nil, err
 	}
 	if !filepath.IsAbs(c.EndpointListPath) {
 		c.EndpointListPath = filepath.Join(filepath.Dir(path), c.EndpointListPath)
@@ -90,7 +90,11 @@
 	requireSection(file, "kind", len(c.Kinds))
 	requireSection(file, "class", len(c.Classes))
 	requireSection(file, "pool", len(c.Pools))
-	return c, file.Err("router", "limits", "rules", "request", "kind", "class", "tenant", "pool")
+	err = file.Err("router", "limits", "rules", "request", "kind", "class", "tenant", "pool")
+	if err != nil {
+		return nil, err
+	}
+	return c, nil
 }
 
 // requireSection records an error if there is no section of a kind.
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -28,7 +28,7 @@
 	Stream             bool
 	MaxTokens          int     // limit of the tokens of all its answers together
 	RequestedMaxTokens int     // the request's own limit of the tokens of one answer; 0 for none
-	LongestItemTokens  float64 // tokens of its longest input, which is computed with no other
+	LongestItemTokens  float64 // tokens of the longest input, or of the whole prompt of a chat
 	PromptTokens       float64 // tokens of all inputs together
 	PrefixHash         uint64  // hash of the prefix that it may share with other sessions; 0 for none
 	PrefixTokens       float64 // tokens of that prefix
