--- a/control/placement.go
+++ b/control/placement.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"math"
-	"math/rand/v2"
 	"slices"
 )
 
@@ -37,7 +36,7 @@
 		return last
 	}
 	key := cmp.Or(request.PrefixHash, request.SessionID)
-	var candidates []affinityCandidate
+	candidates := make([]affinityCandidate, 0, len(r.endpoints.ready))
 	for _, e := range r.endpoints.ready {
 		if e.role == RoleDecode || !r.eligible(e, request) {
 			continue
@@ -54,7 +53,9 @@
 	if key != 0 { // a request without prefix and session has no affinity
 		candidates = preferredCandidates(candidates, r.prefixes.share(request.PrefixHash))
 	}
-	return lessLoaded(endpointsOf(candidates), r.rng)
+	first := candidates[r.rng.IntN(len(candidates))]
+	second := candidates[r.rng.IntN(len(candidates))]
+	return lessLoaded(first.endpoint, second.endpoint)
 }
 
 // mayPrefill reports whether an endpoint can take the prefill of a request and is not overloaded.
@@ -81,7 +82,9 @@
 			}
 		}
 		if list := choice.preferred(); len(list) > 0 {
-			return lessLoaded(list, r.rng)
+			first := list[r.rng.IntN(len(list))]
+			second := list[r.rng.IntN(len(list))]
+			return lessLoaded(first, second)
 		}
 	}
 	return nil
@@ -135,19 +138,8 @@
 	return candidates
 }
 
-// endpointsOf returns the endpoints of candidates, in their order.
-func endpointsOf(candidates []affinityCandidate) []*endpoint {
-	list := make([]*endpoint, len(candidates))
-	for i, candidate := range candidates {
-		list[i] = candidate.endpoint
-	}
-	return list
-}
-
-// lessLoaded returns the less loaded of two random endpoints of a list that is not empty.
-func lessLoaded(list []*endpoint, rng *rand.Rand) *endpoint {
-	first := list[rng.IntN(len(list))]
-	second := list[rng.IntN(len(list))]
+// lessLoaded returns the less loaded of two endpoints, the first if their loads are equal.
+func lessLoaded(first, second *endpoint) *endpoint {
 	if second.relativeLoad() < first.relativeLoad() {
 		return second
 	}
--- a/control/topology.go
+++ b/control/topology.go
@@ -161,8 +161,8 @@
 }
 
 // newScopeChoice returns a choice without endpoints.
-func newScopeChoice(topology *topology, rng *rand.Rand, holder *endpoint) *scopeChoice {
-	choice := &scopeChoice{topology: topology, rng: rng, holder: holder}
+func newScopeChoice(topology *topology, rng *rand.Rand, holder *endpoint) scopeChoice {
+	choice := scopeChoice{topology: topology, rng: rng, holder: holder}
 	choice.cellDraw = rng.Float64()
 	choice.zoneDraw = rng.Float64()
 	return choice
