--- /dev/null
+++ b/control/statemachine_test.go
@@ -0,0 +1,444 @@
+package control_test
+
+import (
+	"fmt"
+	"maps"
+	"net/netip"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"martenlock/control"
+	"martenlock/control/kvrelease"
+	"martenlock/control/membership"
+	"martenlock/internal/proptest"
+)
+
+func init() { proptest.SetDefault("rapid.checks", "1500") }
+
+const (
+	listedEngines = 8 // at first, about a third of each role
+	tick          = 50 * time.Millisecond
+	maxCalls      = 24 // calls of kvrelease in flight
+)
+
+// stateMachine plays events in any order to the pure modules together. It checks their actions against the
+// service's five rules on a model of the requests and the engines.
+type stateMachine struct {
+	t        *rapid.T
+	now      control.Time
+	settings control.Settings
+	router   *control.Router
+	view     membership.View
+	releases *kvrelease.Scheduler
+	calls    []kvrelease.Call // in flight
+	revision uint64
+	lastID   control.RequestID
+	listed   map[control.EndpointID]membership.Endpoint   // by service discovery
+	notified map[control.EndpointID]control.EndpointState // the latest that the router was told
+	requests map[control.RequestID]*modelRequest
+}
+
+// newStateMachine returns one with drawn settings, whose router knows all engines.
+func newStateMachine(t *rapid.T) *stateMachine {
+	t.Helper()
+	m := &stateMachine{
+		t:        t,
+		now:      control.Time(time.Hour.Microseconds()),
+		settings: drawSettings(t),
+		listed:   map[control.EndpointID]membership.Endpoint{},
+		notified: map[control.EndpointID]control.EndpointState{},
+		requests: map[control.RequestID]*modelRequest{},
+	}
+	m.router = control.New(m.settings, m.now)
+	m.releases = kvrelease.NewScheduler(m.settings.Limits.KVRetentionLimit)
+	for id := control.EndpointID(1); id <= listedEngines; id++ {
+		m.listed[id] = m.listing(id)
+	}
+	m.revision = 1
+	m.apply(membership.Update{Revision: m.revision, Complete: true, Endpoints: m.listedEndpoints()})
+	return m
+}
+
+// handle gives events to the router and carries out its actions.
+func (m *stateMachine) handle(events ...control.Event) {
+	for _, action := range m.router.Handle(m.now, events) {
+		switch action := action.(type) {
+		case control.Forward:
+			m.forward(action)
+		case control.Reject:
+			if request := m.finish(action.ID); !request.mayBeRejected() {
+				m.t.Fatalf("request %d rejected though it may have been executed", action.ID)
+			}
+		case control.Fail:
+			m.finish(action.ID)
+		case control.ReleaseKV:
+			m.releaseKV(action)
+		case control.CancelAttempt:
+			m.cancelAttempt(action)
+		}
+	}
+}
+
+// finish records a final answer and checks that it is due.
+func (m *stateMachine) finish(id control.RequestID) *modelRequest {
+	request := m.requests[id]
+	if request == nil || request.answered || request.clientGone || request.attemptInFlight {
+		m.t.Fatalf("an answer for request %d: %+v", id, request)
+	}
+	if m.now > request.Deadline.Add(m.settings.Limits.AnswerGrace+tick) {
+		m.t.Fatalf("request %d answered %v late", id, m.now.Sub(request.Deadline))
+	}
+	request.answered = true
+	return request
+}
+
+// forward records an attempt and checks that it may be made.
+func (m *stateMachine) forward(action control.Forward) {
+	request := m.requests[action.ID]
+	role := m.role(action.Endpoint)
+	switch {
+	case request == nil || request.needsNoAttempt():
+		m.t.Fatalf("request %d forwarded though nobody waits: %+v", action.ID, request)
+	case request.attemptInFlight:
+		m.t.Fatalf("request %d has two attempts in flight", action.ID)
+	case m.notified[action.Endpoint] != control.Ready:
+		m.t.Fatalf("request %d forwarded to endpoint %d, which is not ready", action.ID, action.Endpoint)
+	case request.attempts >= m.settings.Limits.MaxAttempts:
+		m.t.Fatalf("request %d: attempt %d", action.ID, request.attempts)
+	case m.now >= request.Deadline:
+		m.t.Fatalf("request %d forwarded after its deadline", action.ID)
+	}
+	target, _ := m.view.Get(action.Endpoint)
+	if role != control.RolePrefill && !request.mayRepeatAt(target.Endpoint, m.now) {
+		m.t.Fatalf("request %d, %v, forwarded again", action.ID, request.class.Idempotency)
+	}
+	request.attemptInFlight, request.endpoint, request.sentAt = true, action.Endpoint, m.now
+	if role == control.RoleDecode && m.releases.Withdraw(fmt.Sprint(action.ID)) {
+		request.retained = true
+		request.releaseAskedAt = 0
+	}
+	isDeferred := m.releases.IsPending(fmt.Sprint(action.ID)) // until a release is confirmed, which the model leaves out
+	request.arrived = !isDeferred && rapid.IntRange(0, 3).Draw(m.t, "arrives") > 0
+	request.attempts++
+}
+
+// releaseKV enqueues a release.
+func (m *stateMachine) releaseKV(action control.ReleaseKV) {
+	request := m.requests[action.ID]
+	if request == nil || !request.retained {
+		return
+	}
+	m.releases.Enqueue(m.now, fmt.Sprint(action.ID))
+	if request.hasUnusedKV() && request.releaseAskedAt == 0 {
+		request.releaseAskedAt = m.now
+	}
+}
+
+// cancelAttempt ends an attempt, unless its answer has begun.
+func (m *stateMachine) cancelAttempt(action control.CancelAttempt) {
+	request := m.requests[action.ID]
+	if request.attemptInFlight && !request.hasFirstToken && request.latestAttempt() == action.Attempt {
+		m.endAttempt(request, control.Cancelled)
+	}
+}
+
+// endAttempt ends an attempt and reports its outcome to the router.
+func (m *stateMachine) endAttempt(request *modelRequest, drawn control.Result) {
+	role := m.role(request.endpoint)
+	result := request.possibleResult(drawn, role)
+	isFinal := request.hasFirstToken || request.clientGone || result == control.OK
+	request.endAttempt(result, role, m.listed[request.endpoint].Endpoint, m.now)
+	m.handle(control.Outcome{
+		ID: request.ID, Attempt: request.latestAttempt(), Endpoint: request.endpoint,
+		Result: result, Elapsed: m.now.Sub(request.sentAt), Final: isFinal,
+	})
+	if isFinal && request.retained {
+		m.releases.Enqueue(m.now, fmt.Sprint(request.ID))
+	}
+}
+
+// endAllAttempts ends every attempt in flight with its connection.
+func (m *stateMachine) endAllAttempts() {
+	for _, id := range m.requestIDs() {
+		if request := m.requests[id]; request.attemptInFlight {
+			m.endAttempt(request, control.Reset)
+		}
+	}
+}
+
+// startAnswer begins the answer of an attempt.
+func (m *stateMachine) startAnswer(request *modelRequest) {
+	request.hasFirstToken = true
+	m.handle(control.AnswerStarted{
+		ID: request.ID, Endpoint: request.endpoint, Attempt: request.latestAttempt(), Elapsed: m.now.Sub(request.sentAt),
+	})
+}
+
+// checkRetention checks that the release of each KV state was asked for within the retention limit.
+func (m *stateMachine) checkRetention() {
+	limit := m.settings.Limits.KVRetentionLimit
+	if !m.settings.Caller.ReleaseSparesAttempts || limit <= 0 {
+		return
+	}
+	for _, id := range m.requestIDs() {
+		request := m.requests[id]
+		if age := m.now.Sub(request.unusedSince); request.hasUnusedKV() && request.releaseAskedAt == 0 && age > limit {
+			m.t.Fatalf("request %d: KV state retained for %v without a release: %+v", id, age, request)
+		}
+	}
+}
+
+// apply applies a message of service discovery.
+func (m *stateMachine) apply(update membership.Update) {
+	change, err := m.view.Apply(m.now, update)
+	if err != nil {
+		m.t.Fatal(err)
+	}
+	m.notify(change)
+}
+
+// notify passes a change of the endpoint list to the router.
+func (m *stateMachine) notify(change membership.Change) {
+	if change.IsEmpty() {
+		return
+	}
+	update := change.EndpointUpdate
+	listed := map[control.EndpointID]bool{}
+	for _, entry := range update.Endpoints {
+		m.notified[entry.ID], listed[entry.ID] = entry.State, true
+	}
+	for id := range m.notified {
+		if update.Full && !listed[id] {
+			m.notified[id] = control.Gone
+		}
+	}
+	m.handle(update)
+	var ready []control.EndpointID
+	for id, state := range m.notified {
+		if state == control.Ready {
+			ready = append(ready, id)
+		}
+	}
+	m.releases.SetEndpoints(ready)
+}
+
+// advance lets time pass. The router gets its timer each tick.
+func (m *stateMachine) advance(duration time.Duration) {
+	for ; duration > tick; duration -= tick {
+		m.step(tick)
+	}
+	m.step(duration)
+}
+
+// step lets time pass up to the next event of the timer.
+func (m *stateMachine) step(duration time.Duration) {
+	m.now = m.now.Add(duration)
+	m.notify(m.view.Poll(m.now))
+	for _, id := range m.requestIDs() {
+		if request := m.requests[id]; request.attemptInFlight && !request.hasFirstToken && m.now >= request.Deadline {
+			m.endAttempt(request, control.TimedOut)
+		}
+	}
+	m.handle(control.Timer{})
+	m.checkRetention()
+	m.calls = append(m.calls, m.releases.Poll(m.now)...)
+}
+
+// completeCalls completes all calls in flight.
+func (m *stateMachine) completeCalls() {
+	for _, call := range m.calls {
+		m.releases.Complete(m.now, call, true)
+	}
+	m.calls = nil
+}
+
+// arrive adds a request of a class, whose client leaves after a time.
+func (m *stateMachine) arrive(class int, timeout time.Duration) {
+	m.lastID++
+	request := &modelRequest{class: &m.settings.Classes[class], Request: control.Request{
+		ID: m.lastID, Class: class, Deadline: m.now.Add(timeout), PromptTokens: 1000, MaxTokens: 100,
+		SessionID:  uint64(rapid.IntRange(0, 5).Draw(m.t, "session")),
+		PrefixHash: uint64(rapid.IntRange(0, 3).Draw(m.t, "prefix")),
+	}}
+	m.requests[request.ID] = request
+	m.handle(request.Request)
+}
+
+// draw draws one of the requests that match. It skips the step if there is none.
+func (m *stateMachine) draw(matches func(*modelRequest) bool) *modelRequest {
+	ids := slices.DeleteFunc(m.requestIDs(), func(id control.RequestID) bool { return !matches(m.requests[id]) })
+	if len(ids) == 0 {
+		m.t.Skip("none")
+	}
+	return m.requests[rapid.SampledFrom(ids).Draw(m.t, "request")]
+}
+
+// requestIDs returns the ids of all requests, in order.
+func (m *stateMachine) requestIDs() []control.RequestID { return slices.Sorted(maps.Keys(m.requests)) }
+
+// role returns the role of a listed engine.
+func (m *stateMachine) role(id control.EndpointID) control.Role {
+	return m.settings.Engines.Kinds[m.listed[id].Kind].Role
+}
+
+// drawListing draws an engine and returns its entry in the endpoint list.
+func (m *stateMachine) drawListing() membership.Endpoint {
+	return m.listing(control.EndpointID(rapid.IntRange(1, listedEngines).Draw(m.t, "endpoint")))
+}
+
+// listing returns an engine's entry in the endpoint list. An engine that is not listed yet is ready.
+func (m *stateMachine) listing(id control.EndpointID) membership.Endpoint {
+	state, startedAt := control.Ready, control.Time(0)
+	if listed, ok := m.listed[id]; ok {
+		state, startedAt = listed.State, listed.StartedAt
+	}
+	return membership.Endpoint{Addr: engineAddr, Endpoint: control.Endpoint{
+		ID: id, Kind: int(id) % 3, Cell: uint16(id % 2), Zone: uint16(id % 4 / 2), Weight: 1, StartedAt: startedAt, State: state,
+	}}
+}
+
+// engineAddr is the address of every engine. Nothing connects to it.
+var engineAddr = netip.MustParseAddrPort("127.0.0.1:80")
+
+// listedEndpoints returns the engines that are listed and not gone.
+func (m *stateMachine) listedEndpoints() (list []membership.Endpoint) {
+	for _, id := range slices.Sorted(maps.Keys(m.listed)) {
+		if m.listed[id].State != control.Gone {
+			list = append(list, m.listed[id])
+		}
+	}
+	return list
+}
+
+// changeEndpoint changes the state of an engine, which may have started anew, and lists it.
+func (m *stateMachine) changeEndpoint() {
+	entry := m.drawListing()
+	entry.State = control.EndpointState(rapid.IntRange(0, 2).Draw(m.t, "state"))
+	if entry.State == control.Ready && rapid.Bool().Draw(m.t, "started anew") {
+		entry.StartedAt = m.now
+	}
+	m.listed[entry.ID] = entry
+	m.revision++
+	m.apply(membership.Update{Revision: m.revision, Endpoints: []membership.Endpoint{entry}})
+}
+
+// replayOldUpdate sends a message with a revision that the router has seen.
+func (m *stateMachine) replayOldUpdate() {
+	age := uint64(rapid.IntRange(1, 3).Draw(m.t, "revisions back"))
+	m.apply(membership.Update{
+		Revision:  m.revision - min(m.revision, age),
+		Complete:  rapid.Bool().Draw(m.t, "complete"),
+		Endpoints: []membership.Endpoint{m.drawListing()},
+	})
+}
+
+// TestNoAttemptKeepsKVStatePastTheLimit plays requests whose attempts end at random times in random ways. Many
+// never reach an engine, which the router can't see. It must ask for the release of each unused KV state
+// within the retention limit.
+func TestNoAttemptKeepsKVStatePastTheLimit(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newStateMachine(t)
+		for range rapid.IntRange(1, 4).Draw(t, "requests") {
+			m.arrive(rapid.IntRange(0, 4).Draw(t, "class"), 3*time.Second)
+		}
+		for range 60 {
+			m.step(time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * time.Millisecond)
+			for _, id := range m.requestIDs() {
+				request := m.requests[id]
+				isPrefill := request.attemptInFlight && m.role(request.endpoint) == control.RolePrefill
+				isDue := rapid.IntRange(0, 9).Draw(t, "due") == 0 || isPrefill && rapid.Bool().Draw(t, "prefill is due")
+				if !request.attemptInFlight || !isDue {
+					continue
+				}
+				result := control.PrefillDone
+				if !isPrefill || rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
+					result = drawResult(t)
+				}
+				m.endAttempt(request, result)
+			}
+		}
+	})
+}
+
+// TestRandomEventsKeepTheRules plays random events. Rapid shrinks events that break a rule to a short script.
+// At the end every request must have its one answer and every table must be empty.
+func TestRandomEventsKeepTheRules(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newStateMachine(t)
+		t.Repeat(map[string]func(*rapid.T){
+			"change endpoint": func(*rapid.T) { m.changeEndpoint() },
+			"client leaves": func(*rapid.T) {
+				request := m.draw(func(request *modelRequest) bool { return !request.answered && !request.clientGone })
+				request.clientGone = true
+				m.handle(control.ClientGone{ID: request.ID})
+			},
+			"complete a release": func(t *rapid.T) {
+				if len(m.calls) == 0 {
+					t.Skip("none")
+				}
+				call := m.calls[0]
+				m.calls = m.calls[1:]
+				m.releases.Complete(m.now, call, rapid.Bool().Draw(t, "ok"))
+			},
+			"old update": func(*rapid.T) { m.replayOldUpdate() },
+			"outcome": func(t *rapid.T) {
+				request := m.draw(func(request *modelRequest) bool { return request.attemptInFlight })
+				result := drawResult(t)
+				if request.hasFirstToken && result != control.OK {
+					result = control.Reset
+				}
+				m.endAttempt(request, result)
+			},
+			"request": func(t *rapid.T) {
+				class := rapid.IntRange(0, 4).Draw(t, "class")
+				m.arrive(class, time.Duration(rapid.IntRange(20, 3000).Draw(t, "timeout ms"))*time.Millisecond)
+			},
+			"start of an answer": func(*rapid.T) {
+				m.startAnswer(m.draw(func(request *modelRequest) bool {
+					waits := request.attemptInFlight && !request.hasFirstToken && !request.clientGone
+					return waits && request.arrived && m.role(request.endpoint) != control.RolePrefill
+				}))
+			},
+			"time": func(t *rapid.T) {
+				m.advance(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
+			},
+			"whole list": func(*rapid.T) {
+				m.revision++
+				m.apply(membership.Update{Revision: m.revision, Complete: true, Endpoints: m.listedEndpoints()})
+			},
+			"": func(t *rapid.T) {
+				if n := len(m.calls); n > maxCalls {
+					t.Fatalf("%d calls in flight", n)
+				}
+			},
+		})
+		m.checkDrained()
+	})
+}
+
+// checkDrained ends all that is in flight and checks that every request has its answer and that the modules
+// remember none.
+func (m *stateMachine) checkDrained() {
+	m.endAllAttempts()
+	for range 80 {
+		m.advance(tick)
+		m.endAllAttempts()
+	}
+	for _, request := range m.requests {
+		if !request.answered && !request.clientGone {
+			m.t.Fatalf("request %d has no answer", request.ID)
+		}
+	}
+	only := membership.Endpoint{Addr: engineAddr, Endpoint: control.Endpoint{ID: 9, State: control.Ready, Weight: 1}}
+	m.apply(membership.Update{Revision: m.revision + 1, Complete: true, Endpoints: []membership.Endpoint{only}})
+	for range 70 {
+		m.advance(time.Second)
+		m.completeCalls()
+	}
+	if n := m.router.EntryCount(); n != 0 || m.releases.Len() != 0 {
+		m.t.Fatalf("%d entries remain, %d KV states to release", n, m.releases.Len())
+	}
+}
