--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -6,96 +6,103 @@
 )
 
 func TestColocatedEngineTakesNoMoreThanItsShare(t *testing.T) {
+	const colocated = 4
 	id := RequestID(0)
 	for prefix := uint64(1); prefix < 40; prefix++ {
-		s := startRouter(t, testSettings(RolePrefill, RoleDecode, RoleColocated), 0, 1, 1, 2)
-		colocated := 0
+		h := startRouter(t, testSettings(), RolePrefill, RoleDecode, RoleDecode, RoleColocated)
+		taken := 0
 		for range 40 {
 			id++
-			request := s.request(id, 0)
+			request := h.request(id, classIdempotent)
 			request.PrefixHash = prefix
-			forward := s.onlyForward(s.handle(10*ms, request))
-			if forward.Endpoint == 4 {
-				colocated++
+			forward := h.arrive(10*ms, request)
+			if forward.Endpoint == colocated {
+				taken++
 				continue
 			}
-			s.finishPrefill(forward, 0)
+			h.finishPrefill(forward, 0)
 		}
-		if colocated > 20 {
-			t.Fatalf("prefix %d: %d of 40 answers at the one colocated engine beside two decode engines", prefix, colocated)
+		if taken > 20 {
+			t.Fatalf("prefix %d: %d of 40 answers at the one colocated engine beside two decode engines", prefix, taken)
 		}
 	}
 }
 
 func TestPrefillsInFlightCountAsLoad(t *testing.T) {
-	settings := testSettings(RolePrefill, RoleDecode)
-	settings.Engines.Kinds[1].MemoryTokens = 2300 // capacity for two requests
-	s := startRouter(t, settings, 0, 1)
-	s.onlyForward(s.handle(0, s.request(1, 0)))
-	s.onlyForward(s.handle(10*ms, s.request(2, 0)))
-	if actions := s.handle(10*ms, s.request(3, 0)); len(actions) != 0 {
+	settings := testSettings()
+	settings.Engines.Kinds[RoleDecode].MemoryTokens = 2300 // capacity for two requests
+	h := startRouter(t, settings, RolePrefill, RoleDecode)
+	h.arrive(0, h.request(1, classIdempotent))
+	h.arrive(10*ms, h.request(2, classIdempotent))
+
+	if actions := h.handle(10*ms, h.request(3, classIdempotent)); len(actions) != 0 {
 		t.Fatalf("released beyond the capacity of the decode engines: %v", actions)
 	}
 }
 
 func TestLateLoadReportDoesNotHideOwnAttempts(t *testing.T) {
-	settings := testSettings(RolePrefill, RoleDecode)
-	settings.Engines.Kinds[1].MemoryTokens = 2400
+	settings := testSettings()
+	settings.Engines.Kinds[RoleDecode].MemoryTokens = 2400 // capacity for two answers
 	settings.Engines.ReportFields = []ReportField{ReportMemory}
-	s := startRouter(t, settings, 0, 1)
-	for id := RequestID(1); id < 3; id++ { // two answers fill the decode engine
-		decode := s.onlyForward(s.finishPrefill(s.onlyForward(s.handle(0, s.request(id, 0))), 0))
-		s.handle(0, AnswerStarted{ID: id, Endpoint: decode.Endpoint, Attempt: 1})
+	h := startRouter(t, settings, RolePrefill, RoleDecode)
+	for id := RequestID(1); id < 3; id++ {
+		decode := h.arriveAndPrefill(0, h.request(id, classIdempotent))
+		h.startAnswer(0, decode)
 	}
-	for range 5 { // reports from before that still call it empty
-		s.handle(10*ms, HealthCheckResult{Endpoint: 2, Report: []float64{0}})
+
+	for range 5 { // reports from before, of an empty engine
+		h.handle(10*ms, HealthCheckResult{Endpoint: 2, Report: []float64{0}})
 	}
-	if actions := s.handle(10*ms, s.request(9, 0)); len(actions) != 0 {
-		t.Fatalf("released on the word of an old report: %v", actions)
+	if actions := h.handle(10*ms, h.request(9, classIdempotent)); len(actions) != 0 {
+		t.Fatalf("released by an old report: %v", actions)
 	}
 }
 
 func TestCapacityIsSharedAmongManyRouters(t *testing.T) {
+	const fitting = 900
 	for _, routers := range []int{3, 300} {
-		settings := testSettings(RolePrefill, RoleDecode)
-		settings.Engines.Kinds[1].MemoryTokens = 20600 // 20 requests a decode engine, 18 under the limit
-		sent := 0
-		for _, s := range startRouters(t, routers, settings, testEndpoints(10, 50)) {
-			for i := range 4 * 900 / routers { // four times what fits
-				sent += len(actionsOf[Forward](s.handle(0, s.request(RequestID(i+1), 0))))
+		settings := testSettings()
+		settings.Engines.Kinds[RoleDecode].MemoryTokens = 20600 // 20 requests a decode engine, 18 under the limit
+		released := 0
+		for _, h := range startRouters(t, routers, settings, testEndpoints(10, 50)) {
+			for i := range 4 * fitting / routers {
+				released += count[Forward](h.handle(0, h.request(RequestID(i+1), classIdempotent)))
 			}
 		}
-		if sent < 800 || sent > 1800 { // slack for chance is the larger the smaller a share is
-			t.Errorf("%d routers released %d where 900 fit", routers, sent)
+		if released < 800 || released > 1800 { // slack for chance is the larger the smaller a share is
+			t.Errorf("%d routers released %d where %d fit", routers, released, fitting)
 		}
 	}
 }
 
 func TestColocatedEnginesGetLessWhileTheirAnswersAreSlow(t *testing.T) {
-	share := func(took time.Duration) (colocated int) {
-		s := startRouter(t, testSettings(RolePrefill, RoleDecode, RoleColocated))
-		s.handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(4, 4, 4)})
+	share := func(colocatedTime time.Duration) (answers int) {
+		h := startRouter(t, testSettings())
+		h.handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(4, 4, 4)})
 		for id := RequestID(1); id < 400; id++ {
-			forward, attempt, d := s.onlyForward(s.handle(10*ms, s.request(id, 0), Timer{})), AttemptNumber(0), took
+			forward := h.onlyForward(h.handle(10*ms, h.request(id, classIdempotent), Timer{}))
+			attempt, elapsed := AttemptNumber(0), colocatedTime
 			if forward.Endpoint <= 4 {
-				forward, attempt, d = s.onlyForward(s.finishPrefill(forward, 0)), 1, 100*ms
+				forward, attempt, elapsed = h.onlyForward(h.finishPrefill(forward, 0)), 1, 100*ms
 			} else if id > 200 {
-				colocated++
+				answers++
 			}
-			s.handle(20*ms, Outcome{ID: id, Attempt: attempt, Endpoint: forward.Endpoint, Result: OK, Elapsed: d, Final: true})
+			h.handle(20*ms, Outcome{ID: id, Attempt: attempt, Endpoint: forward.Endpoint, Result: OK, Elapsed: elapsed, Final: true})
 		}
-		return colocated
+		return answers
 	}
 	if usual, slow := share(100*ms), share(290*ms); slow == 0 || slow > usual*2/3 {
 		t.Fatalf("%d answers at colocated engines as fast as decode engines, %d at slow ones", usual, slow)
 	}
 }
 
-// TestCellListedInTwoZonesIsHarmless: a list that has one cell in two zones harms nobody.
 func TestCellListedInTwoZonesIsHarmless(t *testing.T) {
-	s := startRouter(t, testSettings(RolePrefill, RoleDecode))
-	s.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, State: Ready, Weight: 1}, {ID: 2, State: Ready, Kind: 1, Zone: 1, Weight: 1}}})
-	if decode := s.onlyForward(s.finishPrefill(s.onlyForward(s.handle(0, s.request(1, 0))), 0)); decode.Endpoint != 2 {
+	h := startRouter(t, testSettings())
+	h.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+		{ID: 1, State: Ready, Kind: int(RolePrefill), Weight: 1},
+		{ID: 2, State: Ready, Kind: int(RoleDecode), Weight: 1, Zone: 1},
+	}})
+	if decode := h.arriveAndPrefill(0, h.request(1, classIdempotent)); decode.Endpoint != 2 {
 		t.Errorf("decoded at %d", decode.Endpoint)
 	}
 }
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -7,89 +7,104 @@
 
 func TestDrainingEndpointGetsNoRequest(t *testing.T) {
 	for _, state := range []EndpointState{Draining, Gone} {
-		s := startRouter(t, testSettings(RolePrefill, RoleDecode), 0, 0, 1)
-		s.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: state, Kind: 0, Weight: 1}}})
+		h := startRouter(t, testSettings(), RolePrefill, RolePrefill, RoleDecode)
+		h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: state, Kind: int(RolePrefill), Weight: 1}}})
 		for id := range RequestID(8) {
-			if forward := s.onlyForward(s.handle(time.Second, s.request(id+1, 0))); forward.Endpoint != 2 {
-				t.Fatalf("sent to engine %d in state %v", forward.Endpoint, state)
+			forward := h.arrive(time.Second, h.request(id+1, classIdempotent))
+			if forward.Endpoint != 2 {
+				t.Fatalf("forwarded to endpoint %d in state %v", forward.Endpoint, state)
 			}
-			s.finishPrefill(Forward{ID: id + 1, Endpoint: 2}, 0)
+			h.finishPrefill(forward, 0)
 		}
 	}
 }
 
 func TestEndpointMissingFromFullListGetsNoRequest(t *testing.T) {
-	s := startRouter(t, testSettings(RolePrefill, RoleDecode), 0, 1)
-	s.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Kind: 1}}, Full: true})
-	if actions := s.handle(0, s.request(1, 0)); len(actionsOf[Forward](actions)) != 0 {
+	h := startRouter(t, testSettings(), RolePrefill, RoleDecode)
+	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Kind: int(RoleDecode)}}, Full: true})
+	if actions := h.handle(0, h.request(1, classIdempotent)); count[Forward](actions) != 0 {
 		t.Fatalf("got %v", actions)
 	}
 }
 
 func TestGoneEndpointsLeaveNoEntry(t *testing.T) {
-	s := startRouter(t, testSettings(RolePrefill, RoleDecode), 0, 0, 1)
-	prefill := s.onlyForward(s.handle(0, s.request(1, 0)))
-	s.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: 9, State: Ready, Weight: 1}}})
-	if len(s.router.endpoints.all) != 2 || len(s.router.endpoints.byID) != 2 {
-		t.Fatalf("%d engines known: one listed, one with an attempt in flight", len(s.router.endpoints.all))
+	// Given an endpoint that is gone, with an attempt in flight.
+	h := startRouter(t, testSettings(), RolePrefill, RolePrefill, RoleDecode)
+	prefill := h.arrive(0, h.request(1, classIdempotent))
+	h.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: 9, State: Ready, Weight: 1}}})
+	if len(h.router.endpoints.all) != 2 || len(h.router.endpoints.byID) != 2 {
+		t.Fatalf("%d endpoints known: one listed, one with an attempt in flight", len(h.router.endpoints.all))
 	}
-	s.handle(0, HealthCheckResult{Endpoint: 777, Result: TimedOut})
-	again := s.onlyForward(s.handle(0, Outcome{ID: 1, Endpoint: prefill.Endpoint, Result: Reset}))
-	s.handle(0, ClientGone{ID: 1})
-	s.handle(0, Outcome{ID: 1, Attempt: 1, Endpoint: again.Endpoint, Result: Cancelled})
-	s.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 9, State: Ready, Weight: 1}}})
-	if len(s.router.endpoints.all) != 1 || len(s.router.endpoints.byID) != 1 {
-		t.Fatalf("%d engines known after all but one left", len(s.router.endpoints.all))
+
+	// When its attempt ends and the retry too, after the client left.
+	h.handle(0, HealthCheckResult{Endpoint: 777, Result: TimedOut})
+	retry := h.onlyForward(h.end(0, prefill, 0, Reset))
+	h.handle(0, ClientGone{ID: 1})
+	h.end(0, retry, 1, Cancelled)
+	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 9, State: Ready, Weight: 1}}})
+
+	// Then only the listed endpoint is known, and in the end no request or session.
+	if len(h.router.endpoints.all) != 1 || len(h.router.endpoints.byID) != 1 {
+		t.Fatalf("%d endpoints known after all but one left", len(h.router.endpoints.all))
 	}
-	if actions := s.handle(0, Outcome{ID: 99, Endpoint: 777, Result: PrefillDone}); len(actionsOf[ReleaseKV](actions)) != 1 {
+	if actions := h.end(0, Forward{ID: 99, Endpoint: 777}, 0, PrefillDone); count[ReleaseKV](actions) != 1 {
 		t.Fatalf("a KV state of an unknown request stays: %v", actions)
 	}
-	s.ticks(90 * time.Second)
-	if len(s.router.requests) != 0 || len(s.router.sessions) != 0 || len(s.router.prefixes.requests) != 0 {
-		t.Fatalf("left behind: %d requests, %d sessions", len(s.router.requests), len(s.router.sessions))
+	h.ticks(90 * time.Second)
+	if len(h.router.requests) != 0 || len(h.router.sessions) != 0 || len(h.router.prefixes.requests) != 0 {
+		t.Fatalf("left behind: %d requests, %d sessions", len(h.router.requests), len(h.router.sessions))
 	}
 }
 
 // TestRestartedEndpointIsNotEjectedForOldLatency: an engine that was ejected as slow and has restarted starts
-// over: after a quick prefill, three that waited behind others' don't eject it again.
+// over. After a quick prefill, three that waited behind others' don't eject it again.
 func TestRestartedEndpointIsNotEjectedForOldLatency(t *testing.T) {
-	settings := testSettings(RolePrefill, RoleDecode)
-	settings.Classes[0].TTFTObjective = 10 * time.Second // nothing is rejected for its objective
-	settings.SlowStart.Duration = 0                      // the restarted engine takes its share at once
-	s := startRouter(t, settings, 0, 0, 0, 1)
-	lastID := RequestID(0)
-	serveOnFirst := func(took time.Duration) { // and on the others in 20 ms, until the first has had one
-		for range 100 {
-			lastID++
-			forward := s.onlyForward(s.handle(10*ms, s.request(lastID, 0)))
-			elapsed := 20 * ms
-			if forward.Endpoint == 1 {
-				elapsed = took
-			}
-			s.handle(elapsed, Outcome{ID: lastID, Endpoint: forward.Endpoint, Result: PrefillDone, Elapsed: elapsed})
-			s.handle(0, Outcome{ID: lastID, Attempt: 1, Endpoint: 4, Result: OK, Elapsed: 10 * ms, Final: true})
-			if forward.Endpoint == 1 {
-				return
-			}
-		}
-		t.Fatal("no prefill of 100 at the first engine")
-	}
-	first := s.router.endpoints.byID[1]
-	serveOnFirst(20 * ms)
+	// Given an engine that was ejected as slow.
+	settings := testSettings()
+	settings.Classes[classIdempotent].TTFTObjective = 10 * time.Second // nothing is rejected for its objective
+	settings.SlowStart.Duration = 0                                    // the restarted engine takes its share at once
+	h := startRouter(t, settings, RolePrefill, RolePrefill, RolePrefill, RoleDecode)
+	first := h.router.endpoints.byID[1]
+	h.serveOnFirst(20 * ms)
 	for range 10 { // the later ones on probation
-		serveOnFirst(500 * ms)
+		h.serveOnFirst(500 * ms)
 	}
 	if !first.health.ejected() {
 		t.Fatal("a slow engine is not ejected")
 	}
-	s.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Ready, Kind: 0, StartedAt: s.now, Weight: 1}}})
+
+	// When it restarts.
+	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{
+		{ID: 1, State: Ready, Kind: int(RolePrefill), StartedAt: h.now, Weight: 1},
+	}})
+
+	// Then it is healthy, also after some waits.
 	if first.health.ejected() {
 		t.Fatal("ejected when it has just restarted")
 	}
-	for i, took := range []time.Duration{20 * ms, 500 * ms, 500 * ms, 500 * ms} {
-		serveOnFirst(took)
+	for i, elapsed := range []time.Duration{20 * ms, 500 * ms, 500 * ms, 500 * ms} {
+		h.serveOnFirst(elapsed)
 		if first.health.ejected() {
-			t.Fatalf("ejected by prefill %d after the restart, of %v", i+1, took)
+			t.Fatalf("ejected by prefill %d after the restart, of %v", i+1, elapsed)
+		}
+	}
+}
+
+// serveOnFirst serves requests until endpoint 1 had a prefill. That one takes a time, the others take 20 ms.
+// Endpoint 4 decodes.
+func (h *harness) serveOnFirst(elapsed time.Duration) {
+	h.t.Helper()
+	for range 100 {
+		forward := h.arrive(10*ms, h.request(RequestID(h.router.lastSequence+1), classIdempotent))
+		if forward.Endpoint == 1 {
+			h.end(elapsed, forward, 0, PrefillDone)
+		} else {
+			h.finishPrefill(forward, 0)
+		}
+		h.handle(0, Outcome{ID: forward.ID, Attempt: 1, Endpoint: 4, Result: OK, Elapsed: 10 * ms, Final: true})
+		if forward.Endpoint == 1 {
+			return
 		}
 	}
+	h.t.Fatal("no prefill of 100 at the first engine")
 }
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -5,29 +5,35 @@
 	"time"
 )
 
-// script drives a Router through its public interface on a clock of its own and
-// keeps what came back.
-type script struct {
+// harness drives a Router through its public interface, on a clock of its own. It keeps all actions.
+type harness struct {
 	t       *testing.T
 	router  *Router
 	now     Time
 	actions []Action
 }
 
-// ms is short for the durations of the scripts.
+// ms makes durations short to write.
 const ms = time.Millisecond
 
-// testSettings has engine kinds of these roles, and classes that are idempotent, not idempotent, and idempotent
-// with a key.
-func testSettings(roles ...Role) Settings {
-	var kinds []EngineKind
-	for _, role := range roles {
-		kinds = append(kinds, EngineKind{Role: role})
-	}
+// The classes of testSettings.
+const (
+	classIdempotent = iota
+	classNotIdempotent
+	classWithKey // deduplicated within a cell for 1 s
+)
+
+// testSettings has a kind of engine for each role, with the number of the role, and a class for each kind of
+// idempotency.
+func testSettings() Settings {
 	return Settings{
 		Identity: RouterIdentity{Seed: 1, Routers: 1},
-		Engines:  EngineSettings{Kinds: kinds},
-		Caller:   Capabilities{CanCancel: true},
+		Engines: EngineSettings{Kinds: []EngineKind{
+			RolePrefill:   {Role: RolePrefill},
+			RoleDecode:    {Role: RoleDecode},
+			RoleColocated: {Role: RoleColocated},
+		}},
+		Caller: Capabilities{CanCancel: true},
 		Limits: Limits{
 			MaxAttempts:      5,
 			MaxRetryAfter:    time.Second,
@@ -42,115 +48,157 @@
 			OverloadDuration: time.Second,
 		},
 		Classes: []Class{
-			{TTFTObjective: 800 * ms, Deadline: 4 * time.Second, PriorityWeight: 1},
-			{TTFTObjective: 800 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: NotIdempotent},
-			{TTFTObjective: 800 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupScope: DedupScopeCell, DedupWindow: time.Second},
+			classIdempotent:    testClass(Idempotent),
+			classNotIdempotent: testClass(NotIdempotent),
+			classWithKey:       testClass(IdempotentWithKey),
 		},
 	}
 }
 
-// startRouter gives a router engines 1, 2, ... of the kinds named, kind i having role i.
-func startRouter(t *testing.T, settings Settings, kinds ...int) *script {
-	s := &script{t: t, router: New(settings, 1e6), now: 1e6}
+// testClass is a class with an objective that tests rarely miss.
+func testClass(idempotency Idempotency) Class {
+	class := Class{TTFTObjective: 800 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: idempotency}
+	if idempotency == IdempotentWithKey {
+		class.DedupScope, class.DedupWindow = DedupScopeCell, time.Second
+	}
+	return class
+}
+
+// startRouter starts a router whose engines 1, 2, ... have these roles.
+func startRouter(t *testing.T, settings Settings, roles ...Role) *harness {
+	t.Helper()
+	h := &harness{t: t, router: New(settings, 1e6), now: 1e6}
 	var list []Endpoint
-	for i, kind := range kinds {
-		list = append(list, Endpoint{ID: EndpointID(i + 1), State: Ready, Kind: kind, Weight: 1})
+	for i, role := range roles {
+		list = append(list, Endpoint{ID: EndpointID(i + 1), State: Ready, Kind: int(role), Weight: 1})
 	}
-	s.handle(0, EndpointUpdate{Endpoints: list, Full: true})
-	return s
+	h.handle(0, EndpointUpdate{Endpoints: list, Full: true})
+	return h
 }
 
-// handle hands over events after a while and returns the actions.
-func (s *script) handle(after time.Duration, events ...Event) []Action {
-	s.now = s.now.Add(after)
-	actions := s.router.Handle(s.now, events)
-	s.actions = append(s.actions, actions...)
+// handle passes events after a while and returns the actions.
+func (h *harness) handle(after time.Duration, events ...Event) []Action {
+	h.now = h.now.Add(after)
+	actions := h.router.Handle(h.now, events)
+	h.actions = append(h.actions, actions...)
 	return actions
 }
 
-// ticks lets time pass tick by tick and returns all that was done meanwhile.
-func (s *script) ticks(span time.Duration) (actions []Action) {
-	for ; span > 0; span -= 50 * ms {
-		actions = append(actions, s.handle(50*ms, Timer{})...)
+// ticks lets time pass tick by tick and returns all actions meanwhile.
+func (h *harness) ticks(duration time.Duration) (actions []Action) {
+	for ; duration > 0; duration -= tickInterval {
+		actions = append(actions, h.handle(tickInterval, Timer{})...)
 	}
 	return actions
 }
 
-// request is a request of a session of its own.
-func (s *script) request(id RequestID, class int) Request {
+// request returns a request of a session of its own.
+func (h *harness) request(id RequestID, class int) Request {
 	return Request{
 		ID: id, Class: class, SessionID: uint64(id), PromptTokens: 1000, MaxTokens: 100,
-		Deadline: s.now.Add(4 * time.Second),
+		Deadline: h.now.Add(4 * time.Second),
 	}
 }
 
-// actionsOf returns the actions of one type.
-func actionsOf[T Action](actions []Action) (list []T) {
-	for _, a := range actions {
-		if a, ok := a.(T); ok {
-			list = append(list, a)
-		}
-	}
-	return list
+// arrive passes a request after a while and returns its first attempt, which must follow at once.
+func (h *harness) arrive(after time.Duration, request Request) Forward {
+	h.t.Helper()
+	return h.onlyForward(h.handle(after, request))
+}
+
+// arriveAndPrefill passes a request, completes its prefill and returns its decode attempt.
+func (h *harness) arriveAndPrefill(after time.Duration, request Request) Forward {
+	h.t.Helper()
+	return h.onlyForward(h.finishPrefill(h.arrive(after, request), 0))
+}
+
+// finishPrefill ends a prefill well after 20 ms.
+func (h *harness) finishPrefill(forward Forward, attempt AttemptNumber) []Action {
+	return h.end(20*ms, forward, attempt, PrefillDone)
+}
+
+// startAnswer starts the answer of a decode attempt, the second of its request, after a while.
+func (h *harness) startAnswer(after time.Duration, decode Forward) []Action {
+	return h.handle(after, AnswerStarted{ID: decode.ID, Endpoint: decode.Endpoint, Attempt: 1, Elapsed: after})
+}
+
+// answer ends an attempt with a whole answer after a while.
+func (h *harness) answer(after time.Duration, forward Forward, attempt AttemptNumber) []Action {
+	return h.handle(after, Outcome{
+		ID: forward.ID, Attempt: attempt, Endpoint: forward.Endpoint, Result: OK, Elapsed: after, Final: true,
+	})
+}
+
+// end ends an attempt, which did not end its request, after a while.
+func (h *harness) end(after time.Duration, forward Forward, attempt AttemptNumber, result Result) []Action {
+	return h.handle(after, Outcome{
+		ID: forward.ID, Attempt: attempt, Endpoint: forward.Endpoint, Result: result, Elapsed: after,
+	})
 }
 
 // onlyForward returns the one Forward among the actions.
-func (s *script) onlyForward(actions []Action) Forward {
-	s.t.Helper()
+func (h *harness) onlyForward(actions []Action) Forward {
+	h.t.Helper()
 	forwards := actionsOf[Forward](actions)
 	if len(forwards) != 1 {
-		s.t.Fatalf("want one Forward, got %v", actions)
+		h.t.Fatalf("want one Forward, got %v", actions)
 	}
 	return forwards[0]
 }
 
-// finishPrefill ends a prefill well after 20 ms.
-func (s *script) finishPrefill(forward Forward, attempt AttemptNumber) []Action {
-	return s.handle(20*ms, Outcome{ID: forward.ID, Attempt: attempt, Endpoint: forward.Endpoint, Result: PrefillDone, Elapsed: 20 * ms})
+// actionsOf returns the actions of one type.
+func actionsOf[T Action](actions []Action) (list []T) {
+	for _, action := range actions {
+		if action, ok := action.(T); ok {
+			list = append(list, action)
+		}
+	}
+	return list
 }
 
-// startRouters starts so many routers of one service, which share nothing but the list.
-func startRouters(t *testing.T, routers int, settings Settings, list []Endpoint) (all []*script) {
+// count returns the number of actions of one type.
+func count[T Action](actions []Action) int { return len(actionsOf[T](actions)) }
+
+// startRouters starts the routers of one service, which share nothing but the endpoint list.
+func startRouters(t *testing.T, routers int, settings Settings, list []Endpoint) (all []*harness) {
+	t.Helper()
 	for i := range routers {
 		settings.Identity.Seed, settings.Identity.Rank, settings.Identity.Routers = uint64(i+1), i, routers
-		s := startRouter(t, settings)
-		s.handle(0, EndpointUpdate{Endpoints: list, Full: true})
-		all = append(all, s)
+		h := startRouter(t, settings)
+		h.handle(0, EndpointUpdate{Endpoints: list, Full: true})
+		all = append(all, h)
 	}
 	return all
 }
 
-// testEndpoints lists so many of each kind, ids from 1 in order of kind; each two share a cell.
+// testEndpoints lists a number of engines of each role, with ids from 1 in order of role, over eight cells.
 func testEndpoints(counts ...int) (list []Endpoint) {
-	for kind, n := range counts {
+	for role, n := range counts {
 		for range n {
 			id := EndpointID(len(list) + 1)
-			list = append(list, Endpoint{ID: id, State: Ready, Kind: kind, Weight: 1, Cell: uint16(id % 8)})
+			list = append(list, Endpoint{ID: id, State: Ready, Kind: role, Weight: 1, Cell: uint16(id % 8)})
 		}
 	}
 	return list
 }
 
-// playRequests gives each router n requests in turn and answers all of them well. It returns what all routers
-// together sent to each engine.
-func playRequests(all []*script, n int, ask func(s *script, id RequestID) Request) map[EndpointID]int {
+// playRequests passes n requests to each router in turn and completes all of them. It returns how many attempts
+// all routers together forwarded to each engine.
+func playRequests(all []*harness, n int, next func(h *harness, id RequestID) Request) map[EndpointID]int {
 	forwards := map[EndpointID]int{}
 	id := RequestID(1000)
 	for range n {
-		for _, s := range all {
+		for _, h := range all {
 			id++
-			actions := s.handle(time.Second*time.Duration(len(all))/300, ask(s, id), Timer{})
-			for attempt := AttemptNumber(0); len(actionsOf[Forward](actions)) > 0; attempt++ {
+			actions := h.handle(time.Second*time.Duration(len(all))/300, next(h, id), Timer{})
+			for attempt := AttemptNumber(0); count[Forward](actions) > 0; attempt++ {
 				forward := actionsOf[Forward](actions)[0]
 				forwards[forward.Endpoint]++
-				if s.router.endpoints.byID[forward.Endpoint].role == RolePrefill {
-					actions = s.finishPrefill(forward, attempt)
-					continue
+				if h.router.endpoints.byID[forward.Endpoint].role == RolePrefill {
+					actions = h.finishPrefill(forward, attempt)
+				} else {
+					actions = h.answer(20*ms, forward, attempt)
 				}
-				actions = s.handle(20*ms, Outcome{
-					ID: id, Attempt: attempt, Endpoint: forward.Endpoint, Result: OK,
-					Elapsed: 20 * ms, Final: true,
-				})
 			}
 		}
 	}
--- /dev/null
+++ b/control/manyrouters_test.go
@@ -0,0 +1,393 @@
+package control
+
+import (
+	"cmp"
+	"container/heap"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+// timedAction is an action at a time of a virtual clock.
+type timedAction struct {
+	at       Time
+	sequence int
+	act      func()
+}
+
+// timedActions is a heap by time, then by sequence. It implements heap.Interface.
+type timedActions []timedAction
+
+func (h timedActions) Len() int { return len(h) }
+func (h timedActions) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].sequence, h[j].sequence)) < 0
+}
+func (h timedActions) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timedActions) Push(x any) {
+	*h = append(*h, x.(timedAction)) //nolint:forcetypeassert // only simulatedService.after pushes
+}
+
+func (h *timedActions) Pop() any {
+	last := len(*h) - 1
+	first := (*h)[last]
+	*h = (*h)[:last]
+	return first
+}
+
+// simulatedEngine answers requests one after another. It is slower in slow start, and rejects what would wait
+// behind too many.
+type simulatedEngine struct {
+	Endpoint
+	serviceTime time.Duration
+	idleAt      Time
+	arrivals    []Time // of all attempts, rejected ones included
+}
+
+// maxBacklog is the number of service times of requests that wait at an engine.
+const maxBacklog = 40
+
+// simulatedService is many routers and engines on a virtual clock.
+type simulatedService struct {
+	settings     Settings
+	rng          *rand.Rand
+	startedAt    Time
+	now          Time
+	queue        timedActions
+	lastSequence int
+	routers      []*Router
+	starts       []int // of each router
+	engines      map[EndpointID]*simulatedEngine
+	endpoints    []Endpoint
+	lastID       RequestID
+	served       int
+	relativeSize map[RequestID]float64 // work of a request over the usual; 1 if it is missing
+	answered     map[RequestID]bool    // in time
+}
+
+// startService starts a service whose engines have one service time for each role.
+func startService(settings Settings, rng *rand.Rand, endpoints []Endpoint, serviceTime perRole) *simulatedService {
+	s := &simulatedService{
+		settings:     settings,
+		rng:          rng,
+		startedAt:    Time(time.Hour.Microseconds()),
+		now:          Time(time.Hour.Microseconds()),
+		routers:      make([]*Router, settings.Identity.Routers),
+		starts:       make([]int, settings.Identity.Routers),
+		engines:      map[EndpointID]*simulatedEngine{},
+		endpoints:    endpoints,
+		relativeSize: map[RequestID]float64{},
+		answered:     map[RequestID]bool{},
+	}
+	for _, e := range endpoints {
+		role := settings.Engines.Kinds[e.Kind].Role
+		s.engines[e.ID] = &simulatedEngine{Endpoint: e, serviceTime: secondsOf(serviceTime[role])}
+	}
+	for i := range s.routers {
+		s.restart(i)
+	}
+	return s
+}
+
+// secondsOf returns a number of seconds as a duration.
+func secondsOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+
+// after schedules an action.
+func (s *simulatedService) after(delay time.Duration, act func()) {
+	s.lastSequence++
+	heap.Push(&s.queue, timedAction{s.now.Add(delay), s.lastSequence, act})
+}
+
+// run acts until a time after the start.
+func (s *simulatedService) run(duration time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at < s.startedAt.Add(duration) {
+		next := heap.Pop(&s.queue).(timedAction) //nolint:forcetypeassert // Pop returns nothing else
+		s.now = next.at
+		next.act()
+	}
+}
+
+// restart starts router i anew. It forgets all but the endpoint list.
+func (s *simulatedService) restart(i int) {
+	s.starts[i]++
+	settings := s.settings
+	settings.Identity.Rank, settings.Identity.Seed = i, uint64(1000*s.starts[i]+i+1)
+	s.routers[i] = New(settings, s.now)
+	s.handle(i, EndpointUpdate{Endpoints: slices.Clone(s.endpoints), Full: true})
+}
+
+// restartMost restarts seven of ten routers.
+func (s *simulatedService) restartMost() {
+	for i := range s.routers {
+		if i%10 < 7 {
+			s.restart(i)
+		}
+	}
+}
+
+// restartEngines starts the last engines of each role anew, of which there are perRole, and tells all routers.
+func (s *simulatedService) restartEngines(count, perRole int) {
+	var changes []Endpoint
+	for i := range s.endpoints {
+		if e := &s.endpoints[i]; i%perRole >= perRole-count {
+			e.StartedAt = s.now
+			s.engines[e.ID].Endpoint, s.engines[e.ID].idleAt = *e, s.now
+			changes = append(changes, *e)
+		}
+	}
+	for i := range s.routers {
+		s.handle(i, EndpointUpdate{Endpoints: changes})
+	}
+}
+
+// startClients sends router i requests at a rate that may change with the time since the start.
+func (s *simulatedService) startClients(i int, rate func(since time.Duration) float64, next func(id RequestID) Request) {
+	var arrive func()
+	arrive = func() {
+		perSecond := rate(s.now.Sub(s.startedAt))
+		s.lastID++
+		s.handle(i, next(s.lastID))
+		s.after(time.Duration(s.rng.ExpFloat64()/perSecond*float64(time.Second)), arrive)
+	}
+	s.after(time.Duration(s.rng.Float64()*float64(time.Second)), arrive)
+}
+
+// handle gives events to router i and carries out its actions.
+func (s *simulatedService) handle(i int, events ...Event) {
+	start := s.starts[i]
+	later := func(delay time.Duration, event Event) {
+		s.after(delay, func() {
+			if s.starts[i] == start {
+				s.handle(i, event)
+			}
+		})
+	}
+	for _, action := range s.routers[i].Handle(s.now, events) {
+		switch action := action.(type) {
+		case SetTimer:
+			later(action.After, Timer{Token: action.Token})
+		case HealthCheck:
+			later(ms, HealthCheckResult{Endpoint: action.Endpoint})
+		case Forward:
+			outcome := s.serve(action)
+			later(outcome.Elapsed, outcome)
+		}
+	}
+}
+
+// serve returns the outcome of an attempt.
+func (s *simulatedService) serve(action Forward) Outcome {
+	e := s.engines[action.Endpoint]
+	e.arrivals = append(e.arrivals, s.now)
+	service := time.Duration(float64(e.serviceTime) * cmp.Or(s.relativeSize[action.ID], 1))
+	if s.now.Sub(e.StartedAt) < s.settings.SlowStart.Duration && e.StartedAt != 0 {
+		service = time.Duration(float64(service) / s.settings.SlowStart.InitialShare)
+	}
+	outcome := Outcome{ID: action.ID, Endpoint: action.Endpoint}
+	if e.idleAt.Sub(s.now) > maxBacklog*service {
+		outcome.Result, outcome.Elapsed = Rejected, ms
+		return outcome
+	}
+	e.idleAt = max(e.idleAt, s.now).Add(service)
+	outcome.Elapsed = e.idleAt.Sub(s.now)
+	switch {
+	case outcome.Elapsed > action.Timeout:
+		outcome.Result, outcome.Elapsed = TimedOut, action.Timeout
+	case s.settings.Engines.Kinds[e.Kind].Role == RolePrefill:
+		outcome.Result = PrefillDone
+	default:
+		outcome.Final = true
+		s.served++
+		s.answered[action.ID] = true
+	}
+	return outcome
+}
+
+// mostWithin returns the greatest number of arrivals within a time, counted from those at or after since.
+func (e *simulatedEngine) mostWithin(duration time.Duration, since Time) (most int) {
+	from := 0
+	for to := range e.arrivals {
+		for e.arrivals[to].Sub(e.arrivals[from]) > duration {
+			from++
+		}
+		if e.arrivals[from] >= since {
+			most = max(most, to-from+1)
+		}
+	}
+	return most
+}
+
+// TestRoutersTogetherDoNotOverloadEndpointsInSlowStart: what all routers together send an engine that has just
+// started stays within N + 2 root N + 2 requests in the time in which it would be overloaded, N being what the
+// settings allow it. This must hold with many routers, of which some see several times the mean, under a
+// burst, with most engines of a role in slow start, and with routers that start again and forget.
+func TestRoutersTogetherDoNotOverloadEndpointsInSlowStart(t *testing.T) {
+	for _, c := range []struct {
+		routers, engines, restarted int // engines of each role
+		load, burst                 float64
+		routersRestart              bool
+		skew                        float64 // what every tenth router sees, over the mean of the others
+	}{
+		{25, 12, 3, 0.6, 1.5, false, 6},
+		{25, 12, 9, 0.6, 1.5, false, 6},
+		{25, 12, 3, 0.6, 1.5, true, 6},
+		{25, 8, 2, 0.8, 2, false, 6},
+		{25, 12, 11, 0.6, 1.5, true, 6},
+		{20, 6, 6, 0.5, 1.5, true, 1},
+		{300, 40, 10, 0.6, 1.5, true, 6},
+		{300, 40, 30, 0.6, 1.5, true, 6},
+		{5, 10, 4, 0.7, 1.5, true, 3},
+	} {
+		for seed := range uint64(2) {
+			t.Run(fmt.Sprintf("%+v/%d", c, seed), func(t *testing.T) {
+				t.Parallel()
+				// Given a service whose engines each do so many requests a second.
+				settings := testSettings()
+				settings.Identity.Routers, settings.Caller.CanHealthCheck = c.routers, true
+				settings.SlowStart.InitialShare, settings.SlowStart.Duration = 0.35, 10*time.Second
+				settings.SlowStart.OverloadDuration = 3 * time.Second
+				rates := perRole{RolePrefill: 25, RoleDecode: 20}
+				s := startService(settings, rand.New(rand.NewPCG(seed, 7)), testEndpoints(c.engines, c.engines),
+					perRole{RolePrefill: 1 / rates[RolePrefill], RoleDecode: 1 / rates[RoleDecode]})
+				total := c.load * min(rates[RolePrefill], rates[RoleDecode]) * float64(c.engines)
+				s.startSkewedClients(total, c.skew, c.burst)
+
+				// When engines start anew, and perhaps routers soon after.
+				s.after(4*time.Second, func() { s.restartEngines(c.restarted, c.engines) })
+				if c.routersRestart {
+					s.after(5500*ms, s.restartMost)
+				}
+				s.run(14 * time.Second)
+
+				// Then no engine in slow start gets more than its bound.
+				worst := s.worstOverload(rates)
+				t.Logf("most: %.2f of the bound; %d served of %d", worst, s.served, s.lastID)
+				if worst > 1 || s.served == 0 {
+					t.Errorf("an engine in slow start got %.2f of what overloads it; %d served", worst, s.served)
+				}
+			})
+		}
+	}
+}
+
+// startSkewedClients starts clients with a total rate. Every tenth router gets skew times the requests of the
+// others. From 5 s to 9 s the rate is burst times as high.
+func (s *simulatedService) startSkewedClients(total, skew, burst float64) {
+	weights, sum := make([]float64, len(s.routers)), 0.0
+	for i := range weights {
+		if weights[i] = 1; i%10 == 0 {
+			weights[i] = skew
+		}
+		sum += weights[i]
+	}
+	for i := range s.routers {
+		rate := func(since time.Duration) float64 {
+			perSecond := total * weights[i] / sum
+			if since > 5*time.Second && since < 9*time.Second {
+				perSecond *= burst
+			}
+			return perSecond
+		}
+		s.startClients(i, rate, func(id RequestID) Request {
+			return Request{
+				ID: id, SessionID: s.rng.Uint64N(500) + 1, PrefixHash: s.rng.Uint64N(20) + 1,
+				PromptTokens: 1000, PrefixTokens: 300, MaxTokens: 100, Deadline: s.now.Add(4 * time.Second),
+			}
+		})
+	}
+}
+
+// worstOverload returns the most that an engine in slow start got, over its bound. Engines of each role do so
+// many requests a second.
+func (s *simulatedService) worstOverload(rates perRole) (worst float64) {
+	slowStart := s.settings.SlowStart
+	for _, e := range s.endpoints {
+		if e.StartedAt == 0 {
+			continue
+		}
+		rate := rates[s.settings.Engines.Kinds[e.Kind].Role]
+		n := rate * slowStart.InitialShare * slowStart.OverloadMultiple * slowStart.OverloadDuration.Seconds()
+		bound := n + 2*math.Sqrt(n) + 2
+		most := s.engines[e.ID].mostWithin(slowStart.OverloadDuration, e.StartedAt)
+		worst = max(worst, float64(most)/bound)
+	}
+	return worst
+}
+
+// TestLargePromptsAndSessionsAreServedFairly: under light load the tenth of the requests with the longest
+// prompts gets two thirds of its class's share of answers at least, and no session is rejected throughout, by 5
+// to 300 routers.
+func TestLargePromptsAndSessionsAreServedFairly(t *testing.T) {
+	for _, c := range []struct{ routers, engines int }{{5, 6}, {25, 12}, {300, 40}} {
+		for seed := range uint64(2) {
+			t.Run(fmt.Sprintf("%+v/%d", c, seed), func(t *testing.T) {
+				t.Parallel()
+				// Given a service under light load.
+				settings := testSettings()
+				settings.Identity.Routers, settings.Caller.CanHealthCheck = c.routers, true
+				settings.Engines.Kinds[1].MemoryTokens = 60000
+				s := startService(settings, rand.New(rand.NewPCG(seed, 9)), testEndpoints(c.engines, c.engines),
+					perRole{RolePrefill: 0.04, RoleDecode: 0.04})
+				mix := &requestMix{service: s, large: map[RequestID]bool{}, sessions: map[uint64][]RequestID{}}
+				for i := range s.routers {
+					rate := func(time.Duration) float64 { return 0.45 * 25 * float64(c.engines) / float64(c.routers) }
+					s.startClients(i, rate, func(id RequestID) Request { return mix.next(i, id) })
+				}
+
+				// When it has run for a while.
+				s.run(20 * time.Second)
+
+				// Then large requests get their share, and every session some answers.
+				share, ofLarge, shut := mix.shares()
+				t.Logf("answered %.3f, of the largest %.3f, %d of %d sessions not at all", share, ofLarge, shut, len(mix.sessions))
+				if share < 0.9 || ofLarge < share*2/3 || shut > 0 {
+					t.Errorf("answered %.3f, of the largest %.3f, %d of %d sessions not at all", share, ofLarge, shut, len(mix.sessions))
+				}
+			})
+		}
+	}
+}
+
+// requestMix draws requests, of which a tenth is large, and remembers them.
+type requestMix struct {
+	service  *simulatedService
+	large    map[RequestID]bool
+	sessions map[uint64][]RequestID
+}
+
+// next draws a request of one of the twenty sessions of router i.
+func (m *requestMix) next(i int, id RequestID) Request {
+	rng, prompt := m.service.rng, Tokens(1000)
+	if rng.IntN(10) == 0 {
+		prompt, m.large[id] = 6000, true
+		m.service.relativeSize[id] = 3
+	}
+	session := uint64(i*20+rng.IntN(20)) + 1
+	m.sessions[session] = append(m.sessions[session], id)
+	return Request{
+		ID: id, SessionID: session, PrefixHash: rng.Uint64N(20) + 1,
+		PromptTokens: prompt, PrefixTokens: 300, MaxTokens: 100, Deadline: m.service.now.Add(4 * time.Second),
+	}
+}
+
+// shares returns the share of requests that were answered, that of large requests, and the number of sessions
+// with several requests and no answer.
+func (m *requestMix) shares() (answered, ofLarge float64, sessionsWithoutAnswer int) {
+	for id := RequestID(1); id <= m.service.lastID; id++ {
+		if m.service.answered[id] {
+			answered++
+			if m.large[id] {
+				ofLarge++
+			}
+		}
+	}
+	isAnswered := func(id RequestID) bool { return m.service.answered[id] }
+	for _, ids := range m.sessions {
+		if len(ids) >= 4 && !slices.ContainsFunc(ids, isAnswered) {
+			sessionsWithoutAnswer++
+		}
+	}
+	return answered / float64(m.service.lastID), ofLarge / float64(len(m.large)), sessionsWithoutAnswer
+}
--- a/control/retention_test.go
+++ b/control/retention_test.go
@@ -6,32 +6,27 @@
 	"time"
 )
 
-// socketSettings are testSettings where a release may be asked for under an attempt.
-func socketSettings() Settings {
-	settings := testSettings(RolePrefill, RoleDecode)
+// startReleasing starts a router whose releases may be emitted under an attempt.
+func startReleasing(t *testing.T, roles ...Role) *harness {
+	t.Helper()
+	settings := testSettings()
 	settings.Caller.ReleaseSparesAttempts = true
-	return settings
-}
-
-// startDecode plays a request of a class up to its decode attempt.
-func (s *script) startDecode(class int) Forward {
-	s.t.Helper()
-	prefill := s.onlyForward(s.handle(0, s.request(1, class)))
-	return s.onlyForward(s.finishPrefill(prefill, 0))
+	return startRouter(t, settings, roles...)
 }
 
 // TestKVStateReleasedUnderSilentAttempt: while nothing proves that a decode attempt has reached its engine, the
-// release is asked for, once, so early that it can arrive within the limit.
+// release is emitted, once, so early that it can arrive within the limit.
 func TestKVStateReleasedUnderSilentAttempt(t *testing.T) {
 	for class := range 3 {
-		s := startRouter(t, socketSettings(), 0, 1, 1)
-		s.startDecode(class)
-		retainedSince := s.now
+		h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode)
+		h.arriveAndPrefill(0, h.request(1, class))
+		retainedSince := h.now
+
 		released := 0
-		for s.now < retainedSince.Add(time.Second) {
-			for _, release := range actionsOf[ReleaseKV](s.ticks(50 * ms)) {
+		for h.now < retainedSince.Add(time.Second) {
+			for _, release := range actionsOf[ReleaseKV](h.ticks(50 * ms)) {
 				released++
-				if age := s.now.Sub(retainedSince); age > 400*ms || release.Reason != ReleasedWithoutProof {
+				if age := h.now.Sub(retainedSince); age > 400*ms || release.Reason != ReleasedWithoutProof {
 					t.Errorf("class %d: released after %v, %v", class, age, release.Reason)
 				}
 			}
@@ -42,74 +37,73 @@
 	}
 }
 
-// TestKVStateKeptOnceItsAttemptIsProven: no release after the answer has begun, and none where a release would
-// take the state from an attempt that waits for it.
+// TestKVStateKeptOnceItsAttemptIsProven: no release follows the start of an answer, and none if it would take the
+// state from an attempt that waits for it.
 func TestKVStateKeptOnceItsAttemptIsProven(t *testing.T) {
-	s := startRouter(t, socketSettings(), 0, 1)
-	decode := s.startDecode(0)
-	s.handle(10*ms, AnswerStarted{ID: 1, Endpoint: decode.Endpoint, Attempt: 1, Elapsed: 10 * ms})
-	if releases := actionsOf[ReleaseKV](s.ticks(2 * time.Second)); len(releases) != 0 {
+	h := startReleasing(t, RolePrefill, RoleDecode)
+	h.startAnswer(10*ms, h.arriveAndPrefill(0, h.request(1, classIdempotent)))
+	if releases := actionsOf[ReleaseKV](h.ticks(2 * time.Second)); len(releases) != 0 {
 		t.Errorf("released under a stream: %v", releases)
 	}
-	s = startRouter(t, testSettings(RolePrefill, RoleDecode), 0, 1)
-	s.startDecode(1)
-	if releases := actionsOf[ReleaseKV](s.ticks(2 * time.Second)); len(releases) != 0 {
+
+	h = startRouter(t, testSettings(), RolePrefill, RoleDecode)
+	h.arriveAndPrefill(0, h.request(1, classNotIdempotent))
+	if releases := actionsOf[ReleaseKV](h.ticks(2 * time.Second)); len(releases) != 0 {
 		t.Errorf("released though that takes the state from the attempt: %v", releases)
 	}
 }
 
-// TestAgeOfKVStateCountsFromTheLatestProof: attempts that end without proof of having arrived do not make the
-// state younger, one that was answered does.
+// TestAgeOfKVStateCountsFromTheLatestProof: an attempt that ends without proof of arrival does not make the
+// state younger. One that was answered does.
 func TestAgeOfKVStateCountsFromTheLatestProof(t *testing.T) {
 	for result, isProof := range map[Result]bool{Reset: false, Cancelled: false, ConnectFailed: false, NotSent: false, Failed: true, Rejected: true} {
-		s := startRouter(t, socketSettings(), 0, 1, 1, 1)
-		decode := s.startDecode(0)
-		retainedSince := s.now
-		again := s.handle(150*ms, Outcome{ID: 1, Attempt: 1, Endpoint: decode.Endpoint, Result: result, Elapsed: 150 * ms})
-		s.onlyForward(again)
+		h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode, RoleDecode)
+		decode := h.arriveAndPrefill(0, h.request(1, classIdempotent))
+		retainedSince := h.now
+		h.onlyForward(h.end(150*ms, decode, 1, result))
 		if isProof {
-			retainedSince = s.now
+			retainedSince = h.now
 		}
-		for len(actionsOf[ReleaseKV](s.ticks(50*ms))) == 0 {
-			if s.now > retainedSince.Add(time.Second) {
+		for count[ReleaseKV](h.ticks(50*ms)) == 0 {
+			if h.now > retainedSince.Add(time.Second) {
 				t.Fatalf("%v: never released", result)
 			}
 		}
-		if age := s.now.Sub(retainedSince); age < 200*ms || age > 400*ms {
+		if age := h.now.Sub(retainedSince); age < 200*ms || age > 400*ms {
 			t.Errorf("%v: released after %v", result, age)
 		}
 	}
 }
 
 // TestKVStateOfEarlierPrefillReleasedBeforeRetry: a prefill that was lost with its connection may have left KV
-// state, and its retry may reach nobody. The release comes before the retry, since it would take that one's state.
+// state, and its retry may reach nobody. The release precedes the retry, since it would take that one's state.
 func TestKVStateOfEarlierPrefillReleasedBeforeRetry(t *testing.T) {
 	for result, mayRetain := range map[Result]bool{Reset: true, Cancelled: true, Failed: true, ConnectFailed: false, NotSent: false, Rejected: false} {
-		s := startRouter(t, socketSettings(), 0, 0, 1)
-		prefill := s.onlyForward(s.handle(0, s.request(1, 1)))
-		actions := s.handle(10*ms, Outcome{ID: 1, Endpoint: prefill.Endpoint, Result: result, Elapsed: 10 * ms})
-		s.onlyForward(actions)
-		isForward := func(a Action) bool { _, ok := a.(Forward); return ok }
+		h := startReleasing(t, RolePrefill, RolePrefill, RoleDecode)
+		actions := h.end(10*ms, h.arrive(0, h.request(1, classNotIdempotent)), 0, result)
+		h.onlyForward(actions)
+
+		isForward := func(action Action) bool { _, ok := action.(Forward); return ok }
 		before := actions[:slices.IndexFunc(actions, isForward)]
-		if len(actionsOf[ReleaseKV](actions)) > 1 || (len(actionsOf[ReleaseKV](before)) == 1) != mayRetain {
+		if count[ReleaseKV](actions) > 1 || (count[ReleaseKV](before) == 1) != mayRetain {
 			t.Errorf("%v: %v", result, actions)
 		}
-		if releases := actionsOf[ReleaseKV](s.ticks(600 * ms)); len(releases) != 0 {
+		if releases := actionsOf[ReleaseKV](h.ticks(600 * ms)); len(releases) != 0 {
 			t.Errorf("%v: released under the retry: %v", result, releases)
 		}
 	}
 }
 
 // TestForfeitedKVStateIsNotCountedOn: after a release under an attempt that then ends without proof, the state
-// is released again, since the attempt may have kept it; the prompt is computed anew while the request can meet
-// its objective, and else the client is told at once that it may come again.
+// is released again, since the attempt may have kept it. The prompt is computed again if the request can meet
+// its objective. Otherwise it is rejected at once.
 func TestForfeitedKVStateIsNotCountedOn(t *testing.T) {
 	for after, isRetried := range map[time.Duration]bool{350 * ms: true, 900 * ms: false} {
-		s := startRouter(t, socketSettings(), 0, 1, 1)
-		decode := s.startDecode(0)
-		s.ticks(after)
-		actions := s.handle(0, Outcome{ID: 1, Attempt: 1, Endpoint: decode.Endpoint, Result: Reset, Elapsed: after})
-		if len(actionsOf[ReleaseKV](actions)) == 0 {
+		h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode)
+		decode := h.arriveAndPrefill(0, h.request(1, classIdempotent))
+		h.ticks(after)
+		actions := h.handle(0, Outcome{ID: 1, Attempt: 1, Endpoint: decode.Endpoint, Result: Reset, Elapsed: after})
+		if count[ReleaseKV](actions) == 0 {
 			t.Errorf("reset after %v: not released again", after)
 		}
 		if !isRetried {
@@ -118,35 +112,32 @@
 			}
 			continue
 		}
-		if again := s.onlyForward(actions); again.Endpoint != 1 {
-			t.Errorf("reset after %v: forwarded to %d, want the prefill engine", after, again.Endpoint)
+		if retry := h.onlyForward(actions); retry.Endpoint != 1 {
+			t.Errorf("reset after %v: forwarded to %d, want the prefill engine", after, retry.Endpoint)
 		}
 	}
 }
 
-// TestForfeitedKVStateOfNotIdempotentRequestFails: it may have been executed, and is not refused.
+// TestForfeitedKVStateOfNotIdempotentRequestFails: the request may have been executed, and is not rejected.
 func TestForfeitedKVStateOfNotIdempotentRequestFails(t *testing.T) {
-	s := startRouter(t, socketSettings(), 0, 1, 1)
-	decode := s.startDecode(1)
-	s.ticks(350 * ms)
-	actions := s.handle(0, Outcome{ID: 1, Attempt: 1, Endpoint: decode.Endpoint, Result: Reset, Elapsed: 350 * ms})
-	if fails := actionsOf[Fail](actions); len(fails) != 1 || fails[0].Reason != FinishedNotRepeatable || len(actionsOf[Forward](actions)) != 0 {
+	h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode)
+	decode := h.arriveAndPrefill(0, h.request(1, classNotIdempotent))
+	h.ticks(350 * ms)
+	actions := h.handle(0, Outcome{ID: 1, Attempt: 1, Endpoint: decode.Endpoint, Result: Reset, Elapsed: 350 * ms})
+	if fails := actionsOf[Fail](actions); len(fails) != 1 || fails[0].Reason != FinishedNotRepeatable || count[Forward](actions) != 0 {
 		t.Errorf("got %v", actions)
 	}
 }
 
-// TestAttemptsInQuickSuccessionDoNotPutOffTheRelease: an attempt that was sent just now is given a moment to prove
-// itself, but not beyond the time by which the release must be on its way.
+// TestAttemptsInQuickSuccessionDoNotPutOffTheRelease: an attempt that was sent just now has a moment to prove its
+// arrival, but not beyond the time by which the release must be on its way.
 func TestAttemptsInQuickSuccessionDoNotPutOffTheRelease(t *testing.T) {
-	s := startRouter(t, socketSettings(), 0, 1, 1, 1, 1)
-	decode := s.startDecode(0)
-	retainedSince := s.now
-	for attempt, after := range []time.Duration{1: 330 * ms, 2: 30 * ms} {
-		if after > 0 {
-			decode = s.onlyForward(s.handle(after, Outcome{ID: 1, Attempt: AttemptNumber(attempt), Endpoint: decode.Endpoint, Result: ConnectFailed}))
-		}
-	}
-	if releases := actionsOf[ReleaseKV](s.handle(20*ms, Timer{})); len(releases) != 1 {
-		t.Errorf("%v after the prefill: %d releases", s.now.Sub(retainedSince), len(releases))
+	h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode, RoleDecode, RoleDecode)
+	first := h.arriveAndPrefill(0, h.request(1, classIdempotent))
+	retainedSince := h.now
+	second := h.onlyForward(h.end(330*ms, first, 1, ConnectFailed))
+	h.onlyForward(h.end(30*ms, second, 2, ConnectFailed))
+	if releases := count[ReleaseKV](h.handle(20*ms, Timer{})); releases != 1 {
+		t.Errorf("%v after the prefill: %d releases", h.now.Sub(retainedSince), releases)
 	}
 }
