--- a/internal/platform/randomfaults_test.go
+++ b/internal/platform/randomfaults_test.go
@@ -213,10 +213,11 @@
 // on their sockets.
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	const clientCount, requestsPerClient, minServed = 12, 40, 150
+	const firstSeed = 51 // of the engines: its faults truncate more streams and reject more requests than those of seed 0
 	h := startHarness(t, "r1", "r1", "r1", "w1", "w1", "w1", "w1")
 	judge := &attemptJudge{inFlight: map[string]int{}, executions: map[string]int{}}
 	for i, e := range h.engines {
-		e.SetScript(faultyScript(rand.New(rand.NewPCG(7, uint64(i))), judge))
+		e.SetScript(faultyScript(rand.New(rand.NewPCG(7, uint64(firstSeed+i))), judge))
 	}
 
 	var clients sync.WaitGroup
