--- /dev/null
+++ b/internal/openaiserver/client_test.go
@@ -0,0 +1,215 @@
+package openaiserver_test
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"time"
+
+	"martenlock/internal/invariant"
+)
+
+// Paths of the API.
+const (
+	chatPath       = "/v1/chat/completions"
+	embeddingsPath = "/v1/embeddings"
+	rerankPath     = "/v1/rerank"
+)
+
+// request is a client's request to the router.
+type request struct {
+	ctx      context.Context // nil for one that is never cancelled
+	path     string          // "" for chatPath
+	class    string          // "" for "ask"
+	session  string
+	tenant   string
+	deadline time.Duration // of the header field; 0 for none
+	body     string        // "" for that of a chat completion with the fields below
+
+	stream    bool
+	maxTokens int // at least 1
+	prompt    string
+}
+
+// deadlines are the deadlines of the demo's classes.
+var deadlines = map[string]time.Duration{"ask": 5 * time.Second, "job": 6 * time.Second, "note": 6 * time.Second, "search": 3 * time.Second}
+
+// effects are the effects of the demo's classes on a repeated execution; other classes are idempotent.
+var effects = map[string]invariant.Effect{"job": invariant.IdempotentWithKey, "note": invariant.NotIdempotent}
+
+// response is what a client has received.
+type response struct {
+	status  int
+	header  http.Header
+	body    string
+	err     error // the body is incomplete, or there was no response at all
+	elapsed time.Duration
+}
+
+// send sends a request to the router, records what the client observes, and returns the response.
+func (h *harness) send(r request) response {
+	if r.class == "" {
+		r.class = "ask"
+	}
+	if r.ctx == nil {
+		r.ctx = context.Background()
+	}
+	id := fmt.Sprintf("c%d", h.requestCount.Add(1))
+	httpRequest, err := h.newHTTPRequest(r, id)
+	if err != nil {
+		return response{err: err}
+	}
+	timeBudget := deadlines[r.class]
+	if r.deadline > 0 {
+		timeBudget = r.deadline
+	}
+	startedAt := h.Clock()
+	h.recording.Add(invariant.Event{At: startedAt, Kind: invariant.RequestSent, Request: id, Effect: effects[r.class], DedupWindow: 3 * time.Second, Deadline: startedAt + timeBudget})
+
+	httpResponse, err := h.client.Do(httpRequest)
+	if err != nil {
+		h.recording.Add(invariant.Event{At: h.Clock(), Kind: invariant.ClientLeft, Request: id})
+		return response{err: err}
+	}
+	defer httpResponse.Body.Close()
+	if r.stream && httpResponse.StatusCode == http.StatusOK {
+		h.recording.Add(invariant.Event{At: h.Clock(), Kind: invariant.FirstToken, Request: id})
+	}
+	body, err := io.ReadAll(httpResponse.Body)
+	received := response{status: httpResponse.StatusCode, header: httpResponse.Header, body: string(body), err: err, elapsed: h.Clock() - startedAt}
+	if err != nil && r.ctx.Err() != nil {
+		h.recording.Add(invariant.Event{At: h.Clock(), Kind: invariant.ClientLeft, Request: id})
+		return received
+	}
+	h.recording.Add(invariant.Event{At: h.Clock(), Kind: invariant.FinalAnswer, Request: id, Result: received.result(r.stream)})
+	return received
+}
+
+// newHTTPRequest returns the request on the wire.
+func (h *harness) newHTTPRequest(r request, id string) (*http.Request, error) {
+	if r.path == "" {
+		r.path = chatPath
+	}
+	if r.body == "" {
+		r.body = fmt.Sprintf(`{"model":"demo-chat","max_tokens":%d,"stream":%v,"messages":[{"role":"system","content":"You are a plumber."},{"role":"user","content":"frozen %s"}]}`,
+			max(r.maxTokens, 1), r.stream, r.prompt)
+	}
+	httpRequest, err := http.NewRequestWithContext(r.ctx, http.MethodPost, "http://"+h.address()+r.path, strings.NewReader(r.body))
+	if err != nil {
+		return nil, err
+	}
+	httpRequest.Header.Set("X-Client-Request-Id", id)
+	httpRequest.Header.Set("X-Request-Class", r.class)
+	if r.deadline > 0 {
+		httpRequest.Header.Set("X-Request-Deadline-Ms", fmt.Sprint(r.deadline.Milliseconds()))
+	}
+	if r.session != "" {
+		httpRequest.Header.Set("X-Session-Id", r.session)
+	}
+	if r.tenant != "" {
+		httpRequest.Header.Set("X-Tenant", r.tenant)
+	}
+	return httpRequest, nil
+}
+
+// sendEmbeddings sends an embeddings request of class "search".
+func (h *harness) sendEmbeddings(body string) response {
+	return h.send(request{path: embeddingsPath, class: "search", body: body})
+}
+
+// result returns the result that the response stands for.
+func (r response) result(isStream bool) invariant.Result {
+	switch {
+	case r.served():
+		return invariant.Served
+	case r.rejected(), r.status >= http.StatusBadRequest && r.status < http.StatusTooManyRequests:
+		return invariant.Rejected
+	case r.failed(), isStream && r.err != nil && strings.Contains(r.body, `{"error"`):
+		return invariant.Failed
+	}
+	return invariant.Malformed
+}
+
+// served reports whether the response is a complete answer.
+func (r response) served() bool {
+	return r.status == http.StatusOK && r.err == nil && (json.Valid([]byte(r.body)) || strings.HasSuffix(r.body, "data: [DONE]\n\n"))
+}
+
+// rejected reports whether the response says that nothing was executed and when to retry.
+func (r response) rejected() bool {
+	return (r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable) &&
+		r.header.Get("Retry-After") != "" && r.header.Get("Retry-After-Ms") != ""
+}
+
+// failed reports whether the response says that the request may have been executed.
+func (r response) failed() bool {
+	return (r.status == http.StatusBadGateway || r.status == http.StatusGatewayTimeout) && r.header.Get("X-Should-Retry") == "false"
+}
+
+// aborted reports whether the response is a stream that ended with an error event.
+func (r response) aborted() bool {
+	return r.status == http.StatusOK && r.err != nil && strings.Contains(r.body, `{"error"`) && !strings.Contains(r.body, "[DONE]")
+}
+
+func (r response) String() string {
+	return fmt.Sprintf("%d %v %.300q after %v", r.status, r.err, r.body, r.elapsed)
+}
+
+// dial connects to the router.
+func (h *harness) dial() net.Conn {
+	h.t.Helper()
+	conn, err := net.Dial("tcp", h.address())
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	return conn
+}
+
+// inputList returns a JSON list of n texts of different lengths.
+func inputList(n int, text string) string {
+	var list []string
+	for i := range n {
+		list = append(list, fmt.Sprintf("%q", fmt.Sprintf("%s %d ", text, i)+strings.Repeat("ice ", i%7)))
+	}
+	return "[" + strings.Join(list, ",") + "]"
+}
+
+// embeddingsAnswer is the answer to an embeddings request.
+type embeddingsAnswer struct {
+	vectors      [][]float64
+	promptTokens int
+}
+
+// parseEmbeddings parses the answer to an embeddings request. It is empty if the indices are not in order, a vector is
+// missing or the usage is inconsistent.
+func parseEmbeddings(body string) embeddingsAnswer {
+	var parsed struct {
+		Data []struct {
+			Index     int
+			Embedding []float64
+		}
+		Usage struct {
+			Prompt int `json:"prompt_tokens"`
+			Total  int `json:"total_tokens"`
+		}
+	}
+	err := json.Unmarshal([]byte(body), &parsed)
+	if err != nil || parsed.Usage.Prompt != parsed.Usage.Total {
+		return embeddingsAnswer{}
+	}
+	answer := embeddingsAnswer{promptTokens: parsed.Usage.Prompt}
+	for i, item := range parsed.Data {
+		if item.Index != i || len(item.Embedding) == 0 {
+			return embeddingsAnswer{}
+		}
+		answer.vectors = append(answer.vectors, item.Embedding)
+	}
+	return answer
+}
+
+// sameVector reports whether two vectors are equal in each component.
+func sameVector(a, b []float64) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
--- /dev/null
+++ b/internal/openaiserver/clientconn_test.go
@@ -0,0 +1,383 @@
+package openaiserver_test
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"runtime"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"martenlock/internal/demo"
+	"martenlock/internal/serve"
+)
+
+// postEmbeddings returns an embeddings request on the wire. fields are additional header fields, each with its line end.
+func postEmbeddings(fields, body string) string {
+	return fmt.Sprintf("POST /v1/embeddings HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", fields, len(body), body)
+}
+
+// TestHTTPRequestsGetTheirStatus writes valid and invalid requests to a client connection.
+func TestHTTPRequestsGetTheirStatus(t *testing.T) {
+	h := startHarness(t, embeddingSpecs(1), "[limits]\n", "[limits]\nbody = 5000\n")
+	body := `{"model":"demo-embed","input":"pipe"}`
+	for _, test := range []struct{ name, request, want string }{
+		{"health", "GET /health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", `200 .*"ok"`},
+		{"HEAD", "HEAD /health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "200 [^{]*$"},
+		{"HTTP/1.0", "GET /v1/models HTTP/1.0\r\n\r\n", "200 .*Connection: close.*demo-chat"},
+		{"pipelined", postEmbeddings("", body) + postEmbeddings("Connection: close\r\n", body), `200 .*embedding.*HTTP/1.1 200 .*embedding`},
+		{"chunked", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n25\r\n" + body + "\r\n0\r\n\r\n", "200 "},
+		{"Expect", postEmbeddings("Expect: 100-continue\r\nConnection: close\r\n", body), "100 Continue.*HTTP/1.1 200 "},
+		{"body above the limit", postEmbeddings("", strings.Repeat("x", 6000)), "413 .*Connection: close"},
+		{"two lengths", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /health HTTP/1.1\r\n\r\n", "400 [^H]*$"},
+		{"invalid JSON", postEmbeddings("Connection: close\r\n", "{"), "400 .*not valid JSON"},
+		{"unknown model", postEmbeddings("Connection: close\r\n", `{"model":"x","input":"a"}`), "404 .*model_not_found"},
+		{"repeated member", postEmbeddings("Connection: close\r\n", `{"model":"demo-embed","input":"a","model":"x"}`), "400 .*twice"},
+		{"invalid deadline", postEmbeddings("X-Request-Deadline-Ms: soon\r\n", body), "400 .*x-request-deadline-ms"},
+		{"unknown class", postEmbeddings("X-Request-Class: royal\r\nConnection: close\r\n", body), "400 .*no class 'royal'"},
+		{"wrong method", "GET /v1/embeddings HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "405 .*Allow: POST"},
+		{"unknown path", "GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "404 "},
+	} {
+		conn := h.dial()
+		_, _ = io.WriteString(conn, test.request)
+
+		got, err := io.ReadAll(conn)
+
+		if err != nil || !regexp.MustCompile("(?s)^HTTP/1.1 "+test.want).Match(got) {
+			t.Errorf("%s: got %q, %v; want %s", test.name, got, err, test.want)
+		}
+		conn.Close()
+	}
+}
+
+// TestPipelinedAnswersComeInOrderAndLargeBodiesAreRejected: a client that pipelines a hundred requests gets a hundred answers in order.
+// Bodies of 32 MB are rejected, whether their length is announced or not, and use no memory.
+func TestPipelinedAnswersComeInOrderAndLargeBodiesAreRejected(t *testing.T) {
+	h := startHarness(t, embeddingAndRerankSpecs(2))
+	const count = 100
+	var pipelined strings.Builder
+	for i := range count {
+		pipelined.WriteString(postEmbeddings("", fmt.Sprintf(`{"model":"demo-embed","dimensions":%d,"input":"pipe"}`, i+1)))
+	}
+	conn := h.dial()
+	defer conn.Close()
+
+	_, err := io.WriteString(conn, pipelined.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	reader := bufio.NewReader(conn)
+	for i := range count {
+		expectDimensions(t, reader, i+1)
+	}
+	for _, head := range []string{"Content-Length: 33554432\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n2000000\r\n"} {
+		h.expectTooLarge("POST /v1/embeddings HTTP/1.1\r\nHost: x\r\n" + head)
+	}
+	buffered := h.stats().BufferedBytes
+	if buffered > 0 {
+		t.Errorf("%d bytes buffered", buffered)
+	}
+}
+
+// expectDimensions reads the next response and fails the test unless it has one embedding with so many dimensions.
+func expectDimensions(t *testing.T, reader *bufio.Reader, dimensions int) {
+	t.Helper()
+	httpResponse, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		t.Fatalf("response %d: %v", dimensions, err)
+	}
+	var parsed struct {
+		Data []struct{ Embedding []float64 }
+	}
+	err = json.NewDecoder(httpResponse.Body).Decode(&parsed)
+	if err != nil || len(parsed.Data) != 1 || len(parsed.Data[0].Embedding) != dimensions {
+		t.Fatalf("response %d: %d, %v, %v", dimensions, httpResponse.StatusCode, parsed, err)
+	}
+	_, _ = io.Copy(io.Discard, httpResponse.Body)
+}
+
+// expectTooLarge sends the start of a request and fails the test unless it is answered with 413.
+func (h *harness) expectTooLarge(start string) {
+	h.t.Helper()
+	conn := h.dial()
+	defer conn.Close()
+	_, _ = io.WriteString(conn, start)
+	httpResponse, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil || httpResponse.StatusCode != http.StatusRequestEntityTooLarge {
+		h.t.Errorf("%q: %v, %v", start, httpResponse, err)
+	}
+}
+
+// TestSlowClientPausesTheEngine: a client that reads nothing pauses the engine's stream. What the router buffers of it
+// stays bounded, and finally the connection is closed.
+func TestSlowClientPausesTheEngine(t *testing.T) {
+	specs := prefillDecodeSpecs(1, 1)
+	specs[1].TokenInterval, specs[1].AnswerTokens = 0, 400_000 // some 80 MB
+	h := startHarness(t, specs, "[limits]\n", "[limits]\nclient_stall = 1s\n", "memory_tokens = 60000", "memory_tokens = 600000")
+	conn := h.dial()
+	defer conn.Close()
+	body := `{"model":"demo-chat","stream":true,"max_tokens":400000,"messages":[{"role":"user","content":"all of it"}]}`
+
+	fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+
+	maxUnsent := 0
+	h.waitUntil("the connection is closed", func() bool {
+		stats, err := h.Service.Router.Stats()
+		maxUnsent = max(maxUnsent, stats.MaxUnsentBytes)
+		return err == nil && stats.Canceled == 1 && stats.OpenRequests == 0
+	})
+	if maxUnsent < 64<<10 || maxUnsent > 512<<10 {
+		t.Errorf("buffered %d bytes: below the low or far above the high-water mark", maxUnsent)
+	}
+	h.waitUntilIdle()
+}
+
+// TestSlowRequestAndIdleConnectionAreClosed: a request that is not received in time is answered with 408, and idle
+// connections are closed.
+func TestSlowRequestAndIdleConnectionAreClosed(t *testing.T) {
+	shortIdle := startHarness(t, prefillDecodeSpecs(1, 1), "[limits]\n", "[limits]\nidle = 150ms\n")
+	shortReceive := startHarness(t, prefillDecodeSpecs(1, 1), "[limits]\n", "[limits]\nreceive = 200ms\n")
+	for _, test := range []struct {
+		h          *harness
+		sent       string
+		wantPrefix string // "" for no response at all
+	}{
+		{shortIdle, "", ""},
+		{shortReceive, "POST /v1/chat/completions HTTP/1.1\r\n", "HTTP/1.1 408 "},
+		{shortReceive, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{", "HTTP/1.1 408 "},
+	} {
+		conn := test.h.dial()
+		_, _ = io.WriteString(conn, test.sent)
+		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+
+		got, _ := io.ReadAll(conn)
+
+		if !strings.HasPrefix(string(got), test.wantPrefix) || test.wantPrefix == "" && len(got) > 0 {
+			t.Errorf("%q: got %q", test.sent, got)
+		}
+		conn.Close()
+	}
+}
+
+// TestLongestIdleConnectionIsEvicted: if all connections are open, a new client is served at once. The connection that is
+// idle for longest is closed, and none with a request in progress.
+func TestLongestIdleConnectionIsEvicted(t *testing.T) {
+	h := startHarness(t, prefillDecodeSpecs(1, 1), "[router]\n", "[router]\nmax_connections = 20\n")
+	dial := func() net.Conn {
+		conn := h.dial()
+		t.Cleanup(func() { conn.Close() })
+		return conn
+	}
+	isServed := func(conn net.Conn) error {
+		httpResponse, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err == nil && httpResponse.StatusCode != http.StatusOK {
+			err = fmt.Errorf("status %d", httpResponse.StatusCode)
+		}
+		return err
+	}
+	oldest := dial() // its request is half received
+	fmt.Fprint(oldest, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 91\r\n\r\n")
+	h.waitUntil("the oldest is connected", func() bool { return h.stats().ClientConnections == 1 })
+	for range 18 {
+		dial()
+	}
+	h.waitUntil("all connections but one are open", func() bool { return h.stats().ClientConnections == 19 })
+
+	for i := range 40 {
+		conn := dial()
+		fmt.Fprint(conn, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
+		err := isServed(conn)
+		if err != nil {
+			t.Fatalf("client %d: %v", i, err)
+		}
+	}
+	fmt.Fprint(oldest, `{"model":"demo-chat","max_tokens":1,"messages":[{"role":"user","content":"a frozen pipe"}]}`)
+
+	err := isServed(oldest)
+	if err != nil {
+		t.Errorf("request in progress: %v", err)
+	}
+	stats := h.stats()
+	if stats.IdleConnsEvicted != 40 || stats.ClientConnections > 20 {
+		t.Errorf("%d evicted, %d open", stats.IdleConnsEvicted, stats.ClientConnections)
+	}
+}
+
+// Environment of the process that holds idle connections.
+const (
+	idleAddressVariable = "MARTENLOCK_IDLE"
+	idleCountVariable   = "MARTENLOCK_IDLE_N"
+)
+
+// TestServesBesideTenThousandIdleConnections serves a request beside 10,000 idle connections. Another process holds
+// them, as one process lacks the descriptors for both ends.
+func TestServesBesideTenThousandIdleConnections(t *testing.T) {
+	address := os.Getenv(idleAddressVariable)
+	if address != "" {
+		holdIdleConnections(t, address)
+		return
+	}
+	count := raiseIdleConnectionLimit()
+	h := startHarness(t, prefillDecodeSpecs(1, 1))
+	holder := exec.Command(os.Args[0], "-test.run=^TestServesBesideTenThousandIdleConnections$")
+	holder.Env = append(os.Environ(), idleAddressVariable+"="+h.address(), fmt.Sprintf("%s=%d", idleCountVariable, count))
+	holderStdin, err := holder.StdinPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+
+	before := memoryInUse()
+	err = holder.Start()
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.waitUntil("all are connected", func() bool { return h.stats().ClientConnections >= count })
+	bytesPerConnection := (memoryInUse() - before) / int64(count)
+
+	t.Logf("%d idle connections, %d bytes each", count, bytesPerConnection)
+	if bytesPerConnection > 8<<10 {
+		t.Errorf("%d bytes for an idle connection", bytesPerConnection)
+	}
+	received := h.send(request{stream: true})
+	if !received.served() {
+		t.Error(received)
+	}
+	holderStdin.Close()
+	err = holder.Wait()
+	if err != nil {
+		t.Error(err)
+	}
+	h.waitUntil("the idle connections are closed", func() bool { return h.stats().ClientConnections < 10 })
+}
+
+// memoryInUse returns the bytes of heap and stacks in use after a collection.
+func memoryInUse() int64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc + stats.StackInuse)
+}
+
+// raiseIdleConnectionLimit raises the descriptor limit and returns the number of idle connections: 10,000, or what the
+// limit allows.
+func raiseIdleConnectionLimit() int {
+	var limit unix.Rlimit
+	_ = unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
+	limit.Cur = limit.Max
+	_ = unix.Setrlimit(unix.RLIMIT_NOFILE, &limit)
+	return int(min(limit.Max-500, 10_000))
+}
+
+// holdIdleConnections holds connections until standard input ends.
+func holdIdleConnections(t *testing.T, address string) {
+	t.Helper()
+	raiseIdleConnectionLimit()
+	count, err := strconv.Atoi(os.Getenv(idleCountVariable))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range count {
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+	}
+	_, _ = bufio.NewReader(os.Stdin).ReadString('\n')
+}
+
+// TestAnswerThatEndsWithItsConnectionIsNotCutShort: an engine's answer that ends with its connection reaches a client
+// completely, though the client reads only after the engine has closed.
+func TestAnswerThatEndsWithItsConnectionIsNotCutShort(t *testing.T) {
+	engine := startClosingEngine(t)
+	dir := t.TempDir()
+	configPath := filepath.Join(dir, "m.ini")
+	writeFile(t, filepath.Join(dir, "nodes.ini"), fmt.Sprintf("[node a]\npool = chat\nkind = mixed\naddress = %s\n", engine.listener.Addr()))
+	writeFile(t, configPath, fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "error"))
+	service, err := serve.Start(configPath, io.Discard)
+	if err != nil {
+		t.Fatal(err)
+	}
+	httpResponse, err := http.Post("http://"+service.Router.Addr()+chatPath, "application/json",
+		strings.NewReader(`{"model":"demo-chat","stream":true,"messages":[{"role":"user","content":"x"}]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for unsent := 0; unsent < 128<<10; {
+		stats, err := service.Router.Stats()
+		if err != nil {
+			t.Fatal(err)
+		}
+		unsent = stats.MaxUnsentBytes
+	}
+
+	engine.mustEnd.Store(true)
+	sent := <-engine.sentEvents
+	time.Sleep(50 * ms) // until the router has received the end; correct code passes without the pause
+	body, err := io.ReadAll(httpResponse.Body)
+
+	received := strings.Count(string(body), "forty")
+	if err != nil || received != sent || !strings.HasSuffix(string(body), "data: [DONE]\n\n") {
+		t.Errorf("%d of %d events, %v", received, sent, err)
+	}
+	httpResponse.Body.Close()
+	err = service.Stop()
+	if err != nil {
+		t.Error(err)
+	}
+}
+
+// closingEngine streams one answer until mustEnd is set, and closes the connection after it.
+type closingEngine struct {
+	listener   net.Listener
+	mustEnd    atomic.Bool
+	sentEvents chan int // receives the number of events sent
+}
+
+// startClosingEngine starts a closingEngine. It ends with the test.
+func startClosingEngine(t *testing.T) *closingEngine {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	engine := &closingEngine{listener: listener, sentEvents: make(chan int, 1)}
+	go engine.serveOnce()
+	return engine
+}
+
+// serveOnce accepts one connection and answers one request.
+func (e *closingEngine) serveOnce() {
+	conn, err := e.listener.Accept()
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	_, err = http.ReadRequest(bufio.NewReader(conn))
+	if err != nil {
+		return
+	}
+	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n")
+	const eventsPerWrite = 200
+	events := 0
+	for !e.mustEnd.Load() {
+		fmt.Fprint(conn, strings.Repeat("data: {\"x\":\"some forty bytes of a token, more or less\"}\n\n", eventsPerWrite))
+		events += eventsPerWrite
+		time.Sleep(ms)
+	}
+	fmt.Fprint(conn, "data: [DONE]\n\n")
+	e.sentEvents <- events
+}
--- a/internal/openaiserver/scatter_test.go
+++ b/internal/openaiserver/scatter_test.go
@@ -1,118 +1,51 @@
 package openaiserver_test
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
-	"time"
 
 	"martenlock/internal/demo"
 	"martenlock/internal/fakeengine"
-	"martenlock/internal/invariant"
 )
 
-// post sends a body as it is, recorded like ask.
-func (w *world) post(ctx context.Context, path, class, body string, headers ...string) reply {
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+w.Service.Router.Addr()+path, strings.NewReader(body))
-	if err != nil {
-		return reply{err: err}
-	}
-	id := fmt.Sprintf("p%d", w.count.Add(1))
-	req.Header.Set("X-Client-Request-Id", id)
-	req.Header.Set("X-Request-Class", class)
-	patience := deadlines[class]
-	for i := 0; i < len(headers); i += 2 {
-		req.Header.Set(headers[i], headers[i+1])
-		if d, err := time.ParseDuration(headers[i+1] + "ms"); err == nil && headers[i] == "X-Request-Deadline-Ms" {
-			patience = d
-		}
-	}
-	began := w.Clock()
-	w.rec.Add(invariant.Event{At: began, Kind: invariant.RequestSent, Request: id, Effect: effects[class], DedupWindow: 3 * time.Second, Deadline: began + patience})
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		w.rec.Add(invariant.Event{At: w.Clock(), Kind: invariant.ClientLeft, Request: id})
-		return reply{err: err}
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
-	r := reply{resp.StatusCode, resp.Header, string(text), err, w.Clock() - began}
-	result := invariant.Malformed
-	switch {
-	case r.served():
-		result = invariant.Served
-	case r.refused(), r.status >= 400 && r.status < 429:
-		result = invariant.Rejected
-	case r.failed():
-		result = invariant.Failed
-	}
-	w.rec.Add(invariant.Event{At: w.Clock(), Kind: invariant.FinalAnswer, Request: id, Result: result})
-	return r
-}
-
-func embedders(n int) (list []fakeengine.Spec) {
-	for i := range n {
-		list = append(list, embedder(fmt.Sprintf("e%d", i+1)))
-		r := embedder(fmt.Sprintf("k%d", i+1))
-		r.Kind, r.Pool = "ranker", "rerank"
-		list = append(list, r)
-	}
-	return list
-}
+// smallShards are edits of the settings: embeddings requests are scattered in shards of 10 inputs.
+var smallShards = []string{"part_items = 64", "part_items = 10"}
 
-func inputs(n int, text string) string {
-	var list []string
-	for i := range n {
-		list = append(list, fmt.Sprintf("%q", fmt.Sprintf("%s %d ", text, i)+strings.Repeat("ice ", i%7)))
-	}
-	return "[" + strings.Join(list, ",") + "]"
-}
-
-// TestScatteredAnswerEqualsTheWholeOne: a scattered request has the same answer as one that is not, in the same order,
-// whatever form its items have, and more than one engine works on it.
+// TestScatteredAnswerEqualsTheWholeOne: a scattered request has the same answer as one that is not scattered, whatever
+// form its items have, and several engines compute it.
 func TestScatteredAnswerEqualsTheWholeOne(t *testing.T) {
-	split := start(t, embedders(3), "part_items = 64", "part_items = 10")
-	whole := start(t, embedders(1), "part_items = 64\npart_tokens = 4000\nparts = 256\n", "parts = 1\n", "part_items = 100\npart_tokens = 4000\nparts = 256\n", "parts = 1\n")
-	for _, c := range []struct{ path, body string }{
-		{"/v1/embeddings", `{"model":"demo-embed","input":` + inputs(95, "float") + `}`},
-		{"/v1/embeddings", `{"model":"demo-embed","encoding_format":"base64","dimensions":5,"input":` + inputs(21, "base") + `}`},
-		{"/v1/embeddings", `{"model":"demo-embed","input":[` + strings.Repeat("[1,2,3],", 40) + `[9]]}`},
-		{"/v1/embeddings", `{"model":"demo-embed","input":[1,2,3]}`},
-		{"/v1/rerank", `{"model":"demo-rerank","query":"frozen 17","top_n":7,"return_documents":true,"documents":` + inputs(250, "a frozen pipe") + `}`},
+	scattering := startHarness(t, embeddingAndRerankSpecs(3), smallShards...)
+	notScattering := startHarness(t, embeddingAndRerankSpecs(1),
+		"part_items = 64\npart_tokens = 4000\nparts = 256\n", "parts = 1\n",
+		"part_items = 100\npart_tokens = 4000\nparts = 256\n", "parts = 1\n")
+	for _, test := range []struct{ path, body string }{
+		{embeddingsPath, `{"model":"demo-embed","input":` + inputList(95, "float") + `}`},
+		{embeddingsPath, `{"model":"demo-embed","encoding_format":"base64","dimensions":5,"input":` + inputList(21, "base") + `}`},
+		{embeddingsPath, `{"model":"demo-embed","input":[` + strings.Repeat("[1,2,3],", 40) + `[9]]}`},
+		{embeddingsPath, `{"model":"demo-embed","input":[1,2,3]}`},
+		{rerankPath, `{"model":"demo-rerank","query":"frozen 17","top_n":7,"return_documents":true,"documents":` + inputList(250, "a frozen pipe") + `}`},
 		{"/v2/rerank", `{"model":"demo-rerank","query":"pipe 3","documents":[` + strings.Repeat(`{"text":"pipe"},`, 150) + `"pipe 3"]}`},
 	} {
-		var got [2]map[string]any
-		for i, w := range []*world{split, whole} {
-			r := w.post(context.Background(), c.path, "search", c.body)
-			if err := json.Unmarshal([]byte(r.body), &got[i]); !r.served() || err != nil {
-				t.Fatalf("%s %.80s: %v", c.path, c.body, r)
-			}
-			delete(got[i], "id")
-		}
-		// A prompt's tokens are rounded down in each part.
-		for _, k := range []string{"prompt_tokens", "total_tokens"} {
-			a, b := got[0]["usage"].(map[string]any), got[1]["usage"].(map[string]any)
-			if x, ok := a[k].(float64); ok && x <= b[k].(float64) && x > b[k].(float64)-20 {
-				a[k] = b[k]
-			}
-		}
-		if !reflect.DeepEqual(got[0], got[1]) {
-			t.Errorf("%s %.80s:\nin parts %.400v\nwhole    %.400v", c.path, c.body, got[0], got[1])
+		r := request{path: test.path, class: "search", body: test.body}
+
+		scattered := scattering.sendForAnswer(r)
+		whole := notScattering.sendForAnswer(r)
+
+		scattered.usage.expectRoundedDownFrom(t, whole.usage)
+		if !reflect.DeepEqual(scattered.otherMembers, whole.otherMembers) {
+			t.Errorf("%s %.80s:\nscattered %.400v\nwhole     %.400v", test.path, test.body, scattered.otherMembers, whole.otherMembers)
 		}
 	}
 	for _, pool := range []string{"pool:embeddings", "pool:rerank"} {
 		used := 0
-		for _, e := range split.FindEngines(pool) {
-			if e.Stats().Served > 0 {
+		for _, engine := range scattering.FindEngines(pool) {
+			if engine.Stats().Served > 0 {
 				used++
 			}
 		}
@@ -122,293 +55,206 @@
 	}
 }
 
-// TestScatteredAnswerHasNoHoles: there is no answer with holes. Cleanup waits until the siblings
-// of a shard that failed are withdrawn, and judges the five rules with each shard as an attempt.
+// tokenUsage is the usage of an answer: the number of tokens by member.
+type tokenUsage map[string]float64
+
+// expectRoundedDownFrom fails the test unless the usage equals that of the whole request, but for prompt tokens that were
+// rounded down in each shard.
+func (u tokenUsage) expectRoundedDownFrom(t *testing.T, whole tokenUsage) {
+	t.Helper()
+	if len(u) == 0 || len(u) != len(whole) {
+		t.Errorf("usage %v, want the members of %v", u, whole)
+	}
+	for member, want := range whole {
+		got, isThere := u[member]
+		isRoundedDown := (member == "prompt_tokens" || member == "total_tokens") && got <= want && got > want-20
+		if !isThere || got != want && !isRoundedDown {
+			t.Errorf("%s: %v, want %v", member, got, want)
+		}
+	}
+}
+
+// parsedAnswer is an answer with its usage apart.
+type parsedAnswer struct {
+	usage        tokenUsage
+	otherMembers map[string]any // without id, which differs in each answer
+}
+
+// sendForAnswer sends a request and returns its answer.
+func (h *harness) sendForAnswer(r request) parsedAnswer {
+	h.t.Helper()
+	received := h.send(r)
+	if !received.served() {
+		h.t.Fatalf("%s %.80s: %v", r.path, r.body, received)
+	}
+	var withUsage struct{ Usage tokenUsage }
+	err := json.Unmarshal([]byte(received.body), &withUsage)
+	if err != nil {
+		h.t.Fatalf("%s %.80s: %v", r.path, r.body, err)
+	}
+	answer := parsedAnswer{usage: withUsage.Usage}
+	err = json.Unmarshal([]byte(received.body), &answer.otherMembers)
+	if err != nil {
+		h.t.Fatalf("%s %.80s: %v", r.path, r.body, err)
+	}
+	delete(answer.otherMembers, "id")
+	delete(answer.otherMembers, "usage")
+	return answer
+}
+
+// TestScatteredAnswerHasNoHoles: if a shard is not served, neither is the request. The harness waits until the other
+// shards are cancelled, and checks the five rules with each shard as an attempt.
 func TestScatteredAnswerHasNoHoles(t *testing.T) {
-	many := `{"model":"demo-embed","encoding_format":"%s","input":` + inputs(60, "pipe") + `}`
-	refuse := `{"model":"demo-embed","encoding_format":"%s","input":[` + strings.Repeat(`"pipe",`, 40) + `"` + fakeengine.RejectMarker + `"]}`
-	rejected := func(r reply) bool { return r.status == 400 && strings.Contains(r.body, "no engine takes") }
-	bad := func(defect fakeengine.EmbeddingDefect, engines ...string) map[string]fakeengine.Fault {
-		m := map[string]fakeengine.Fault{}
-		for _, e := range engines {
-			m[e] = fakeengine.Fault{EmbeddingDefect: defect}
+	type faults = map[string]fakeengine.Fault
+	floats := `{"model":"demo-embed","encoding_format":"float","input":` + inputList(60, "pipe") + `}`
+	base64 := `{"model":"demo-embed","encoding_format":"base64","input":` + inputList(60, "pipe") + `}`
+	invalid := `{"model":"demo-embed","encoding_format":"float","input":[` + strings.Repeat(`"pipe",`, 40) + `"` + fakeengine.RejectMarker + `"]}`
+	invalidRequest := func(r response) bool {
+		return r.status == http.StatusBadRequest && strings.Contains(r.body, "no engine takes")
+	}
+	malformed := func(defect fakeengine.EmbeddingDefect, engines ...string) faults {
+		list := faults{}
+		for _, engine := range engines {
+			list[engine] = fakeengine.Fault{EmbeddingDefect: defect}
 		}
-		return m
+		return list
 	}
-	for _, c := range []struct {
+	rejecting := faults{"e1": {RejectAll: true}, "e2": {RejectAll: true}, "e3": {RejectAll: true}}
+	for _, test := range []struct {
 		name   string
-		faults map[string]fakeengine.Fault
+		faults faults
 		class  string
 		body   string
-		want   func(reply) bool
+		holds  func(response) bool
 	}{
-		{"one engine gives too few", bad(fakeengine.EmbeddingMissing, "e1"), "search", fmt.Sprintf(many, "float"), reply.served},
-		{"one engine gives another length", bad(fakeengine.EmbeddingTooLong, "e1"), "search", fmt.Sprintf(many, "float"), reply.served},
-		{"one engine gives infinities", bad(fakeengine.EmbeddingInfinite, "e1"), "search", fmt.Sprintf(many, "float"), reply.served},
-		{"one engine gives bad base64", bad(fakeengine.EmbeddingInvalidBase64, "e1"), "search", fmt.Sprintf(many, "base64"), reply.served},
-		{"all give too few", bad(fakeengine.EmbeddingMissing, "e1", "e2", "e3"), "search", fmt.Sprintf(many, "float"), reply.refused},
-		{"all give too few, unsafe", bad(fakeengine.EmbeddingMissing, "e1", "e2", "e3"), "note", fmt.Sprintf(many, "float"), reply.failed},
-		{"one part is refused for good", nil, "search", fmt.Sprintf(refuse, "float"), rejected},
-		{"one engine answers nothing", map[string]fakeengine.Fault{"e1": {Hang: true}}, "search", fmt.Sprintf(many, "float"), reply.served},
-		{"all are full, unsafe", map[string]fakeengine.Fault{"e1": {RejectAll: true}, "e2": {RejectAll: true}, "e3": {RejectAll: true}}, "note", fmt.Sprintf(many, "float"), reply.failed},
-		{"all are full", map[string]fakeengine.Fault{"e1": {RejectAll: true}, "e2": {RejectAll: true}, "e3": {RejectAll: true}}, "search", fmt.Sprintf(many, "float"), reply.refused},
+		{"one engine answers too few embeddings", malformed(fakeengine.EmbeddingMissing, "e1"), "search", floats, response.served},
+		{"one engine answers other lengths", malformed(fakeengine.EmbeddingTooLong, "e1"), "search", floats, response.served},
+		{"one engine answers infinite numbers", malformed(fakeengine.EmbeddingInfinite, "e1"), "search", floats, response.served},
+		{"one engine answers invalid base64", malformed(fakeengine.EmbeddingInvalidBase64, "e1"), "search", base64, response.served},
+		{"all engines answer too few embeddings", malformed(fakeengine.EmbeddingMissing, "e1", "e2", "e3"), "search", floats, response.rejected},
+		{"all engines answer too few embeddings, not idempotent", malformed(fakeengine.EmbeddingMissing, "e1", "e2", "e3"), "note", floats, response.failed},
+		{"one shard is invalid", nil, "search", invalid, invalidRequest},
+		{"one engine hangs", faults{"e1": {Hang: true}}, "search", floats, response.served},
+		{"all engines reject, not idempotent", rejecting, "note", floats, response.failed},
+		{"all engines reject", rejecting, "search", floats, response.rejected},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			w := start(t, embedders(3), "part_items = 64", "part_items = 10")
-			for name, f := range c.faults {
-				w.engine(name).SetFault(f)
-			}
-			r := w.post(context.Background(), "/v1/embeddings", c.class, c.body)
-			if !c.want(r) {
-				t.Error(r)
-			}
-			for name := range c.faults {
-				w.engine(name).SetFault(fakeengine.Fault{})
+		t.Run(test.name, func(t *testing.T) {
+			h := startHarness(t, embeddingAndRerankSpecs(3), smallShards...)
+			h.setFaults(test.faults)
+
+			received := h.send(request{path: embeddingsPath, class: test.class, body: test.body})
+
+			if !test.holds(received) {
+				t.Error(received)
 			}
-			if r := w.post(context.Background(), "/v1/embeddings", "search", `{"model":"demo-embed","input":"after"}`); !r.served() && !r.refused() {
-				t.Errorf("after: %v", r)
+			h.clearFaults(test.faults)
+			received = h.sendEmbeddings(`{"model":"demo-embed","input":"after"}`)
+			if !received.served() && !received.rejected() {
+				t.Errorf("next request: %v", received)
 			}
 		})
 	}
 }
 
-// TestScatteredRequestIsWithdrawnWhenItsClientLeaves: the client leaves
-// while shards wait, or when half are done; a drain meets it.
-func TestScatteredRequestIsWithdrawnWhenItsClientLeaves(t *testing.T) {
-	w := start(t, embedders(3), "part_items = 64", "part_items = 10")
-	for _, e := range w.FindEngines("pool:embeddings") {
-		e.SetFault(fakeengine.Fault{PrefillDelay: 500 * ms})
-	}
-	w.engine("e1").SetFault(fakeengine.Fault{})
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan reply)
-	body := `{"model":"demo-embed","input":` + inputs(160, "pipe") + `}`
-	go func() { done <- w.post(ctx, "/v1/embeddings", "search", body) }()
-	w.until("half done", func() bool { return w.engine("e1").Stats().Served > 0 && w.engine("e2").Stats().Waiting > 0 })
+// TestScatteredRequestIsCancelledWhenItsClientLeaves: the client leaves when some shards are computed and others wait.
+// The next request is served though an engine starts to drain.
+func TestScatteredRequestIsCancelledWhenItsClientLeaves(t *testing.T) {
+	h := startHarness(t, embeddingAndRerankSpecs(3), smallShards...)
+	h.setEmbeddingFaults(fakeengine.Fault{PrefillDelay: 500 * ms})
+	h.engine("e1").SetFault(fakeengine.Fault{})
+	r := request{path: embeddingsPath, class: "search", body: `{"model":"demo-embed","input":` + inputList(160, "pipe") + `}`}
+	responses := make(chan response)
+
+	ctx, cancel := context.WithCancel(t.Context())
+	abandoned := r
+	abandoned.ctx = ctx
+	go func() { responses <- h.send(abandoned) }()
+	h.waitUntil("some shards are computed", func() bool { return h.engine("e1").Stats().Served > 0 && h.engine("e2").Stats().Waiting > 0 })
 	cancel()
-	<-done
-	began := time.Now()
-	w.settle()
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("withdrawn after %v", took)
-	}
-	go func() { done <- w.post(context.Background(), "/v1/embeddings", "search", body) }()
-	w.until("parts wait", func() bool { return w.engine("e2").Stats().Waiting > 0 })
-	if err := w.SetState("draining", false, w.engine("e2")); err != nil {
-		t.Fatal(err)
-	}
-	if r := <-done; !r.served() {
-		t.Errorf("a drain met it: %v", r)
+	<-responses
+	h.expectIdleWithinASecond()
+
+	go func() { responses <- h.send(r) }()
+	h.waitUntil("shards wait", func() bool { return h.engine("e2").Stats().Waiting > 0 })
+	h.setState("draining", "e2")
+	received := <-responses
+	if !received.served() {
+		t.Errorf("request during a drain: %v", received)
 	}
 }
 
-// TestIdenticalRequestsAreCoalesced: identical requests at the same time are computed once, but not
-// across tenants or for classes that are not idempotent; one with little time is answered by its
-// own deadline and does not take the others with it; nor does one that leaves.
-func TestIdenticalRequestsAreCoalesced(t *testing.T) {
-	w := start(t, []fakeengine.Spec{embedder("e1")})
-	e := w.engine("e1")
-	body := `{"model":"demo-embed","input":"frozen pipe"}`
-	done := make(chan reply, 64)
-	send := func(ctx context.Context, class string, headers ...string) {
-		go func() { done <- w.post(ctx, "/v1/embeddings", class, body, headers...) }()
-	}
-	waiting := func(n int) func() bool { return func() bool { return e.Stats().Waiting == n } }
-	joined := func(n uint64) func() bool {
-		return func() bool { s, _ := w.Service.Router.Stats(); return s.CoalescedInputs == n }
-	}
-	e.SetFault(fakeengine.Fault{PrefillDelay: 400 * ms})
-	for range 20 {
-		send(context.Background(), "search")
-	}
-	w.until("19 follow one", joined(19))
-	send(context.Background(), "search", "X-Tenant", "other")
-	send(context.Background(), "note")
-	w.until("three are computed", waiting(3))
-	texts := map[string]bool{}
-	for range 22 {
-		r := <-done
-		if !r.served() {
-			t.Error(r)
-		}
-		var v struct{ Data json.RawMessage }
-		_ = json.Unmarshal([]byte(r.body), &v)
-		texts[string(v.Data)] = true
-	}
-	if n := e.Stats().Served; n != 3 || len(texts) != 1 {
-		t.Errorf("computed %d times, %d answers", n, len(texts))
-	}
+// TestShardOutOfTimeEndsTheRequestEarly: if a shard would miss the deadline, the request is rejected before it. The
+// shards of a request whose client has left are cancelled soon.
+func TestShardOutOfTimeEndsTheRequestEarly(t *testing.T) {
+	h := startHarness(t, embeddingAndRerankSpecs(2), smallShards...)
+	h.setEmbeddingFaults(fakeengine.Fault{Hang: true})
 
-	// The leader has little time; a follower has less.
-	send(context.Background(), "search", "X-Request-Deadline-Ms", "300")
-	w.until("it leads", waiting(1))
-	send(context.Background(), "search")
-	send(context.Background(), "search", "X-Request-Deadline-Ms", "150")
-	w.until("two follow", joined(21))
-	refused, served := 0, 0
-	for range 3 {
-		if r := <-done; r.refused() {
-			refused++
-		} else if r.served() {
-			served++
-		}
-	}
-	if refused != 2 || served != 1 {
-		t.Errorf("%d refused, %d served", refused, served)
+	received := h.send(request{path: embeddingsPath, class: "search", deadline: 800 * ms, body: `{"model":"demo-embed","input":` + inputList(60, "pipe") + `}`})
+
+	if !received.rejected() || received.elapsed > 850*ms {
+		t.Error(received)
 	}
+	h.setEmbeddingFaults(fakeengine.Fault{})
 
-	ctx, cancel := context.WithCancel(context.Background())
-	send(ctx, "search")
-	w.until("it leads", waiting(1))
-	send(context.Background(), "search")
-	w.until("another follows", joined(22))
+	ctx, cancel := context.WithCancel(t.Context())
+	h.engine("r1").SetFault(fakeengine.Fault{PrefillDelay: 500 * ms})
+	responses := make(chan response)
+	go func() {
+		responses <- h.send(request{ctx: ctx, path: rerankPath, class: "search", body: `{"model":"demo-rerank","query":"pipe","documents":` + inputList(900, "a frozen pipe") + `}`})
+	}()
+	h.waitUntil("some shards of the rerank are computed", func() bool { return h.engine("r2").Stats().Served > 0 && h.engine("r1").Stats().Waiting > 0 })
 	cancel()
-	for range 2 {
-		if r := <-done; r.err == nil && !r.served() {
-			t.Error(r)
-		}
-	}
-}
+	<-responses
+	h.expectIdleWithinASecond()
 
-// TestCrashingInputTakesNoMoreEnginesThanAttempts: an input that crashes each engine that meets it takes no more engines than
-// its class has attempts, and its client is told not to repeat it.
-func TestCrashingInputTakesNoMoreEnginesThanAttempts(t *testing.T) {
-	w := start(t, embedders(5), "[class search]\n", "[class search]\nmax_attempts = 2\n")
-	r := w.post(context.Background(), "/v1/embeddings", "search", `{"model":"demo-embed","input":["good","`+fakeengine.CrashMarker+`"]}`)
-	alive := 0
-	for _, e := range w.FindEngines("pool:embeddings") {
-		if c, err := net.Dial("tcp", e.Addr().String()); err == nil {
-			c.Close()
-			alive++
-		}
-	}
-	if !r.failed() || alive != 3 {
-		t.Errorf("%d of 5 engines left, %v", alive, r)
+	received = h.sendEmbeddings(`{"model":"nobody","input":"x"}`)
+	if received.status != http.StatusNotFound || !strings.Contains(received.body, "model_not_found") {
+		t.Error(received)
 	}
 }
 
-// TestRepeatedInputIsAnsweredFromTheCache: a repeated input is answered without an engine, not across tenants, not after the
-// model's revision has changed nor while engines differ in it; a flood of other inputs
-// does not take more than its bytes.
-func TestRepeatedInputIsAnsweredFromTheCache(t *testing.T) {
-	w := start(t, []fakeengine.Spec{embedder("e1"), embedder("e2")}, "models = demo-embed\n", "models = demo-embed\ncache_bytes = 50000\n")
-	hit := func(n int, headers ...string) bool {
-		r := w.post(context.Background(), "/v1/embeddings", "search", fmt.Sprintf(`{"model":"demo-embed","input":"pipe %d"}`, n), headers...)
-		if !r.served() {
-			t.Error(r)
-		}
-		return r.header.Get("X-Cache") == "hit"
-	}
-	if hit(0) || !hit(0) || hit(0, "X-Tenant", "other") || !hit(0, "X-Tenant", "other") {
-		t.Error("a repeat of a tenant's own, and of another's")
-	}
-	nodes := filepath.Join(w.Dir(), "nodes.ini")
-	text, err := os.ReadFile(nodes)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for i, list := range []string{
-		strings.ReplaceAll(string(text), "kind = embedder", "kind = embedder\nrevision = 2"),
-		strings.Replace(string(text), "kind = embedder", "kind = embedder\nrevision = 2", 1),
-	} {
-		if err := os.WriteFile(nodes, []byte(list), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		w.until("a list that voids the answer", func() bool { return !hit(0) })
-		if again := hit(0); again != (i == 0) {
-			t.Errorf("list %d: hit again: %v", i, again)
-		}
-	}
-	if err := os.WriteFile(nodes, text, 0o644); err != nil {
-		t.Fatal(err)
-	}
-	w.until("one revision again", func() bool { return hit(0) })
-	for n := range 1500 {
-		hit(n + 1)
-		if s, err := w.Service.Router.Stats(); err != nil || s.CacheBytes > 50_000 {
-			t.Fatalf("%d bytes after %d inputs, %v", s.CacheBytes, n, err)
-		}
-	}
-	if s, _ := w.Service.Router.Stats(); s.CacheBytes < 25_000 {
-		t.Errorf("only %d bytes used", s.CacheBytes)
-	}
-}
-
-// BenchmarkShards measures one request of 2,048 inputs, split and not, over 1 to 4 engines.
+// BenchmarkShards measures one request of 2,048 inputs for 1 to 4 engines and several sizes of shards, of which the
+// largest does not scatter it.
 func BenchmarkShards(b *testing.B) {
-	body := `{"model":"demo-embed","encoding_format":"base64","input":` + inputs(2048, "an outage note of a dozen words or so about a frozen pipe") + `}`
-	for _, n := range []int{1, 2, 4} {
-		for _, size := range []int{2048, 512, 128, 32} {
-			b.Run(fmt.Sprintf("engines=%d/part=%d", n, size), func(b *testing.B) {
-				settings := strings.Replace(fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "error"), "part_items = 64\npart_tokens = 4000\nparts = 256\n", fmt.Sprintf("part_items = %d\nparts = 64\n", size), 1)
-				specs := embedders(n)
-				for i := range specs {
-					specs[i].PrefillTokensPerSecond, specs[i].MaxWaiting = 400_000, 100
-				}
-				w, err := demo.Start(demo.Options{Specs: specs, Settings: settings, Log: io.Discard})
-				if err != nil {
-					b.Fatal(err)
-				}
-				defer w.Close()
+	const inputs = 2048
+	body := `{"model":"demo-embed","encoding_format":"base64","input":` + inputList(inputs, "an outage note of a dozen words or so about a frozen pipe") + `}`
+	for _, engines := range []int{1, 2, 4} {
+		for _, shardInputs := range []int{2048, 512, 128, 32} {
+			b.Run(fmt.Sprintf("engines=%d/part=%d", engines, shardInputs), func(b *testing.B) {
+				cluster := startBenchmarkCluster(b, engines, shardInputs)
 				for b.Loop() {
-					resp, err := http.Post("http://"+w.Service.Router.Addr()+"/v1/embeddings", "application/json", strings.NewReader(body))
-					if err != nil || resp.StatusCode != 200 {
-						b.Fatal(resp, err)
+					httpResponse, err := http.Post("http://"+cluster.Service.Router.Addr()+embeddingsPath, "application/json", strings.NewReader(body))
+					if err != nil || httpResponse.StatusCode != http.StatusOK {
+						b.Fatal(httpResponse, err)
 					}
-					_, _ = io.Copy(io.Discard, resp.Body)
-					resp.Body.Close()
+					_, _ = io.Copy(io.Discard, httpResponse.Body)
+					httpResponse.Body.Close()
 				}
-				b.ReportMetric(2048/b.Elapsed().Seconds()*float64(b.N), "inputs/s")
+				b.ReportMetric(inputs/b.Elapsed().Seconds()*float64(b.N), "inputs/s")
 			})
 		}
 	}
 }
 
-// TestPipelinedAnswersComeInOrderAndLargeBodiesAreRejected: a client that pipelines a hundred requests gets a hundred answers
-// in order; 32 MB of content are rejected, told ahead or in chunks, and cost no memory.
-func TestPipelinedAnswersComeInOrderAndLargeBodiesAreRejected(t *testing.T) {
-	w := start(t, embedders(2))
-	const n = 100
-	var all strings.Builder
-	for i := range n {
-		body := fmt.Sprintf(`{"model":"demo-embed","dimensions":%d,"input":"pipe"}`, i+1)
-		fmt.Fprintf(&all, "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	}
-	c, err := net.Dial("tcp", w.Service.Router.Addr())
+// startBenchmarkCluster starts a router with so many engines for embeddings and so many inputs in a shard. It ends with
+// the benchmark.
+func startBenchmarkCluster(b *testing.B, engines, shardInputs int) *demo.Cluster {
+	b.Helper()
+	settings := strings.Replace(fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "error"),
+		"part_items = 64\npart_tokens = 4000\nparts = 256\n", fmt.Sprintf("part_items = %d\nparts = 64\n", shardInputs), 1)
+	specs := embeddingAndRerankSpecs(engines)
+	for i := range specs {
+		specs[i].PrefillTokensPerSecond, specs[i].MaxWaiting = 400_000, 100
+	}
+	cluster, err := demo.Start(demo.Options{Specs: specs, Settings: settings, Log: io.Discard})
 	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	if _, err := io.WriteString(c, all.String()); err != nil {
-		t.Fatal(err)
-	}
-	in := bufio.NewReader(c)
-	for i := range n {
-		resp, err := http.ReadResponse(in, nil)
-		if err != nil {
-			t.Fatal(i, err)
-		}
-		var v struct {
-			Data []struct{ Embedding []float64 }
-		}
-		if err := json.NewDecoder(resp.Body).Decode(&v); err != nil || len(v.Data) != 1 || len(v.Data[0].Embedding) != i+1 {
-			t.Fatalf("answer %d: %d, %v, %v", i, resp.StatusCode, v, err)
-		}
-		_, _ = io.Copy(io.Discard, resp.Body)
+		b.Fatal(err)
 	}
-	for _, head := range []string{"Content-Length: 33554432\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n2000000\r\n"} {
-		c, err := net.Dial("tcp", w.Service.Router.Addr())
+	b.Cleanup(func() {
+		err := cluster.Close()
 		if err != nil {
-			t.Fatal(err)
-		}
-		_, _ = io.WriteString(c, "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\n"+head)
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err != nil || resp.StatusCode != 413 {
-			t.Errorf("%q: %v, %v", head, resp, err)
+			b.Error(err)
 		}
-		c.Close()
-	}
-	if s, err := w.Service.Router.Stats(); err != nil || s.BufferedBytes > 0 {
-		t.Errorf("%d bytes held, %v", s.BufferedBytes, err)
-	}
+	})
+	return cluster
 }
