--- /dev/null
+++ b/control/golden_simulation_test.go
@@ -0,0 +1,292 @@
+package control_test
+
+import (
+	"cmp"
+	"container/heap"
+	"math/rand/v2"
+	"time"
+
+	"martenlock/control"
+)
+
+// clientRequest is a request as its client sees it.
+type clientRequest struct {
+	control.Request
+	router    int
+	tokens    control.Tokens // length of its answer
+	attempts  []*attempt
+	prefilled bool // its KV state is at a prefill engine
+	finished  bool // answered, or its client left
+	resets    int  // attempts that ended with their connection
+}
+
+// delivery is an event on its way to a router, or a step of the simulation itself.
+type delivery struct {
+	at     control.Time
+	router int
+	number int
+	event  control.Event
+	step   func() control.Event // makes the event at delivery, or nil for none; nil if event is set
+}
+
+// agenda is a heap of deliveries by time, router and number. It implements heap.Interface.
+type agenda []*delivery
+
+func (h agenda) Len() int { return len(h) }
+func (h agenda) Less(i, j int) bool {
+	a, b := h[i], h[j]
+	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.router, b.router), cmp.Compare(a.number, b.number)) < 0
+}
+func (h agenda) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *agenda) Push(x any) {
+	*h = append(*h, x.(*delivery)) //nolint:forcetypeassert // only simulation.schedule pushes
+}
+
+func (h *agenda) Pop() any {
+	last := len(*h) - 1
+	first := (*h)[last]
+	*h = (*h)[:last]
+	return first
+}
+
+// simulation plays a script: clients and engines around some routers, on a virtual clock.
+type simulation struct {
+	script     *script
+	settings   control.Settings
+	rng        *rand.Rand
+	startedAt  control.Time
+	now        control.Time
+	agenda     agenda
+	deliveries int
+	routers    []*control.Router
+	engines    []*engine
+	byID       map[control.EndpointID]*engine
+	requests   map[control.RequestID]*clientRequest
+	lastID     control.RequestID
+	observe    observer
+}
+
+// observer receives the actions of one instant of a router.
+type observer func(now control.Time, router int, actions []control.Action)
+
+// newSimulation returns a simulation whose routers know all engines of the script.
+func newSimulation(played *script, observe observer) *simulation {
+	s := &simulation{
+		script:    played,
+		settings:  goldenSettings(played.seed),
+		rng:       rand.New(rand.NewPCG(played.seed, 77)),
+		startedAt: 5_000_000,
+		now:       5_000_000,
+		byID:      map[control.EndpointID]*engine{},
+		requests:  map[control.RequestID]*clientRequest{},
+		observe:   observe,
+	}
+	if played.configure != nil {
+		played.configure(&s.settings)
+	}
+	for _, entry := range played.endpoints {
+		s.addEngine(entry)
+	}
+	for i := range max(played.instances, 1) {
+		settings := s.settings
+		settings.Identity.Seed, settings.Identity.Rank = played.seed*1000+uint64(i)<<33+uint64(i), i
+		s.routers = append(s.routers, control.New(settings, s.now))
+		s.send(i, 0, control.EndpointUpdate{Endpoints: s.list(), Full: true})
+	}
+	return s
+}
+
+// addEngine adds an engine by its entry in the endpoint list.
+func (s *simulation) addEngine(entry control.Endpoint) *engine {
+	e := &engine{entry: entry, prefixCache: map[uint64]control.Tokens{}}
+	s.engines = append(s.engines, e)
+	s.byID[entry.ID] = e
+	return e
+}
+
+// list returns the endpoint list.
+func (s *simulation) list() (list []control.Endpoint) {
+	for _, e := range s.engines {
+		list = append(list, e.entry)
+	}
+	return list
+}
+
+func (s *simulation) elapsed() time.Duration { return s.now.Sub(s.startedAt) }
+
+// chance reports true with a probability.
+func (s *simulation) chance(probability float64) bool { return s.rng.Float64() < probability }
+
+// schedule puts a delivery on the agenda. A script's quantum makes many fall on one instant.
+func (s *simulation) schedule(d *delivery, after time.Duration) {
+	d.at = s.now.Add(after)
+	if quantum := control.Time(s.script.quantum.Microseconds()); quantum > 0 {
+		d.at = (d.at + quantum - 1) / quantum * quantum
+	}
+	s.deliveries++
+	d.number = s.deliveries
+	heap.Push(&s.agenda, d)
+}
+
+// send delivers an event to a router.
+func (s *simulation) send(router int, after time.Duration, event control.Event) {
+	s.schedule(&delivery{router: router, event: event}, after)
+}
+
+// plan delivers an event that a step makes by then.
+func (s *simulation) plan(router int, after time.Duration, step func() control.Event) {
+	s.schedule(&delivery{router: router, step: step}, after)
+}
+
+// run plays the script to its end.
+func (s *simulation) run() {
+	for _, change := range s.script.changes {
+		s.plan(0, change.at, func() control.Event { change.apply(s); return nil })
+	}
+	s.plan(0, s.interval(), s.arrivals)
+	for s.elapsed() < s.script.length && len(s.agenda) > 0 {
+		s.step()
+	}
+}
+
+// step passes one router all events of one instant.
+func (s *simulation) step() {
+	at, router := s.agenda[0].at, s.agenda[0].router
+	s.now = at
+	var events []control.Event
+	for len(s.agenda) > 0 && s.agenda[0].at == at && s.agenda[0].router == router {
+		next := heap.Pop(&s.agenda).(*delivery) //nolint:forcetypeassert // Pop returns nothing else
+		if next.step != nil {
+			next.event = next.step()
+		}
+		if next.event != nil {
+			events = append(events, next.event)
+		}
+	}
+	if len(events) == 0 {
+		return
+	}
+	actions := s.routers[router].Handle(s.now, events)
+	s.observe(s.now, router, actions)
+	for _, action := range actions {
+		s.perform(router, action)
+	}
+}
+
+// perform carries out an action of a router.
+func (s *simulation) perform(router int, action control.Action) {
+	switch action := action.(type) {
+	case control.Forward:
+		s.start(s.requests[action.ID], s.byID[action.Endpoint], action.Timeout)
+	case control.Reject:
+		s.rejected(s.requests[action.ID], action.RetryAfter)
+	case control.Fail:
+		s.requests[action.ID].finished = true
+	case control.CancelAttempt:
+		s.cancel(s.requests[action.ID], action.Attempt)
+	case control.SetTimer:
+		s.send(router, action.After, control.Timer{Token: action.Token})
+	case control.HealthCheck:
+		s.checkHealth(router, s.byID[action.Endpoint])
+	case control.SubscribeEndpoints:
+		s.subscribe(router)
+	}
+}
+
+// subscribe answers a subscription with the whole list, or breaks it.
+func (s *simulation) subscribe(router int) {
+	s.plan(router, 50*time.Millisecond, func() control.Event {
+		if s.chance(s.script.subscriptionFails) {
+			return control.SubscriptionFailed{}
+		}
+		return control.EndpointUpdate{Endpoints: s.list(), Full: true}
+	})
+}
+
+// announce sends entries of the list to all routers, to each a little later than to the one before.
+func (s *simulation) announce(full bool, list ...control.Endpoint) {
+	for i := range s.routers {
+		s.send(i, time.Duration(i)*time.Millisecond, control.EndpointUpdate{Endpoints: list, Full: full})
+	}
+}
+
+// interval draws the time to the next arrival.
+func (s *simulation) interval() time.Duration {
+	return time.Duration(s.rng.ExpFloat64() / s.script.rate * float64(time.Second))
+}
+
+// arrivals adds a client, or a burst of clients, and plans the next.
+func (s *simulation) arrivals() control.Event {
+	count := 1
+	if s.chance(s.script.burstChance) {
+		count = s.script.burst
+	}
+	for range count {
+		s.arrive(s.newRequest())
+	}
+	pause := s.interval()
+	if every := s.script.pauseEvery; every > 0 && s.elapsed()%every > every/5 {
+		pause = every - s.elapsed()%every + time.Duration(s.rng.Float64()*float64(every/10))
+	}
+	s.plan(0, pause, s.arrivals)
+	return nil
+}
+
+// newRequest draws a request.
+func (s *simulation) newRequest() *clientRequest {
+	script := s.script
+	c := &clientRequest{router: s.rng.IntN(len(s.routers))}
+	c.Class, c.Tenant = s.rng.IntN(len(s.settings.Classes)), s.rng.IntN(len(s.settings.Tenants))
+	if script.sessions > 0 && s.chance(0.8) {
+		c.SessionID = 1 + s.rng.Uint64N(script.sessions)
+		c.router = int(c.SessionID) % len(s.routers)
+	}
+	c.PromptTokens = control.Tokens(50 + s.rng.ExpFloat64()*script.promptMean)
+	if s.chance(script.largePrompts) {
+		c.PromptTokens *= 1000
+	}
+	if script.prefixes > 0 && s.chance(0.7) {
+		c.PrefixHash = 1 + min(s.rng.Uint64N(script.prefixes), s.rng.Uint64N(script.prefixes))
+		c.PrefixTokens = c.PromptTokens * 0.6
+	}
+	c.MaxTokens = control.Tokens(20 + s.rng.ExpFloat64()*script.answerMean)
+	c.tokens = 1 + c.MaxTokens*control.Tokens(s.rng.Float64())
+	c.Resumed = s.chance(0.03)
+	return c
+}
+
+// arrive passes a request to its router and plans when its client leaves.
+func (s *simulation) arrive(c *clientRequest) {
+	s.lastID++
+	c.ID = s.lastID
+	timeout := s.settings.Classes[c.Class].Deadline
+	c.Deadline = s.now.Add(timeout)
+	s.requests[c.ID] = c
+	s.send(c.router, 0, c.Request)
+	if s.chance(s.script.earlyLeaves) {
+		timeout = time.Duration(s.rng.Float64() * float64(timeout) / 2)
+	}
+	s.plan(c.router, timeout, func() control.Event { return s.leave(c) })
+}
+
+// leave makes the event that a client left, if it still waits.
+func (s *simulation) leave(c *clientRequest) control.Event {
+	if c.finished {
+		return nil
+	}
+	c.finished = true
+	return control.ClientGone{ID: c.ID}
+}
+
+// rejected lets some clients send the request again after Retry-After.
+func (s *simulation) rejected(c *clientRequest, retryAfter time.Duration) {
+	c.finished = true
+	if !s.chance(0.3) || retryAfter > 10*time.Second {
+		return
+	}
+	again := &clientRequest{Request: c.Request, router: c.router, tokens: c.tokens}
+	if s.chance(0.2) { // continued as part of a batch
+		again.PriorAttempts, again.PriorResets = min(len(c.attempts), 2), min(c.resets, len(c.attempts), 2)
+	}
+	s.plan(c.router, retryAfter, func() control.Event { s.arrive(again); return nil })
+}
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -23,70 +23,72 @@
 
 var updateGolden = flag.Bool("update", false, "write the golden file of decisions")
 
-// recorder writes the decisions of one script: each window's actions by kind, and a running hash of
-// every action so far.
+// recorder writes the decisions of one script: each window's actions by kind, and a running hash of every action
+// so far.
 type recorder struct {
-	t      *testing.T
-	lines  []string
-	hash   hash.Hash
-	began  instant
-	window int
-	counts tally
-	number uint32
-	full   bool
+	t         *testing.T
+	lines     []string
+	hash      hash.Hash
+	startedAt control.Time
+	window    int
+	counts    tally
+	number    uint32 // of the latest reply
+	full      bool   // each action is written too
 }
 
-func (rec *recorder) observe(now instant, router int, actions []control.Action) {
-	for window := int(now.Sub(rec.began) / goldenWindow); rec.window < window; {
-		rec.closeWindow()
+// observe records the actions of one instant of a router.
+func (r *recorder) observe(now control.Time, router int, actions []control.Action) {
+	for window := int(now.Sub(r.startedAt) / goldenWindow); r.window < window; {
+		r.closeWindow()
 	}
-	rec.number++
-	reply := simwire.Reply{Number: rec.number}
-	for _, a := range actions {
-		reply.Records = append(reply.Records, simwire.Action{Router: uint16(router), Body: simwire.ModuleAction{Action: a}})
-		rec.counts.add(a)
-		if rec.full {
-			rec.lines = append(rec.lines, fmt.Sprintf("  %v %s", now.Sub(rec.began), describe(a)))
+	r.number++
+	reply := simwire.Reply{Number: r.number}
+	for _, action := range actions {
+		reply.Records = append(reply.Records, simwire.Action{Router: uint16(router), Body: simwire.ModuleAction{Action: action}})
+		r.counts.add(action)
+		if r.full {
+			r.lines = append(r.lines, fmt.Sprintf("  %v %s", now.Sub(r.startedAt), describe(action)))
 		}
 	}
-	rec.encode(now, reply, actions)
+	r.encode(now, reply, actions)
 }
 
 // encode hashes the time, the reply on the wire, and what the wire does not carry.
-func (rec *recorder) encode(now instant, reply simwire.Reply, actions []control.Action) {
+func (r *recorder) encode(now control.Time, reply simwire.Reply, actions []control.Action) {
 	frame := binary.LittleEndian.AppendUint64(nil, uint64(now))
 	frame, err := simwire.AppendReply(frame, reply)
 	if err != nil {
-		rec.t.Fatalf("encode a reply: %v", err)
+		r.t.Fatalf("encode a reply: %v", err)
 	}
-	for _, a := range actions {
-		if send, ok := a.(control.Forward); ok {
-			frame = binary.LittleEndian.AppendUint64(frame, uint64(send.SendWithin))
+	for _, action := range actions {
+		if forward, ok := action.(control.Forward); ok {
+			frame = binary.LittleEndian.AppendUint64(frame, uint64(forward.SendWithin))
 		}
 	}
-	rec.hash.Write(frame)
+	r.hash.Write(frame)
 }
 
 // closeWindow writes the line of a window.
-func (rec *recorder) closeWindow() {
-	line := fmt.Sprintf("%d %v %x", rec.window, rec.counts, rec.hash.Sum(nil)[:6])
-	rec.lines = append(rec.lines, line)
-	rec.window++
-	rec.counts = tally{}
+func (r *recorder) closeWindow() {
+	r.lines = append(r.lines, fmt.Sprintf("%d %v %x", r.window, &r.counts, r.hash.Sum(nil)[:6]))
+	r.window++
+	r.counts = tally{}
 }
 
 // playGolden plays a script and returns its lines.
-func playGolden(t *testing.T, sc *script) []string {
-	rec := &recorder{t: t, hash: sha256.New(), full: sc.name == goldenFull}
-	s := newService(sc, rec.observe)
-	rec.began = s.began
+func playGolden(t *testing.T, played *script) []string {
+	t.Helper()
+	r := &recorder{t: t, hash: sha256.New(), full: played.name == goldenFull}
+	s := newSimulation(played, r.observe)
+	r.startedAt = s.startedAt
 	s.run()
-	rec.closeWindow()
-	return rec.lines
+	r.closeWindow()
+	return r.lines
 }
 
 // readGolden returns the golden file's lines by script.
 func readGolden(t *testing.T) map[string][]string {
+	t.Helper()
 	data, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
@@ -104,8 +106,8 @@
 	return sections
 }
 
-// TestGoldenDecisions compares every action of the seeded scripts with the golden file. A change of
-// decisions that is meant is recorded by `go test ./control -run Golden -update`.
+// TestGoldenDecisions compares every action of the seeded scripts with the golden file. An intended change of
+// decisions is recorded by `go test ./control -run Golden -update`.
 func TestGoldenDecisions(t *testing.T) {
 	if *updateGolden {
 		writeGolden(t)
@@ -116,13 +118,14 @@
 	if len(golden) != len(scripts) {
 		t.Errorf("%s has %d scripts, the test %d", goldenFile, len(golden), len(scripts))
 	}
-	for _, sc := range scripts {
-		t.Run(sc.name, func(t *testing.T) { compareLines(t, golden[sc.name], playGolden(t, sc)) })
+	for _, played := range scripts {
+		t.Run(played.name, func(t *testing.T) { compareLines(t, golden[played.name], playGolden(t, played)) })
 	}
 }
 
 // compareLines reports the first difference.
 func compareLines(t *testing.T, want, got []string) {
+	t.Helper()
 	for i := range max(len(want), len(got)) {
 		if i >= len(want) || i >= len(got) {
 			t.Fatalf("%d lines, want %d", len(got), len(want))
@@ -135,9 +138,10 @@
 
 // writeGolden writes the golden file anew.
 func writeGolden(t *testing.T) {
+	t.Helper()
 	var text strings.Builder
-	for _, sc := range goldenScripts() {
-		fmt.Fprintf(&text, "# %s\n%s\n", sc.name, strings.Join(playGolden(t, sc), "\n"))
+	for _, played := range goldenScripts() {
+		fmt.Fprintf(&text, "# %s\n%s\n", played.name, strings.Join(playGolden(t, played), "\n"))
 	}
 	if err := os.MkdirAll("testdata", 0o755); err != nil {
 		t.Fatal(err)
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -118,8 +118,8 @@
 }
 
 // startAnswer starts the answer of a decode attempt, the second of its request, after a while.
-func (h *harness) startAnswer(after time.Duration, decode Forward) []Action {
-	return h.handle(after, AnswerStarted{ID: decode.ID, Endpoint: decode.Endpoint, Attempt: 1, Elapsed: after})
+func (h *harness) startAnswer(after time.Duration, decode Forward) {
+	h.handle(after, AnswerStarted{ID: decode.ID, Endpoint: decode.Endpoint, Attempt: 1, Elapsed: after})
 }
 
 // answer ends an attempt with a whole answer after a while.
