--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -64,8 +64,8 @@
 	h.waitOnLoop("an engine to be back", func() bool { return h.stateOf(other) == control.Ready })
 }
 
-// TestWatchReadsIndentedListInPieces holds that a list over many lines, in pieces, is applied, and
-// that the watch goes on.
+// TestWatchReadsIndentedListInPieces: a list over many lines, in pieces, is applied, and
+// the watch goes on.
 func TestWatchReadsIndentedListInPieces(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	h.revision = 2
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestRepeatedListKeepsIdleConnections holds that a repeated list does not make engines look
+// TestRepeatedListKeepsIdleConnections: a repeated list does not make engines look
 // restarted.
 func TestRepeatedListKeepsIdleConnections(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
@@ -154,8 +154,8 @@
 	}
 )
 
-// TestEndpointUpdateArrivesInTimeThoughCallsHang holds whatever phase of discovery's calls is
-// cut: the watch becomes unresponsive, or half a message comes a byte at a time for ever, the next
+// TestEndpointUpdateArrivesInTimeThoughCallsHang: an update arrives in time although the watch becomes
+// unresponsive, or half a message arrives a byte at a time for ever, and the next
 // calls hang before or after their heads.
 func TestEndpointUpdateArrivesInTimeThoughCallsHang(t *testing.T) {
 	const notifiedWithin = 6 * time.Second
@@ -255,7 +255,7 @@
 	}
 }
 
-// TestEngineDrainsThoughRestOfEntryIsUnusable holds that the end of an engine counts by itself.
+// TestEngineDrainsThoughRestOfEntryIsUnusable: the end of an engine counts by itself.
 func TestEngineDrainsThoughRestOfEntryIsUnusable(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
 	engine := h.engines[1]
--- a/internal/platform/endpointlist_test.go
+++ b/internal/platform/endpointlist_test.go
@@ -8,8 +8,8 @@
 	"martenlock/internal/platformsettings"
 )
 
-// TestUnusableEntriesAreReportedAndOthersHold holds that each entry that is left out is named
-// with its field.
+// TestUnusableEntriesAreReportedAndOthersHold: an entry that is left out is reported with its
+// field, and the others apply.
 func TestUnusableEntriesAreReportedAndOthersHold(t *testing.T) {
 	settings := &platformsettings.Settings{KindNames: []string{"w1"}, ZoneNames: []string{"a"}}
 	noStart := func(int64) control.Time { return 0 }
@@ -22,7 +22,9 @@
 	} {
 		bad := endpointEntry{ID: c.id, HostPort: c.address, Kind: c.kind, Phase: c.phase}
 		message := endpointListMessage{Revision: 3, Complete: true, Entries: []endpointEntry{bad, good}}
+
 		update, err := message.update(settings, noStart)
+
 		if len(update.Endpoints) != 1 || update.Endpoints[0].ID != good.endpointID() || update.Endpoints[0].Zone != 1 || update.Revision != 3 || !update.Complete {
 			t.Errorf("%+v: %+v", c, update)
 		}
--- a/internal/platform/jsonstream_test.go
+++ b/internal/platform/jsonstream_test.go
@@ -58,8 +58,10 @@
 	f.Add([]byte("{\"a\":[]}\n\n{\n\"b\": \"}\"\n}"), 5)
 	f.Fuzz(func(t *testing.T, b []byte, at int) {
 		at = min(max(at, 0), len(b))
+
 		uncut, uncutIsValid := splitInPieces(&jsonStream{maxObjectBytes: 100}, string(b))
 		cut, cutIsValid := splitInPieces(&jsonStream{maxObjectBytes: 100}, string(b), at)
+
 		if uncutIsValid != cutIsValid || uncutIsValid && fmt.Sprint(uncut) != fmt.Sprint(cut) {
 			t.Errorf("%v %q, and cut at %d: %v %q", uncutIsValid, uncut, at, cutIsValid, cut)
 		}
--- a/internal/platform/signals_test.go
+++ b/internal/platform/signals_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"io"
 	"os"
 	"os/exec"
 	"strings"
@@ -45,25 +46,17 @@
 			if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			exe, err := os.Executable()
-			if err != nil {
-				t.Fatal(err)
-			}
-			cmd := exec.Command(exe)
-			cmd.Env = append(os.Environ(), routerProcessVariable+"=1", "PROXY_CONFIG="+pipe)
 			var log strings.Builder
-			cmd.Stderr = &log
-			if err := cmd.Start(); err != nil {
-				t.Fatal(err)
-			}
+			command := startServeProcess(t, pipe, &log)
 			ended := make(chan error, 1)
-			go func() { ended <- cmd.Wait() }()
+			go func() { ended <- command.Wait() }()
+
 			f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // the server reads its file: it has registered for signals
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, s := range signals {
-				if err := cmd.Process.Signal(s); err != nil {
+				if err := command.Process.Signal(s); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -71,15 +64,32 @@
 				t.Fatal(err)
 			}
 			f.Close()
+
 			select {
 			case err := <-ended:
 				if err != nil {
 					t.Errorf("%v: %s", err, log.String())
 				}
 			case <-time.After(15 * time.Second):
-				_ = cmd.Process.Kill()
+				_ = command.Process.Kill()
 				t.Errorf("it does not end: %s", log.String())
 			}
 		})
 	}
 }
+
+// startServeProcess starts a process that serves with the configuration at a path, and logs to log.
+func startServeProcess(t *testing.T, configPath string, log io.Writer) *exec.Cmd {
+	t.Helper()
+	executable, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	command := exec.Command(executable)
+	command.Env = append(os.Environ(), routerProcessVariable+"=1", "PROXY_CONFIG="+configPath)
+	command.Stderr = log
+	if err := command.Start(); err != nil {
+		t.Fatal(err)
+	}
+	return command
+}
--- /dev/null
+++ b/internal/platform/silentproxy_test.go
@@ -0,0 +1,96 @@
+package platform
+
+import (
+	"net"
+	"sync"
+	"testing"
+
+	"martenlock/internal/enginetest"
+)
+
+// silentProxy forwards connections to an engine until it is cut. Then it accepts all bytes and
+// forwards none, and no connection ends.
+type silentProxy struct {
+	listener *enginetest.Listener
+	target   string
+
+	mu       sync.Mutex
+	clients  []*net.TCPConn
+	engines  []net.Conn
+	isCut    bool
+	isClosed bool
+}
+
+// startSilentProxy starts a proxy in front of an engine's address.
+func startSilentProxy(t *testing.T, target string) *silentProxy {
+	t.Helper()
+	p := &silentProxy{target: target}
+	p.listener = enginetest.Listen(t, p.serve)
+	t.Cleanup(p.closeEngineConns)
+	return p
+}
+
+// serve forwards one connection in both directions.
+func (p *silentProxy) serve(client *net.TCPConn) {
+	engine, err := net.Dial("tcp", p.target)
+	if err != nil {
+		return
+	}
+	p.mu.Lock()
+	p.clients = append(p.clients, client)
+	p.engines = append(p.engines, engine)
+	if p.isClosed {
+		engine.Close()
+	}
+	p.mu.Unlock()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(client, engine) })
+	directions.Go(func() { p.forward(engine, client) })
+	directions.Wait()
+}
+
+// forward forwards one direction.
+func (p *silentProxy) forward(from, to net.Conn) {
+	buffer := make([]byte, 64<<10)
+	for {
+		n, err := from.Read(buffer)
+		p.mu.Lock()
+		isCut := p.isCut
+		p.mu.Unlock()
+		if !isCut && n > 0 {
+			_, _ = to.Write(buffer[:n]) // its end shows in the other direction
+		}
+		if err != nil {
+			if !isCut {
+				to.Close()
+			}
+			return
+		}
+	}
+}
+
+// setCut sets whether the proxy forwards nothing of what arrives from now on.
+func (p *silentProxy) setCut(isCut bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.isCut = isCut
+}
+
+// reset resets the connections that clients have made so far.
+func (p *silentProxy) reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, client := range p.clients {
+		enginetest.Reset(client)
+	}
+	p.clients = nil
+}
+
+func (p *silentProxy) closeEngineConns() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.isClosed = true
+	for _, conn := range p.engines {
+		conn.Close()
+	}
+}
--- a/internal/platform/warninglimiter_test.go
+++ b/internal/platform/warninglimiter_test.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
-// TestRecurringWarningIsLimitedAndLoggedAgain holds that a condition that lasts is logged once in
-// a while, also after very many kinds of warnings.
+// TestRecurringWarningIsLimitedAndLoggedAgain: a condition that lasts is logged once in
+// warningInterval, also after very many kinds of warnings.
 func TestRecurringWarningIsLimitedAndLoggedAgain(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	h.runOnLoop(func() {
 		for i := range 2 * maxWarningKinds {
 			h.server.warn(warning{message: fmt.Sprint("kind ", i)}, nil)
 		}
+
 		lastLogged := h.server.warnings.lastLogged
 		if n := len(lastLogged); n != maxWarningKinds {
 			t.Errorf("%d kinds are remembered", n)
 		}
+
 		kind := warning{message: "kind 0"}
 		longAgo := h.server.loop.Now() - 2*warningInterval
 		lastLogged[kind] = longAgo
@@ -28,7 +30,7 @@
 	})
 }
 
-// TestWarningLimiterSeparatesKinds holds that one kind within its interval does not hide another.
+// TestWarningLimiterSeparatesKinds: one kind within its interval does not hide another.
 func TestWarningLimiterSeparatesKinds(t *testing.T) {
 	var limiter warningLimiter
 	unavailable := warning{message: "status", status: 503}
