--- a/internal/demo/faultscenario_test.go
+++ b/internal/demo/faultscenario_test.go
@@ -134,9 +134,9 @@
 
 func TestScenarioErrorsNameFileSectionAndKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{"what = hang", "what = melt", `s.ini: [fault cut] what: "melt" is none of burst, die, errors`},
-		{"engines = zone:b", "", "[fault cut] engines: is missing"},
-		{"prompt = 50-600", "prompt = 600-50", "[load ask] prompt: must be a range"},
+		{"what = hang", "what = melt", `s.ini: [fault cut] what: unknown fault "melt", known are burst, die, errors`},
+		{"engines = zone:b", "", "[fault cut] engines: missing value, want names"},
+		{"prompt = 50-600", "prompt = 600-50", `[load ask] prompt: invalid range "600-50", want tokens such as 100-1000`},
 		{"api = rerank", "api = rank", `[load rank] api: unknown api "rank", known are chat`},
 		{"[day]", "[night]", "s.ini: [night]: unknown section"},
 	} {
--- a/internal/demo/parsescenario.go
+++ b/internal/demo/parsescenario.go
@@ -1,7 +1,6 @@
 package demo
 
 import (
-	"errors"
 	"strconv"
 	"strings"
 	"time"
@@ -14,9 +13,6 @@
 // maxPromptTokens bounds the prompts of a scenario file, so that their texts fit in memory.
 const maxPromptTokens = 1 << 20
 
-// errPromptRange is the error of an invalid value of the key prompt.
-var errPromptRange = errors.New("must be a range of tokens such as 100-1000")
-
 // ParseScenario parses a scenario file. docs/operating.md explains its keys. Errors name the file by name, the section and
 // the key.
 func ParseScenario(name string, text []byte) (*Scenario, error) {
@@ -38,7 +34,7 @@
 		scenario.Faults = append(scenario.Faults, parseFault(section))
 	}
 	if len(scenario.Loads) == 0 {
-		file.AddError("no section [load NAME]")
+		file.AddError("%w section [load NAME]", inifile.ErrMissing)
 	}
 	return scenario, file.Err("day", "load", "fault")
 }
@@ -59,29 +55,25 @@
 		SlowReaderShare: section.Float("slow", 0, 0, 1),
 		API:             openai.API(section.Choice("api", "", openai.APINames()...)),
 	}
-	var err error
-	load.MinPromptTokens, load.MaxPromptTokens, err = parsePromptRange(section.Text("prompt", "100-1000"))
-	if err != nil {
-		section.AddError("prompt", "%v", err)
+	promptRange := section.Text("prompt", "100-1000")
+	var isRange bool
+	load.MinPromptTokens, load.MaxPromptTokens, isRange = parsePromptRange(promptRange)
+	if !isRange {
+		section.AddError("prompt", "%w range %q, want tokens such as 100-1000", inifile.ErrInvalid, promptRange)
 	}
 	return load
 }
 
-// parsePromptRange parses a range of tokens such as 100-1000, which includes both ends.
-func parsePromptRange(text string) (low, high int, err error) {
+// parsePromptRange parses a range of tokens such as 100-1000, which includes both ends. It reports
+// whether text is one.
+func parsePromptRange(text string) (low, high int, isRange bool) {
 	lowText, highText, _ := strings.Cut(text, "-")
-	low, err = strconv.Atoi(lowText)
-	if err != nil {
-		return 0, 0, errPromptRange
-	}
-	high, err = strconv.Atoi(highText)
-	if err != nil {
-		return 0, 0, errPromptRange
-	}
-	if low < 1 || high < low || high > maxPromptTokens {
-		return 0, 0, errPromptRange
+	low, lowErr := strconv.Atoi(lowText)
+	high, highErr := strconv.Atoi(highText)
+	if lowErr != nil || highErr != nil || low < 1 || high < low || high > maxPromptTokens {
+		return 0, 0, false
 	}
-	return low, high, nil
+	return low, high, true
 }
 
 // parseFault parses a section [fault NAME].
@@ -98,11 +90,11 @@
 	}
 	kind, ok := parseFaultKind(kindName)
 	if !ok {
-		section.AddError("what", "%q is none of %s", kindName, sortedFaultNames())
+		section.AddError("what", "%w fault %q, known are %s", inifile.ErrUnknown, kindName, sortedFaultNames())
 	}
 	fault.Kind = kind
 	if len(fault.Targets) == 0 && fault.Kind != FaultBurst {
-		section.AddError("engines", "is missing: names, zone:NAME, kind:NAME or pool:NAME")
+		section.AddError("engines", "%w value, want names, zone:NAME, kind:NAME or pool:NAME", inifile.ErrMissing)
 	}
 	return fault
 }
--- a/internal/inifile/errors.go
+++ b/internal/inifile/errors.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// What can be wrong with a section, a key or a value. An Error wraps one of them. They are parts of
-// its text, such as "unknown key" or "duration 5h is out of range".
+// What can be wrong with a section, a key or a value. The errors of this package wrap one of them, and
+// so should those that its callers add. They are parts of the text, such as "unknown key" or "duration
+// 5h is out of range". Only the error of a text that is not INI wraps the library's error instead.
 var (
 	ErrUnknown    = errors.New("unknown")
 	ErrDuplicate  = errors.New("duplicate")
