--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -46,7 +46,7 @@
 	framing      Framing
 
 	acceptedAt   time.Duration
-	hasAnswered  bool          // to an earlier request
+	hasAnswered  bool          // a response was finished
 	lastAnswerAt time.Duration // the end of the latest response
 }
 
@@ -62,8 +62,8 @@
 // HasAnswered reports whether a request was answered on this connection.
 func (c *Conn) HasAnswered() bool { return c.hasAnswered }
 
-// IsBetweenRequests reports whether the client's next byte begins a new request. Otherwise the
-// rest of the current one can't be told from it.
+// IsBetweenRequests reports whether the client's next byte begins a new request. Otherwise it
+// continues the current one.
 func (c *Conn) IsBetweenRequests() bool { return c.parser.Idle() }
 
 // Body returns the body of the current request as far as it has arrived. It is valid until the
@@ -77,7 +77,7 @@
 	return body
 }
 
-// StartServing tells the connection that the handler answers the current request later.
+// StartServing makes the connection wait until the handler answers the current request.
 func (c *Conn) StartServing() { c.state = Serving }
 
 // SendContinue sends 100 Continue to a client that waits for it before it sends a body.
@@ -128,7 +128,7 @@
 	c.Close()
 }
 
-// Closed implements eventloop.Handler. It tells the handler that its client is gone.
+// Closed implements eventloop.Handler. A request that is being served loses its client.
 func (c *Conn) Closed(*eventloop.Conn, error) {
 	c.abandonRequest()
 	c.markClosed()
@@ -171,13 +171,14 @@
 	c.body = append(c.body, data...)
 }
 
-// discardBody releases the request's body.
+// discardBody releases the current request's body.
 func (c *Conn) discardBody() {
 	c.conns.memory.Release(len(c.body))
 	c.body = nil
 }
 
-// handleTimeout ends a connection that was in its state for too long.
+// handleTimeout closes the connection after too long a time in its state. An incomplete request
+// gets a response first.
 func (c *Conn) handleTimeout() {
 	switch c.state {
 	case Serving:
@@ -192,7 +193,8 @@
 	}
 }
 
-// abandonRequest tells the handler that its client is gone. The connection must be closed next.
+// abandonRequest notifies the handler if a request is being served. The caller must close the
+// connection next.
 func (c *Conn) abandonRequest() {
 	if c.state == Serving {
 		c.handler.ClientGone()
@@ -232,8 +234,8 @@
 	c.markClosed()
 }
 
-// Reset closes the connection at once, in a way that the client can't take for the end of a
-// response.
+// Reset closes the connection at once with a TCP reset, which a client does not take for the end
+// of a response.
 func (c *Conn) Reset() {
 	c.conn.Reset()
 	c.markClosed()
--- a/internal/httpserver/conns.go
+++ b/internal/httpserver/conns.go
@@ -9,7 +9,7 @@
 	"martenlock/internal/http1"
 )
 
-// Conns is a clients' listener and the open connections that it accepted. NewConns returns one
+// Conns holds a server's listener and the open connections that it accepted. NewConns returns one
 // that is ready for use.
 type Conns struct {
 	// Listener is set by the server before it adds connections.
@@ -24,12 +24,13 @@
 	stopsKeepAlive bool // each response closes its connection
 }
 
-// NewConns returns a table without listener and connections.
+// NewConns returns a Conns without listener, options and connections.
 func NewConns(loop *eventloop.Loop, memory Memory) *Conns {
 	return &Conns{loop: loop, memory: memory, open: map[*Conn]struct{}{}}
 }
 
-// Add makes c the handler's connection on an accepted one. It starts idle.
+// Add initializes c as the connection of a handler. c is idle, and the eventloop.Handler of the
+// accepted connection.
 func (cs *Conns) Add(c *Conn, accepted *eventloop.Conn, handler Handler) {
 	*c = Conn{
 		conns:      cs,
@@ -48,7 +49,7 @@
 	cs.loop.StartTimer(&c.stateTimer, timeout)
 }
 
-// remove forgets a connection.
+// remove removes a closed connection.
 func (cs *Conns) remove(c *Conn) {
 	delete(cs.open, c)
 	cs.idle.Remove(c)
@@ -57,7 +58,8 @@
 // Len returns the number of open connections. Those that are closed but still linger don't count.
 func (cs *Conns) Len() int { return len(cs.open) }
 
-// All returns the open connections, in no order. They may be closed meanwhile.
+// All returns the open connections in no particular order. The caller may close them while it
+// iterates.
 func (cs *Conns) All() iter.Seq[*Conn] { return maps.Keys(cs.open) }
 
 // EvictIdle closes the connection that has been idle for longest, and reports whether one was
@@ -93,8 +95,8 @@
 	}
 }
 
-// reserveBody reserves memory for more bytes of a connection's body, and reports whether there is
-// any. With Options.EvictsUploads it evicts larger incomplete bodies first.
+// reserveBody reserves memory for more bytes of a connection's body, and reports whether they fit.
+// With Options.EvictsUploads it first evicts larger incomplete bodies of other connections.
 func (cs *Conns) reserveBody(c *Conn, bytes int) bool {
 	for !cs.memory.Reserve(bytes) {
 		if !cs.Options.EvictsUploads {
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -18,15 +18,18 @@
 
 // The framings.
 const (
-	ByLength   Framing = iota // by length
-	Chunked                   // chunked
-	UntilClose                // until close
+	// ByLength bodies have the length in the head.
+	ByLength Framing = iota // by length
+	// Chunked bodies end with the last chunk.
+	Chunked // chunked
+	// UntilClose bodies end with the connection.
+	UntilClose // until close
 )
 
 // CloseAfterResponse makes the current response the last one of the connection.
 func (c *Conn) CloseAfterResponse() { c.keepAlive = false }
 
-// AppendConnectionField appends the Connection field of the response's head, if it needs one.
+// AppendConnectionField appends the Connection field to the response's head, if it needs one.
 func (c *Conn) AppendConnectionField(head []byte) []byte {
 	c.keepAlive = c.keepAlive && !c.conns.stopsKeepAlive
 	switch {
@@ -38,8 +41,9 @@
 	return head
 }
 
-// WriteResponse writes a whole response and finishes the request. head is its head without
-// Content-Length and the empty line. A body by reference must not change any more.
+// WriteResponse writes a complete response and finishes it. head is the response's head without
+// Content-Length and the empty line. The caller must not change the body any more. A client that
+// sent HEAD gets the head only.
 func (c *Conn) WriteResponse(head, body []byte) {
 	c.conn.Write(http1.AppendContentLength(head, len(body)))
 	switch {
@@ -62,9 +66,9 @@
 	c.FinishResponse()
 }
 
-// SelectFraming returns how the body of the response is framed, which comes in pieces. Without a
-// length, it is chunked for clients of HTTP/1.1, and ends with the connection for older ones. It
-// must be called before AppendConnectionField.
+// SelectFraming selects and returns the framing of a response that comes in pieces. A body without
+// a length is chunked for clients of HTTP/1.1, and ends with the connection for older ones. It must
+// be called before AppendConnectionField.
 func (c *Conn) SelectFraming(hasLength bool) Framing {
 	switch {
 	case hasLength:
@@ -84,8 +88,9 @@
 // WriteHead writes the head of a response whose body comes in pieces.
 func (c *Conn) WriteHead(head []byte) { c.conn.Write(head) }
 
-// WriteBody writes a piece of the body, and reports whether the handler must pause: the client
-// is slow to take it. Writable is called when the response can go on.
+// WriteBody writes a piece of the body, and reports whether the handler must pause since the client
+// is slow to take it. Handler.Writable is called when it can continue. If the client takes nothing
+// for Options.WriteStallTimeout, the connection is aborted.
 func (c *Conn) WriteBody(data []byte) (mustPause bool) {
 	if c.framing == Chunked {
 		var size [chunkSizeBytes]byte
@@ -102,7 +107,7 @@
 	return mustPause
 }
 
-// EndBody ends the body of a complete response and finishes the request.
+// EndBody ends the body of a complete response and finishes it.
 func (c *Conn) EndBody() {
 	if c.framing == Chunked {
 		c.conn.Write([]byte(http1.LastChunk))
@@ -110,7 +115,7 @@
 	c.FinishResponse()
 }
 
-// FinishResponse makes the connection ready for another request after a response, or closes it.
+// FinishResponse makes the connection ready for the next request, or closes it.
 func (c *Conn) FinishResponse() {
 	c.discardBody()
 	c.hasAnswered = true
@@ -128,5 +133,5 @@
 	c.conn.Resume()
 }
 
-// UnsentBytes returns how many bytes of output the client has not taken.
+// UnsentBytes returns the number of bytes of output that the client has not taken.
 func (c *Conn) UnsentBytes() int { return c.conn.UnsentBytes() }
--- a/internal/openaiserver/clientconn.go
+++ b/internal/openaiserver/clientconn.go
@@ -11,7 +11,7 @@
 	"martenlock/internal/openai"
 )
 
-// clientConn is a client's connection: what its requests mean. It implements httpserver.Handler.
+// clientConn interprets the requests of a client's connection. It implements httpserver.Handler.
 type clientConn struct {
 	server   *Server
 	conn     httpserver.Conn
@@ -28,11 +28,12 @@
 	class      string
 	session    string
 	tenant     string
-	timeBudget time.Duration // the client's; 0 if it says nothing
+	timeBudget time.Duration // how long the client waits; 0 if it does not say
 	forwarded  []byte        // header fields that engines get
 }
 
-// HeadReceived implements httpserver.Handler. It answers a request whose deadline can't be parsed.
+// HeadReceived implements httpserver.Handler. It rejects a request with an invalid time budget
+// before its body arrives.
 func (c *clientConn) HeadReceived(head *http1.Head) {
 	rules := &c.server.config.Request
 	request := &c.request
@@ -62,16 +63,17 @@
 	c.conn.SendContinue(head)
 }
 
-// clientTimeoutHeader is the public clients' field for their time-out in seconds.
+// clientTimeoutHeader is the header field in which the public clients send their time-out, in
+// seconds.
 const clientTimeoutHeader = "x-stainless-timeout"
 
-// maxClientTimeoutSeconds bounds what is believed of clientTimeoutHeader.
+// maxClientTimeoutSeconds bounds clientTimeoutHeader. Longer and invalid time-outs are ignored.
 const maxClientTimeoutSeconds = 1e6
 
-// timeBudgetBits bounds the number of milliseconds in a deadline header.
+// timeBudgetBits bounds the milliseconds in a deadline header, so that they fit a time.Duration.
 const timeBudgetBits = 40
 
-// parseTimeBudget returns how long the client will wait; 0 where it does not say.
+// parseTimeBudget returns how long the client waits, or 0 if it does not say.
 func parseTimeBudget(head *http1.Head, deadlineHeader string) (time.Duration, *openai.Error) {
 	value := head.Get(deadlineHeader)
 	if value != nil {
@@ -122,13 +124,13 @@
 // ClientGone implements httpserver.Handler. It cancels the operation. A panic in an earlier call
 // may have left the connection without one.
 func (c *clientConn) ClientGone() {
-	x := c.exchange
-	if x == nil {
+	client := c.exchange
+	if client == nil {
 		return
 	}
 	c.server.counters.canceled++
-	x.detach()
-	x.operation.cancel()
+	client.detach()
+	client.operation.cancel()
 }
 
 // Closing implements httpserver.Handler.
@@ -138,7 +140,8 @@
 	}
 }
 
-// abortForShutdown ends a request that still runs at the shutdown limit.
+// abortForShutdown ends the connection when the shutdown times out. A request that is being served
+// is answered first, or its answer is aborted.
 func (c *clientConn) abortForShutdown() {
 	if c.exchange == nil {
 		c.conn.Abort()
--- a/internal/openaiserver/response.go
+++ b/internal/openaiserver/response.go
@@ -8,7 +8,7 @@
 	"martenlock/internal/openai"
 )
 
-// This file writes a client's whole responses.
+// This file writes a client's complete responses.
 
 var crlf = []byte("\r\n")
 
@@ -24,7 +24,8 @@
 	retryAfterFull    = time.Second
 )
 
-// appendResponseHead begins a response, up to the fields that tell its length.
+// appendResponseHead returns the beginning of a response's head, without the fields that frame its
+// body.
 func (c *clientConn) appendResponseHead(status int, contentType, requestID string) []byte {
 	head := http1.AppendStatus(make([]byte, 0, responseHeadBytes), status)
 	head = http1.AppendField(head, "Content-Type", contentType)
@@ -34,26 +35,27 @@
 	return c.conn.AppendConnectionField(head)
 }
 
-// writeResponse writes a whole response. fields are further header fields, each with its line end.
+// writeResponse writes a complete response. fields are further header fields, each with its line
+// end.
 func (c *clientConn) writeResponse(status int, contentType, requestID, fields string, body []byte) {
 	head := c.appendResponseHead(status, contentType, requestID)
 	c.conn.WriteResponse(append(head, fields...), body)
 }
 
-// respondJSON answers a request that is not for a pool.
+// respondJSON answers a request that the server handles itself.
 func (c *clientConn) respondJSON(status int, body []byte) {
 	c.writeResponse(status, contentTypeJSON, "", "", body)
 }
 
-// respondError answers a request that the module is not told of.
+// respondError rejects a request before it reaches a decision module.
 func (c *clientConn) respondError(err *openai.Error, fields string) {
 	if !leavesParserInSync(err.Status) || !c.conn.IsBetweenRequests() {
-		c.conn.CloseAfterResponse() // what follows can't be told from the rest of this request
+		c.conn.CloseAfterResponse() // further bytes may belong to this request
 	}
 	c.writeResponse(err.Status, contentTypeJSON, "", fields, err.AppendJSON(nil))
 }
 
-// leavesParserInSync tells whether further requests may follow an error.
+// leavesParserInSync reports whether further requests may follow an error response of the status.
 func leavesParserInSync(status int) bool {
 	switch status {
 	case http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusBadRequest, http.StatusServiceUnavailable:
@@ -62,7 +64,7 @@
 	return false
 }
 
-// respondOutOfMemory answers a request that finds no room.
+// respondOutOfMemory rejects a request for which there is no memory.
 func (c *clientConn) respondOutOfMemory() {
 	c.respondError(&openai.Error{
 		Status:  http.StatusServiceUnavailable,
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -9,7 +9,7 @@
 	"martenlock/internal/httpserver"
 )
 
-// clientConn is a client's connection: what its requests mean. It implements httpserver.Handler.
+// clientConn interprets the requests of a client's connection. It implements httpserver.Handler.
 type clientConn struct {
 	server   *Server
 	conn     httpserver.Conn
@@ -25,8 +25,8 @@
 	isGet bool // GET or HEAD
 }
 
-// Bounds of what is parsed. Heads in use are well below 1 KiB; a client or an engine that sends
-// more than these holds memory in vain.
+// Bounds of requests, and of responses of engines. Heads in use are well below 1 KiB. Larger ones
+// would only cost memory.
 const (
 	maxLineBytes        = 8 << 10
 	maxHeadBytes        = 16 << 10
@@ -37,7 +37,7 @@
 // requestLimits bound a client's request.
 var requestLimits = http1.Limits{Line: maxLineBytes, Headers: maxHeadBytes, Fields: maxHeaderFields, Body: maxRequestBodyBytes}
 
-// HeadReceived implements httpserver.Handler. It answers calls that can't be served at once.
+// HeadReceived implements httpserver.Handler. It rejects an invalid call before its body arrives.
 func (c *clientConn) HeadReceived(head *http1.Head) {
 	path, _, _ := bytes.Cut(head.Target, []byte{'?'})
 	method := string(head.Method)
@@ -48,7 +48,7 @@
 	if c.request.path != chatPath || method != http.MethodPost {
 		return
 	}
-	if head.MinorVersion == 0 { // a client of HTTP/1.0 can't tell a whole stream from a truncated one
+	if head.MinorVersion == 0 { // a client of HTTP/1.0 takes a truncated stream for a complete one
 		c.respondAndClose(http.StatusHTTPVersionNotSupported, "", "a stream needs HTTP/1.1")
 		return
 	}
@@ -61,11 +61,11 @@
 	c.conn.SendContinue(head)
 }
 
-// healthPath is where the platform asks how the server is.
+// healthPath is the path of the platform's health check.
 const healthPath = "/healthz"
 
-// RequestReceived implements httpserver.Handler. It starts the request's exchange, or answers it
-// here.
+// RequestReceived implements httpserver.Handler. It starts the exchange of a call, and answers
+// other requests itself.
 func (c *clientConn) RequestReceived() {
 	switch {
 	case c.request.meta != nil:
@@ -79,7 +79,7 @@
 	}
 }
 
-// dispatchChat starts the exchange of a request for an engine, if the server accepts it.
+// dispatchChat starts the exchange of a call, or rejects it if the server can't accept it.
 func (c *clientConn) dispatchChat() {
 	s := c.server
 	maxRequests := s.config.Settings.MaxRequests
@@ -123,12 +123,12 @@
 // ClientGone implements httpserver.Handler. It cancels the exchange. A panic in an earlier call may
 // have left the connection without one.
 func (c *clientConn) ClientGone() {
-	x := c.exchange
-	if x == nil {
+	exchange := c.exchange
+	if exchange == nil {
 		return
 	}
 	c.exchange = nil
-	x.clientGone()
+	exchange.clientGone()
 }
 
 // Closing implements httpserver.Handler.
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -17,7 +17,7 @@
 	EvictsUploads:        true,
 }
 
-// newClients returns the table of clients' connections, without a listener.
+// newClients returns the server's client connections, yet without a listener.
 func newClients(s *Server) *httpserver.Conns {
 	clients := httpserver.NewConns(s.loop, bodyMemory{server: s})
 	clients.Options = clientOptions
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -19,19 +19,20 @@
 	streamHeadBytes   = 160
 )
 
-// respondOutOfMemory answers a request if there is no memory for its body.
+// respondOutOfMemory rejects a request for whose body there is no memory.
 func (c *clientConn) respondOutOfMemory() {
 	c.respondAndClose(http.StatusServiceUnavailable, retryAfterField(connlimit.RetryAfterFull), "too many bytes of requests at once")
 }
 
-// respondAndClose gives the last answer of a connection. It reads nothing that follows.
+// respondAndClose logs the reason and gives it as the connection's last answer.
 func (c *clientConn) respondAndClose(status int, fields, reason string) {
 	c.logClose(reason)
 	c.conn.CloseAfterResponse()
 	c.respond(status, fields, reason+"\n")
 }
 
-// respondHealth answers the platform's health check.
+// respondHealth answers the platform's health check. The server is unhealthy without engines and
+// from the begin of a shutdown.
 func (c *clientConn) respondHealth() {
 	if c.server.shutdown.inProgress() || c.server.membership.Len() == 0 {
 		c.respond(http.StatusServiceUnavailable, "", "not ready\n")
@@ -40,7 +41,8 @@
 	c.respond(http.StatusOK, "", "ok\n")
 }
 
-// respond answers with a whole response. fields are header fields, each with its line end.
+// respond answers with a complete response. fields are further header fields, each with its line
+// end.
 func (c *clientConn) respond(status int, fields, body string) {
 	c.detachExchange()
 	head := http1.AppendStatus(make([]byte, 0, responseHeadBytes), status)
@@ -63,27 +65,27 @@
 // so, the stream pauses until exchange.clientWritable is called.
 func (c *clientConn) writeChunk(data []byte) (isFull bool) { return c.conn.WriteBody(data) }
 
-// endStream ends a stream that is whole.
+// endStream ends a complete stream.
 func (c *clientConn) endStream() {
 	c.detachExchange()
 	c.conn.EndBody()
 }
 
-// abortStream ends a stream that is not whole: the connection ends without the last chunk. It
-// lingers, since a reset would destroy the events that are on their way.
+// abortStream ends an incomplete stream. The connection ends without the last chunk. It lingers,
+// since a reset would destroy the events that are on their way.
 func (c *clientConn) abortStream() {
 	c.detachExchange()
 	c.logClose("stream_truncated")
 	c.conn.CloseLingering()
 }
 
-// detachExchange forgets the request, which is about to have the end of its answer.
+// detachExchange ends the connection's part in the current request.
 func (c *clientConn) detachExchange() {
 	c.exchange = nil
 	c.request.meta = nil
 }
 
-// retryAfterField returns the header field in decimal seconds; "" where no time is given.
+// retryAfterField returns the Retry-After field in decimal seconds, or "" if after is not positive.
 func retryAfterField(after time.Duration) string {
 	if after <= 0 {
 		return ""
