--- a/internal/platform/counters.go
+++ b/internal/platform/counters.go
@@ -22,9 +22,9 @@
 	uploadsEvicted   uint64 // clients closed to free the memory of incomplete bodies
 }
 
-// appendTo adds the counters to a log line and returns the line.
+// appendTo adds all counters to a log line and returns the line.
 func (c *counters) appendTo(line *zerolog.Event) *zerolog.Event {
-	return line.
+	line = line.
 		Uint64("served", c.served).
 		Uint64("rejected", c.rejected).
 		Uint64("failed", c.failed).
@@ -32,7 +32,14 @@
 		Uint64("truncated", c.truncated).
 		Uint64("malformed", c.malformed).
 		Uint64("stalled", c.stalled).
-		Uint64("panics", c.panics).
+		Uint64("panics", c.panics)
+	return c.appendEvictionsTo(line)
+}
+
+// appendEvictionsTo adds the counters of clients' connections that were closed for others to a log line and
+// returns the line.
+func (c *counters) appendEvictionsTo(line *zerolog.Event) *zerolog.Event {
+	return line.
 		Uint64("idle_connections_evicted", c.idleConnsEvicted).
 		Uint64("connections_rejected", c.connsRejected).
 		Uint64("uploads_evicted", c.uploadsEvicted)
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -54,12 +54,12 @@
 // errEntryWithoutID is an entry of the endpoint list that names no engine.
 var errEntryWithoutID = errors.New("entry without id")
 
-// unixMillisToControl converts a Unix time in milliseconds to the decision module's clock.
-type unixMillisToControl func(milliseconds int64) control.Time
+// controlTimeFunc is a function that converts a Unix time in milliseconds to the decision module's clock.
+type controlTimeFunc func(milliseconds int64) control.Time
 
 // update converts the message to the decision module's terms. The error joins one error for each
 // unusable entry. The update is valid without these entries.
-func (m *endpointListMessage) update(settings *platformsettings.Settings, toControlTime unixMillisToControl) (membership.Update, error) {
+func (m *endpointListMessage) update(settings *platformsettings.Settings, toControlTime controlTimeFunc) (membership.Update, error) {
 	update := membership.Update{Revision: m.Revision, Complete: m.Complete}
 	var skipped error
 	for i := range m.Entries {
@@ -80,7 +80,7 @@
 
 // endpoint converts the entry. Only a ready engine needs a valid address and kind: the end of an engine
 // must not be missed because of another field.
-func (e *endpointEntry) endpoint(settings *platformsettings.Settings, toControlTime unixMillisToControl) (membership.Endpoint, error) {
+func (e *endpointEntry) endpoint(settings *platformsettings.Settings, toControlTime controlTimeFunc) (membership.Endpoint, error) {
 	state, err := e.state()
 	if err != nil {
 		return membership.Endpoint{}, err
--- a/internal/platform/requestmeta.go
+++ b/internal/platform/requestmeta.go
@@ -32,8 +32,8 @@
 const (
 	// maxCallIDBytes bounds a call's id, which is part of paths and of log lines.
 	maxCallIDBytes = 128
-	// maxTokens bounds a stated number of tokens. It is far above any prompt, and sums of such numbers
-	// are exact in a float64.
+	// maxTokens bounds a stated number of tokens. It is far above any prompt, and sums of many such numbers
+	// stay precise in a float64.
 	maxTokens = 1e8
 )
 
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -56,8 +56,8 @@
 
 // Bounds of the output of one connection.
 const (
-	highWaterMarkBytes = 32 << 10 // unsent bytes from which on the source of the output is paused
-	maxUnsentBytes     = 1 << 20  // unsent bytes beyond which the connection closes, since its source was not paused
+	highWaterMarkBytes = 32 << 10 // unsent bytes at which the source of the output is paused
+	maxUnsentBytes     = 1 << 20  // unsent bytes at which the connection closes: its source does not react to the pause
 	freeBufferShare    = 16       // maxBufferedBytes divided by this bounds the free buffers of each size
 )
 
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"strconv"
@@ -60,15 +59,13 @@
 
 // traceClients logs the clients' connections and the counters since the start.
 func (s *Server) traceClients() {
-	s.log.Info().
+	line := s.log.Info().
 		Int("client_sockets", s.clients.Listener.Open()).
 		Int("client_connections", s.clients.Len()).
 		Int("active_requests", len(s.exchanges.byID)).
 		Int("engine_connections", s.endpoints.connBudget.Open()).
-		Int("buffered_bytes", s.bufferedBytes).
-		Uint64("idle_connections_evicted", s.counters.idleConnsEvicted).
-		Uint64("connections_rejected", s.counters.connsRejected).
-		Uint64("uploads_evicted", s.counters.uploadsEvicted).
+		Int("buffered_bytes", s.bufferedBytes)
+	s.counters.appendEvictionsTo(line).
 		Uint64("panics", s.counters.panics).
 		Msg("client trace")
 }
@@ -121,45 +118,3 @@
 	}
 	line.Msg("engine trace")
 }
-
-// smoothAttempts is the number of attempts of a request without a fault: a prefill and a decode.
-const smoothAttempts = 2
-
-// traceRequest logs a request that had a retry, was not served or missed its objective.
-func (e *exchange) traceRequest(outcome requestOutcome) {
-	if !e.server.traceRequests {
-		return
-	}
-	request := &e.meta.request
-	class := &e.server.config.Settings.Control.Classes[request.Class]
-	isInTime := e.timeToFirstEvent <= class.FirstTokenObjective(request.PromptTokens)
-	if outcome == outcomeServed && e.attemptCount <= smoothAttempts && isInTime {
-		return
-	}
-	e.server.log.Info().
-		Str("call_id", e.meta.callID).
-		Int("class", request.Class).
-		Stringer("outcome", outcome).
-		Int("attempts", e.attemptCount).
-		Float64("prompt_tokens", float64(request.PromptTokens)).
-		Dur("ttft_ms", e.timeToFirstEvent).
-		Dur("duration_ms", e.server.loop.Now()-e.startedAt).
-		Str("attempt_history", e.attemptHistory).
-		Msg("request trace")
-}
-
-// endpointBitsDropped is the number of low bits of an endpoint's id that the request trace leaves
-// out. The other 16 bits tell engines apart.
-const endpointBitsDropped = 48
-
-// recordHistory adds the attempt to the trace of its request: the milliseconds from the request's start
-// to the attempt's start and to its end, the engine, and the result.
-func (a *attempt) recordHistory(result control.Result) {
-	e := a.exchange
-	if !e.server.traceRequests {
-		return
-	}
-	start := float64((a.startedAt - e.startedAt).Milliseconds())
-	end := float64((e.server.loop.Now() - e.startedAt).Milliseconds())
-	e.attemptHistory += fmt.Sprintf(" %.0f-%.0f:%x:%s", start, end, uint64(a.endpointID)>>endpointBitsDropped, result)
-}
