--- a/control/admission/queue_test.go
+++ b/control/admission/queue_test.go
@@ -242,19 +242,22 @@
 	return total
 }
 
-func (m *model) waitingUnits() int {
-	units := 0
-	for id, tokens := range m.unitTokens {
+// waiting returns how many units wait, and their tokens.
+func (m *model) waiting() (units int, tokens float64) {
+	for id, unitTokens := range m.unitTokens {
 		if !m.cancelled[id] {
-			units += len(tokens) - m.nextUnit[id]
+			for _, waiting := range unitTokens[m.nextUnit[id]:] {
+				units++
+				tokens += waiting
+			}
 		}
 	}
-	return units
+	return units, tokens
 }
 
 // checkCounts checks what the queue counts, and that nothing waits beside an idle pool.
 func (m *model) checkCounts() {
-	waitingUnits := m.waitingUnits()
+	waitingUnits, waitingTokens := m.waiting()
 	if len(m.outstanding) == 0 && waitingUnits > 0 {
 		m.t.Fatalf("%d units wait and none is outstanding", waitingUnits)
 	}
@@ -264,6 +267,9 @@
 		m.t.Fatalf("the queue counts %v tokens in %d units, outstanding are %v in %d",
 			m.queue.outstandingTokens, m.queue.outstandingUnits, outstandingTokens, len(m.outstanding))
 	}
+	if difference := m.queue.waitingTokens - waitingTokens; difference > 1e-6 || difference < -1e-6 {
+		m.t.Fatalf("the queue counts %v waiting tokens, want %v", m.queue.waitingTokens, waitingTokens)
+	}
 	deadline, ok := m.queue.NextDeadline()
 	if ok != (waitingUnits > 0) || deadline != at(m.now+pollInterval) {
 		m.t.Fatalf("next deadline %v, %v, %d units wait", deadline, ok, waitingUnits)
@@ -471,6 +477,33 @@
 	}
 }
 
+// TestEarlyCancellationDoesNotLowerThroughput: units that are cancelled before they end do not make the pool look
+// slow, even if one is outstanding all the time.
+func TestEarlyCancellationDoesNotLowerThroughput(t *testing.T) {
+	s := newSimulation(2, 10000, Settings{LargeTokens: 1, OutstandingWork: 100 * time.Millisecond})
+	s.enqueue(1, 1, 60, 1000, time.Hour)
+	s.run(4 * second)
+	rate := s.queue.throughput.rate
+	if rate == 0 {
+		t.Fatal("no throughput was measured")
+	}
+
+	var previous []Unit
+	for id := RequestID(2); id < 80; id++ {
+		s.enqueue(id, 1, 1, 2000, time.Hour)
+		admitted := s.queue.Poll(at(s.now)).Admitted
+		for _, unit := range previous {
+			s.queue.Complete(at(s.now), unit, UnitCancelled)
+		}
+		previous = admitted
+		s.now += 100 * time.Millisecond
+	}
+
+	if s.queue.throughput.rate != rate {
+		t.Errorf("the throughput went from %v to %v tokens a second", rate, s.queue.throughput.rate)
+	}
+}
+
 // TestRememberedTenantsBounded: the number of known tenants is bounded even if each tenant sends one request.
 func TestRememberedTenantsBounded(t *testing.T) {
 	s := newSimulation(1, 1e6, Settings{LargeTokens: 1, OutstandingWork: time.Millisecond})
