--- a/control/capacity.go
+++ b/control/capacity.go
@@ -63,8 +63,8 @@
 	return min(shareMargin*share+math.Sqrt(share), float64(fullMemory*memory/perRequest))
 }
 
-// drawReleaseThreshold draws the free share of a request that the next release needs. With a fixed threshold
-// of one request, many routers with a small share each could all release nothing.
+// drawReleaseThreshold draws the free share of a request that the next release needs. A fixed one would round
+// the last bit of capacity alike at many routers: all down to nothing, or all up to too much.
 func (c *capacityView) drawReleaseThreshold(rng *rand.Rand) {
 	c.releaseThreshold = 1 - rng.Float64()*(1-1/float64(c.routers))
 }
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -102,7 +102,7 @@
 }
 
 // ejectionLimitReached reports whether so many endpoints of the target's role are ejected that it may not
-// follow for errors, slowness or silence. A fault that most endpoints share is not their own.
+// follow for errors, slowness or unresponsiveness. A fault that most endpoints share is not their own.
 func (t *endpointTable) ejectionLimitReached(target *endpoint) bool {
 	all, healthy := 0.0, 0.0
 	for _, e := range t.ready {
--- a/control/estimate.go
+++ b/control/estimate.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// chanceQueue is the length up to which a queue is chance and says nothing of how fast it moves.
+	// chanceQueue is the length of a queue that chance explains. It says nothing of how fast requests leave.
 	chanceQueue = 3
 	// overheadTokens is the fixed cost of a prefill, in prompt tokens.
 	overheadTokens = 500
@@ -15,7 +15,7 @@
 	latencyAlpha = 0.2
 	// bestAlpha is the weight of an observation that is better than the average of the better ones.
 	bestAlpha = 0.5
-	// meanAlpha is the weight of an observation in means over all requests, which vary more.
+	// meanAlpha is the weight of an observation in means over all requests.
 	meanAlpha = 0.05
 	// outlierCap is the multiple of the mean as which an observation counts at most.
 	outlierCap = 1.5
@@ -46,7 +46,6 @@
 	best            ewma[secondsPerToken] // of the better times
 	observedAt      Time                  // latest of these times
 	relativeLatency ewma[float64]         // time of its answers over the mean of their class
-	rejectionRate   ewma[float64]         // share of recent attempts that were rejected
 }
 
 // observe records the time that an endpoint of a role took for a prefill, or to a first token. It returns
--- a/control/health.go
+++ b/control/health.go
@@ -15,7 +15,7 @@
 	certainAlpha = 1.0
 	// ejectionThreshold is the failure rate above which an endpoint is ejected: two failures of the last four.
 	ejectionThreshold = 0.35
-	// maxEjectedShare is the share of a role that may be ejected for errors, slowness or silence.
+	// maxEjectedShare is the share of a role that may be ejected for errors, slowness or unresponsiveness.
 	maxEjectedShare = 0.5
 	// slowLatency is the relative latency above which a time counts as a failure.
 	slowLatency = 3.0
@@ -30,13 +30,12 @@
 
 // Progress and health checks.
 const (
-	// silenceMultiple is the multiple of the usual time of a role before which silence of an endpoint means
-	// nothing.
-	silenceMultiple = 4.0
+	// unresponsiveFactor is the multiple of its role's usual time that an endpoint gets to make progress.
+	unresponsiveFactor = 4.0
 	// overtakenLimit is the number of later requests with earlier progress that shows an attempt to be lost.
 	overtakenLimit = 2
-	// overtakenPatience divides the progress time-out of such an attempt.
-	overtakenPatience = 3
+	// overtakenDivisor divides the progress time-out of such an attempt.
+	overtakenDivisor = 3
 	// healthCheckInterval is the least time between health checks of one endpoint.
 	healthCheckInterval = time.Second
 	// healthChecksPerRequest is the number of health checks that may be sent for each request.
@@ -130,7 +129,7 @@
 		}
 	case Cancelled, NotSent: // our own doing
 	}
-	r.latency.roles[target.role].rejectionRate.approach(rejected, latencyAlpha)
+	r.rejectionRates[target.role].approach(rejected, latencyAlpha)
 	target.health.lastProgress = r.now
 	if event.Result == PrefillDone {
 		target.recordProgress(request, r.now)
@@ -186,10 +185,10 @@
 			tokens += request.latest.tokensToPrefill + overheadTokens
 		}
 	}
-	usual := r.latency.expectedTime(target.role, tokens, silenceMultiple)
+	usual := r.latency.expectedTime(target.role, tokens, unresponsiveFactor)
 	for _, request := range target.load.attempts {
-		silence := r.now.Sub(max(target.health.lastProgress, request.latest.sentAt))
-		if request.awaitsFirstToken() && silence >= max(request.progressTimeout(), usual) {
+		sinceProgress := r.now.Sub(max(target.health.lastProgress, request.latest.sentAt))
+		if request.awaitsFirstToken() && sinceProgress >= max(request.progressTimeout(), usual) {
 			return true
 		}
 	}
@@ -200,8 +199,8 @@
 func (r *Router) cancelOvertaken(target *endpoint) {
 	for _, request := range target.load.attempts {
 		tokens := request.latest.tokensToPrefill + overheadTokens
-		usual := r.latency.expectedTime(target.role, tokens, silenceMultiple)
-		waited := r.now.Sub(request.latest.sentAt) >= max(request.progressTimeout()/overtakenPatience, usual)
+		usual := r.latency.expectedTime(target.role, tokens, unresponsiveFactor)
+		waited := r.now.Sub(request.latest.sentAt) >= max(request.progressTimeout()/overtakenDivisor, usual)
 		if request.awaitsFirstToken() && request.latest.overtakenBy >= overtakenLimit && waited {
 			r.cancelAttempt(request, target)
 		}
--- a/control/request.go
+++ b/control/request.go
@@ -9,12 +9,12 @@
 const (
 	// outputShare is the share of MaxTokens that an answer is expected to need. Its length is unknown.
 	outputShare = 0.3
-	// suspectResets is the number of lost connections, on all attempts, that makes a request suspect of
-	// crashing engines. A single loss is usually the engine's.
+	// suspectResets is the least number of lost connections, over all attempts, that makes a request suspect of
+	// crashing engines.
 	suspectResets = 2
-	// silenceObjective is the multiple of a request's objective for the first token before which silence
-	// of an attempt means nothing.
-	silenceObjective = 1.5
+	// progressTimeoutFactor is the multiple of a request's objective for the first token that its attempts
+	// get to make progress.
+	progressTimeoutFactor = 1.5
 )
 
 // request is a client's request until its final answer and until no attempt is in flight.
@@ -73,6 +73,9 @@
 	}
 }
 
+// queued reports whether the request is in the queue.
+func (req *request) queued() bool { return req.heapIndex >= 0 }
+
 // awaitsFirstToken reports whether a client still waits for its answer to begin.
 func (req *request) awaitsFirstToken() bool { return !req.hasFirstToken && !req.finished }
 
@@ -87,7 +90,7 @@
 
 // progressTimeout returns how long an attempt may make no progress.
 func (req *request) progressTimeout() time.Duration {
-	return time.Duration(silenceObjective * float64(req.firstTokenDue.Sub(req.arrivedAt)))
+	return time.Duration(progressTimeoutFactor * float64(req.firstTokenDue.Sub(req.arrivedAt)))
 }
 
 // recordExecution notes that the latest attempt, made at target, may have executed the request.
--- a/control/retry.go
+++ b/control/retry.go
@@ -7,7 +7,7 @@
 	rejectionLimit = 0.3
 	// minTimeout is the least time-out of an attempt.
 	minTimeout = time.Millisecond
-	// minRetryAfter is the least Retry-After of a rejected request. Decisions change from tick to tick.
+	// minRetryAfter is the least Retry-After of a rejected request.
 	minRetryAfter = tickInterval
 )
 
@@ -165,7 +165,7 @@
 // While prefill engines reject many requests, two rejections of this one are enough: further attempts would
 // add load to the other engines.
 func (r *Router) retryObstacle(request *request) (reason FinishReason, blocked bool) {
-	rejecting := r.latency.roles[RolePrefill].rejectionRate.value > rejectionLimit
+	rejecting := r.rejectionRates[RolePrefill].value > rejectionLimit
 	sendDeadline := request.sendDeadline(r.settings.Limits.KVRetentionLimit)
 	switch {
 	case !request.mayRepeat(r.now):
--- a/control/router.go
+++ b/control/router.go
@@ -34,6 +34,8 @@
 	topology topology
 	prefixes prefixPopularity
 
+	rejectionRates [roleCount]ewma[float64] // share of recent attempts that were rejected, by role
+
 	lastSequence      uint64  // of the latest request
 	healthCheckBudget float64 // health checks that may be sent
 	expiredAt         Time    // latest expiry and decay
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -67,7 +67,7 @@
 
 // remove takes a request out of the queue, if it is there.
 func (q *requestQueue) remove(request *request) {
-	if request.heapIndex >= 0 {
+	if request.queued() {
 		heap.Remove(q, request.heapIndex)
 	}
 }
@@ -135,7 +135,7 @@
 // simultaneous arrivals that all find capacity do not queue.
 func (r *Router) rejectLateArrivals() {
 	for _, request := range r.arrivals {
-		if !request.finished && request.heapIndex >= 0 && r.missesObjective(request) {
+		if !request.finished && request.queued() && r.missesObjective(request) {
 			r.finishWithoutService(request, FinishedMissingObjective)
 		}
 	}
--- a/control/session.go
+++ b/control/session.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// sessionIdleTimeout is the time without a request after which a session is dropped. The KV cache of its
-// prompts has probably been evicted by then.
+// sessionIdleTimeout is the time without a request after which a session is dropped. It bounds the table.
 const sessionIdleTimeout = 60 * time.Second
 
 // session is what the requests of one session share.
