--- a/internal/openaiserver/clientconn_test.go
+++ b/internal/openaiserver/clientconn_test.go
@@ -21,6 +21,7 @@
 	"golang.org/x/sys/unix"
 
 	"martenlock/internal/demo"
+	"martenlock/internal/enginetest"
 	"martenlock/internal/serve"
 )
 
@@ -304,7 +305,7 @@
 	engine := startClosingEngine(t)
 	dir := t.TempDir()
 	configPath := filepath.Join(dir, "m.ini")
-	writeFile(t, filepath.Join(dir, "nodes.ini"), fmt.Sprintf("[node a]\npool = chat\nkind = mixed\naddress = %s\n", engine.listener.Addr()))
+	writeFile(t, filepath.Join(dir, "nodes.ini"), fmt.Sprintf("[node a]\npool = chat\nkind = mixed\naddress = %s\n", engine.Addr()))
 	writeFile(t, configPath, fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "error"))
 	service, err := serve.Start(configPath, io.Discard)
 	if err != nil {
@@ -339,9 +340,9 @@
 	}
 }
 
-// closingEngine streams one answer until mustEnd is set, and closes the connection after it.
+// closingEngine streams an answer until mustEnd is set, and closes the connection after it.
 type closingEngine struct {
-	listener   net.Listener
+	*enginetest.Engine
 	mustEnd    atomic.Bool
 	sentEvents chan int // receives the number of events sent
 }
@@ -349,35 +350,28 @@
 // startClosingEngine starts a closingEngine. It ends with the test.
 func startClosingEngine(t *testing.T) *closingEngine {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	engine := &closingEngine{listener: listener, sentEvents: make(chan int, 1)}
-	go engine.serveOnce()
+	engine := &closingEngine{sentEvents: make(chan int, 1)}
+	engine.Engine = enginetest.Start(t, engine.stream)
 	return engine
 }
 
-// serveOnce accepts one connection and answers one request.
-func (e *closingEngine) serveOnce() {
-	conn, err := e.listener.Accept()
-	if err != nil {
-		return
+// stream answers a request for inference, and no health check.
+func (e *closingEngine) stream(r *enginetest.Request) (keepOpen bool) {
+	if r.Method != http.MethodPost {
+		r.AwaitClose()
+		return false
 	}
-	defer conn.Close()
-	_, err = http.ReadRequest(bufio.NewReader(conn))
-	if err != nil {
-		return
-	}
-	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n")
 	const eventsPerWrite = 200
 	events := 0
+	r.Write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n")
 	for !e.mustEnd.Load() {
-		fmt.Fprint(conn, strings.Repeat("data: {\"x\":\"some forty bytes of a token, more or less\"}\n\n", eventsPerWrite))
+		if !r.Write(strings.Repeat("data: {\"x\":\"some forty bytes of a token, more or less\"}\n\n", eventsPerWrite)) {
+			return false
+		}
 		events += eventsPerWrite
 		time.Sleep(ms)
 	}
-	fmt.Fprint(conn, "data: [DONE]\n\n")
+	r.Write("data: [DONE]\n\n")
 	e.sentEvents <- events
+	return false
 }
