--- a/internal/openaiserver/exchange.go
+++ b/internal/openaiserver/exchange.go
@@ -31,42 +31,9 @@
 	answer              answer
 }
 
-// exchangeTable holds the exchanges of a pool.
-type exchangeTable struct {
-	byID   map[control.RequestID]*exchange
-	ended  []*exchange // without a client; removed once the module was notified of their ends
-	lastID control.RequestID
-}
-
-// newExchangeTable returns an empty table.
-func newExchangeTable() exchangeTable {
-	return exchangeTable{byID: map[control.RequestID]*exchange{}}
-}
-
-// newID returns an id that no exchange in the table has, also after the counter has wrapped.
-func (t *exchangeTable) newID() control.RequestID {
-	for {
-		t.lastID++
-		if t.byID[t.lastID] == nil {
-			return t.lastID
-		}
-	}
-}
-
-// markEnded schedules the removal of an exchange that has no client any more.
-func (t *exchangeTable) markEnded(e *exchange) { t.ended = append(t.ended, e) }
-
-// removeEnded removes the ended exchanges. One with an attempt in flight stays. It is marked again when that
-// attempt ends.
-func (t *exchangeTable) removeEnded() {
-	for _, e := range t.ended {
-		if e.attempt == nil {
-			delete(t.byID, e.id)
-		}
-	}
-	clear(t.ended)
-	t.ended = t.ended[:0]
-}
+// isRemovable reports whether the exchange, which has ended, has no attempt in flight. One that has is marked again
+// when that attempt ends.
+func (e *exchange) isRemovable() bool { return e.attempt == nil }
 
 // Forward implements decisionloop.Exchange. It starts an attempt. The attempt ends as not sent if the endpoint
 // is no longer listed or the client has left.
@@ -176,7 +143,7 @@
 func (e *exchange) complete(result control.Result) {
 	switch {
 	case e.client == nil:
-		e.pool.exchanges.markEnded(e)
+		e.pool.exchanges.MarkEnded(e.id)
 	case result == control.OK && e.answerStarted:
 		e.detachClient().end()
 	case result == control.OK:
@@ -217,6 +184,6 @@
 func (e *exchange) detachClient() responder {
 	client := e.client
 	e.client = nil
-	e.pool.exchanges.markEnded(e)
+	e.pool.exchanges.MarkEnded(e.id)
 	return client
 }
--- a/internal/openaiserver/inferencerequest.go
+++ b/internal/openaiserver/inferencerequest.go
@@ -65,7 +65,7 @@
 	started := &exchange{
 		pool:      p,
 		client:    client,
-		id:        p.exchanges.newID(),
+		id:        p.exchanges.NewID(),
 		requestID: requestID,
 		call:      r.call,
 		path:      r.path,
@@ -74,7 +74,7 @@
 	if r.shardSuffix != "" { // engines may see several requests with the same client's id
 		started.headers = http1.AppendField(r.headers[:len(r.headers):len(r.headers)], "X-Request-Part", r.shardSuffix)
 	}
-	p.exchanges.byID[started.id] = started
+	p.exchanges.ByID[started.id] = started
 	event := r.moduleRequest
 	event.ID = started.id
 	p.push(event)
--- a/internal/openaiserver/pool.go
+++ b/internal/openaiserver/pool.go
@@ -17,7 +17,7 @@
 	settings  *config.Pool
 	config    *config.Config // in force when the pool was created
 	mailbox   decisionloop.Mailbox[*exchange]
-	exchanges exchangeTable
+	exchanges decisionloop.Exchanges[*exchange]
 
 	embeddings *embeddingCache
 	admission  *admissionQueue
@@ -87,14 +87,14 @@
 // configuration.
 func newPool(s *Server, settings *config.Pool, index uint64) *pool {
 	controlSettings := s.config.Control
-	p := &pool{server: s, settings: settings, config: s.config, exchanges: newExchangeTable()}
+	p := &pool{server: s, settings: settings, config: s.config, exchanges: decisionloop.NewExchanges[*exchange]()}
 	controlSettings.Engines.ReportFields = settings.ReportFields
 	controlSettings.Identity.Zone = s.topology.zone(s.config.Zone)
 	controlSettings.Identity.Seed = s.seed + index*seedStep
 	p.mailbox = decisionloop.Mailbox[*exchange]{
 		Loop:        s.loop,
 		Router:      control.New(controlSettings, s.now()),
-		Exchanges:   p.exchanges.byID,
+		Exchanges:   p.exchanges.ByID,
 		Logger:      s.log.With().Str("pool", settings.Name).Logger(),
 		Now:         s.now,
 		CheckHealth: p.checkHealth,
@@ -111,7 +111,7 @@
 
 // afterPoll removes the exchanges that have ended, and the pool itself if it is retired and has no requests left.
 func (p *pool) afterPoll() {
-	p.exchanges.removeEnded()
+	p.exchanges.RemoveEnded((*exchange).isRemovable)
 	p.removeIfDrained()
 }
 
@@ -127,7 +127,7 @@
 
 // removeIfDrained removes a retired pool that has no requests, exchanges or events left.
 func (p *pool) removeIfDrained() {
-	if !p.isRetired || p.isRemoved || len(p.exchanges.byID) > 0 || p.mailbox.Len() > 0 || p.openRequests > 0 {
+	if !p.isRetired || p.isRemoved || len(p.exchanges.ByID) > 0 || p.mailbox.Len() > 0 || p.openRequests > 0 {
 		return
 	}
 	p.isRemoved = true
--- a/internal/platform/cancellation_test.go
+++ b/internal/platform/cancellation_test.go
@@ -89,7 +89,7 @@
 		a.exchange.client.conn.EOF(nil)
 		h.server.mailbox.Poll()
 
-		if h.server.exchanges.byID[a.exchange.id] != a.exchange {
+		if h.server.exchanges.ByID[a.exchange.id] != a.exchange {
 			t.Error("forgotten before the decision module is notified of the attempt's end")
 		}
 	})
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -88,7 +88,7 @@
 		c.respondAndClose(http.StatusBadRequest, "", "X-Call-Id: a request of this id is open")
 	case !s.shutdown.acceptsRequests():
 		c.respondAndClose(http.StatusServiceUnavailable, retryAfterField(connlimit.RetryAfterShutdown), "the router stops")
-	case maxRequests > 0 && len(s.exchanges.byID) >= maxRequests:
+	case maxRequests > 0 && len(s.exchanges.ByID) >= maxRequests:
 		c.respondAndClose(http.StatusServiceUnavailable, retryAfterField(connlimit.RetryAfterFull), "the router holds as many requests as it may")
 	default:
 		s.startExchange(c)
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -62,7 +62,7 @@
 func (s *Server) startExchange(client *clientConn) {
 	e := &exchange{
 		server:    s,
-		id:        s.exchanges.newID(),
+		id:        s.exchanges.NewID(),
 		meta:      client.request.meta,
 		body:      client.conn.TakeBody(),
 		client:    client,
--- a/internal/platform/kvrelease_test.go
+++ b/internal/platform/kvrelease_test.go
@@ -51,7 +51,7 @@
 func (h *harness) waitForDeferredPrefill() {
 	h.Helper()
 	h.waitOnLoop("a deferred prefill", func() bool {
-		for _, e := range h.server.exchanges.byID {
+		for _, e := range h.server.exchanges.ByID {
 			if e.attempt != nil && e.attempt.deferred != nil {
 				return true
 			}
--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -10,7 +10,7 @@
 	return decisionloop.Mailbox[*exchange]{
 		Loop:        s.loop,
 		Router:      control.New(s.config.Settings.Control, s.now()),
-		Exchanges:   s.exchanges.byID,
+		Exchanges:   s.exchanges.ByID,
 		Logger:      s.log,
 		Now:         s.now,
 		CheckHealth: s.checkHealth,
@@ -30,6 +30,6 @@
 
 // afterPoll removes the exchanges that have ended and starts the KV releases that are due.
 func (s *Server) afterPoll() {
-	s.exchanges.removeEnded()
+	s.exchanges.RemoveEnded((*exchange).isRemovable)
 	s.pollKVReleases()
 }
--- a/internal/platform/memory_test.go
+++ b/internal/platform/memory_test.go
@@ -24,7 +24,7 @@
 	h.listManyEngines(5000, 95_000)
 
 	h.waitOnLoop("all of it to end", func() bool {
-		return len(h.server.exchanges.byID) == 0 && len(h.server.endpoints.byID) == 2 && h.server.membership.Len() == 2 && h.server.clients.Len() == 0
+		return len(h.server.exchanges.ByID) == 0 && len(h.server.endpoints.byID) == 2 && h.server.membership.Len() == 2 && h.server.clients.Len() == 0
 	})
 	if after := h.liveHeap(); after > before+maxGrowth {
 		t.Errorf("%d KB live after, %d KB before", after>>10, before>>10)
--- a/internal/platform/retry_test.go
+++ b/internal/platform/retry_test.go
@@ -185,7 +185,7 @@
 					t.Errorf("a second request where one may be open: %d", answer.Code)
 				}
 			} else {
-				h.waitOnLoop("both requests to be open", func() bool { return len(h.server.exchanges.byID) == 2 })
+				h.waitOnLoop("both requests to be open", func() bool { return len(h.server.exchanges.ByID) == 2 })
 			}
 			close(released)
 			if answer := readAnswer(first); answer.Code != http.StatusOK {
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -42,7 +42,7 @@
 		}
 		s.shutdown.phase = serverLameDuck
 		s.clients.StopKeepAlive()
-		s.log.Info().Int("open_requests", len(s.exchanges.byID)).Msg("shutdown started")
+		s.log.Info().Int("open_requests", len(s.exchanges.ByID)).Msg("shutdown started")
 		s.shutdown.timer.Fire = s.startDraining
 		s.loop.StartTimer(&s.shutdown.timer, connlimit.ShutdownAcceptWindow)
 	})
@@ -74,6 +74,6 @@
 // isDrained reports whether no request, connection or KV release is open. Connections that linger after
 // their last answer count as open.
 func (s *Server) isDrained() bool {
-	return s.clients.Len() == 0 && len(s.exchanges.byID) == 0 &&
+	return s.clients.Len() == 0 && len(s.exchanges.ByID) == 0 &&
 		s.kvReleases.scheduler.Len() == 0 && s.clients.Listener.Open() == 0
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -137,7 +137,7 @@
 	served := h.send(h.chat("note"))
 	h.waitForAttempts(1, h.engines[1])
 	parked := h.send(h.chat("note"))
-	h.waitOnLoop("both requests to be open", func() bool { return len(h.server.exchanges.byID) == 2 })
+	h.waitOnLoop("both requests to be open", func() bool { return len(h.server.exchanges.ByID) == 2 })
 	if n := h.engines[0].Attempts(); n != 1 {
 		t.Fatalf("%d prefill attempts: the second request is not parked", n)
 	}
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -62,7 +62,7 @@
 	line := s.log.Info().
 		Int("client_sockets", s.clients.Listener.Open()).
 		Int("client_connections", s.clients.Len()).
-		Int("active_requests", len(s.exchanges.byID)).
+		Int("active_requests", len(s.exchanges.ByID)).
 		Int("engine_connections", s.endpoints.connBudget.Open()).
 		Int("buffered_bytes", s.bufferedBytes)
 	s.counters.appendEvictionsTo(line).
