--- a/control/admission/queue.go
+++ b/control/admission/queue.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"martenlock/control"
+	"martenlock/control/internal/ewma"
 	"martenlock/control/internal/indexedheap"
 )
 
@@ -29,7 +30,7 @@
 	waitingTokens     float64
 	outstandingTokens float64
 	outstandingUnits  int
-	meanUnitTokens    float64 // 0 until the first unit is admitted
+	meanUnitTokens    ewma.Average[float64] // tokens of an admitted unit
 	throughput        throughput
 	share             share
 	lastDeadlineCheck control.Time
@@ -155,12 +156,12 @@
 	for q.waitingTenants.Len() > 0 {
 		request := q.waitingTenants.Min().requests.Min()
 		tokens := request.UnitTokens[request.nextUnit]
-		if q.meanUnitTokens == 0 {
-			q.meanUnitTokens = tokens
+		if q.meanUnitTokens.Value == 0 {
+			q.meanUnitTokens.Value = tokens
 			limit = q.outstandingLimit(now)
 		}
 		// The limit may be exceeded by half a unit, since units differ in size.
-		if q.outstandingUnits > 0 && q.outstandingTokens+tokens > limit+q.meanUnitTokens/2 {
+		if q.outstandingUnits > 0 && q.outstandingTokens+tokens > limit+q.meanUnitTokens.Value/2 {
 			break
 		}
 		result.Admitted = append(result.Admitted, q.admitNextUnit(request))
@@ -183,7 +184,7 @@
 	tenant := request.tenant
 	unit := Unit{request.ID, request.nextUnit}
 	tokens := request.UnitTokens[unit.Index]
-	q.meanUnitTokens += unitAlpha * (tokens - q.meanUnitTokens)
+	q.meanUnitTokens.Observe(tokens, unitAlpha)
 	q.outstandingTokens += tokens
 	q.outstandingUnits++
 	q.virtualTime = tenant.startTag
@@ -247,7 +248,7 @@
 	if !q.share.hasRecentSmallRequest(now) {
 		seconds *= aloneFactor
 	}
-	return currentShare * max(ownEndpoints*q.meanUnitTokens, q.throughput.rate*seconds)
+	return currentShare * max(ownEndpoints*q.meanUnitTokens.Value, q.throughput.rate.Value*seconds)
 }
 
 // observeThroughput closes the window of the throughput if it is long enough.
@@ -255,7 +256,7 @@
 	q.throughput.observe(now, load{
 		hasOutstanding: q.outstandingUnits > 0,
 		hasWaiting:     q.waitingTokens > 0,
-		meanUnitTokens: q.meanUnitTokens,
+		meanUnitTokens: q.meanUnitTokens.Value,
 	})
 }
 
--- a/control/admission/queue_test.go
+++ b/control/admission/queue_test.go
@@ -193,8 +193,8 @@
 
 // poll polls the queue and checks that the admitted units keep the limit by which the poll decides.
 func (m *model) poll() {
-	limit, largestUnit := limitOfNextPoll(*m.queue, at(m.now)), m.queue.meanUnitTokens
-	isFirstUnit := m.queue.meanUnitTokens == 0
+	limit, largestUnit := limitOfNextPoll(*m.queue, at(m.now)), m.queue.meanUnitTokens.Value
+	isFirstUnit := m.queue.meanUnitTokens.Value == 0
 	result := m.queue.Poll(at(m.now))
 	m.reject(result.Rejected)
 	for _, unit := range result.Admitted {
@@ -483,7 +483,7 @@
 	s := newSimulation(2, 10000, Settings{LargeTokens: 1, OutstandingWork: 100 * time.Millisecond})
 	s.enqueue(1, 1, 60, 1000, time.Hour)
 	s.run(4 * second)
-	rate := s.queue.throughput.rate
+	rate := s.queue.throughput.rate.Value
 	if rate == 0 {
 		t.Fatal("no throughput was measured")
 	}
@@ -499,8 +499,8 @@
 		s.now += 100 * time.Millisecond
 	}
 
-	if s.queue.throughput.rate != rate {
-		t.Errorf("the throughput went from %v to %v tokens a second", rate, s.queue.throughput.rate)
+	if s.queue.throughput.rate.Value != rate {
+		t.Errorf("the throughput went from %v to %v tokens a second", rate, s.queue.throughput.rate.Value)
 	}
 }
 
--- a/control/admission/throughput.go
+++ b/control/admission/throughput.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"martenlock/control"
+	"martenlock/control/internal/ewma"
 )
 
 const (
@@ -31,7 +32,7 @@
 // work waited all the time measures the pool's capacity and is averaged in. In any other window the pool may
 // have been idle, so that the sample is only a lower bound: it can raise the throughput but not lower it.
 type throughput struct {
-	rate               float64 // tokens a second; 0 while it is not known
+	rate               ewma.Average[float64] // tokens a second
 	updatedAt          control.Time
 	windowStart        control.Time
 	windowTokens       float64 // of units that ended in the window
@@ -69,13 +70,13 @@
 	switch {
 	case sample == 0:
 		lowest := current.meanUnitTokens * recoveryUnitsPerSecond
-		t.rate = min(t.rate, max(t.rate/2, lowest))
+		t.rate.Value = min(t.rate.Value, max(t.rate.Value/2, lowest))
 		t.updatedAt = now
-	case t.windowIsBacklogged && t.rate > 0:
-		t.rate += throughputAlpha * (sample - t.rate)
+	case t.windowIsBacklogged && t.rate.Value > 0:
+		t.rate.Observe(sample, throughputAlpha)
 		t.updatedAt = now
-	case sample > t.rate:
-		t.rate = sample
+	case sample > t.rate.Value:
+		t.rate.Value = sample
 		t.updatedAt = now
 	}
 	t.restartWindow(now, current.hasWaiting)
@@ -85,5 +86,5 @@
 // slow would get no more requests and its recovery would not be observed.
 func (t *throughput) optimisticRate(now control.Time) float64 {
 	periods := now.Sub(t.updatedAt).Seconds() / optimismPeriod.Seconds()
-	return t.rate * math.Exp(min(max(periods, 0), maxOptimismPeriods))
+	return t.rate.Value * math.Exp(min(max(periods, 0), maxOptimismPeriods))
 }
--- a/control/admission/tokens.go
+++ b/control/admission/tokens.go
@@ -1,5 +1,7 @@
 package admission
 
+import "martenlock/control/internal/ewma"
+
 const (
 	// maxEstimateError is the factor by which an uncorrected estimate may be too high or too low.
 	maxEstimateError = 4.0
@@ -19,8 +21,8 @@
 // engines report in their usage. Each pool has its own, since languages and vocabularies differ. The zero
 // value has no samples and is ready for use.
 type TokenEstimator struct {
-	meanRatio float64 // actual over estimated tokens, EWMA; 0 without samples
-	minRatio  float64 // about the least recent ratio; 0 without samples
+	meanRatio ewma.Average[float64] // actual over estimated tokens
+	minRatio  ewma.Average[float64] // about the least recent ratio
 }
 
 // Observe records the actual tokens of a prompt and its uncorrected estimate.
@@ -29,31 +31,28 @@
 		return
 	}
 	ratio := min(max(actual/estimated, 1/maxEstimateError), maxEstimateError)
-	if e.meanRatio == 0 {
-		e.meanRatio = ratio
-	}
-	if e.minRatio == 0 {
-		e.minRatio = 1 / maxEstimateError
+	if e.minRatio.Value == 0 {
+		e.minRatio.Value = 1 / maxEstimateError
 	}
-	e.meanRatio += ratioAlpha * (ratio - e.meanRatio)
-	e.minRatio += minRatioAlpha * (e.meanRatio - e.minRatio)
-	e.minRatio = min(e.minRatio, ratio)
+	e.meanRatio.Observe(ratio, ratioAlpha)
+	e.minRatio.Observe(e.meanRatio.Value, minRatioAlpha)
+	e.minRatio.Value = min(e.minRatio.Value, ratio)
 }
 
 // Correct returns the expected tokens of a prompt with an uncorrected estimate.
 func (e *TokenEstimator) Correct(estimated float64) float64 {
-	if e.meanRatio == 0 {
+	if e.meanRatio.Value == 0 {
 		return estimated
 	}
-	return estimated * e.meanRatio
+	return estimated * e.meanRatio.Value
 }
 
 // LowerBound returns the least tokens that a prompt with an uncorrected estimate may have. It is at most half
 // of the estimate whatever other prompts had, so that one client's dense texts cannot make another's prompts
 // count as too long.
 func (e *TokenEstimator) LowerBound(estimated float64) float64 {
-	if e.minRatio == 0 {
+	if e.minRatio.Value == 0 {
 		return estimated / maxEstimateError
 	}
-	return estimated * max(min(e.minRatio, 1)*lowerBoundMargin, 1/maxEstimateError)
+	return estimated * max(min(e.minRatio.Value, 1)*lowerBoundMargin, 1/maxEstimateError)
 }
--- a/control/batching/batcher.go
+++ b/control/batching/batcher.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"martenlock/control"
+	"martenlock/control/internal/ewma"
 	"martenlock/control/internal/indexedheap"
 	"martenlock/control/outcome"
 )
@@ -37,7 +38,7 @@
 	requests            map[RequestID]*trackedRequest
 	deadlines           *indexedheap.Heap[*trackedRequest] // of requests in batches of several
 	lastBatchID         BatchID
-	meanDurationSeconds float64 // of a batch; 0 while it is not known
+	meanDurationSeconds ewma.Average[float64] // of a batch
 }
 
 // requestQueue holds the requests of one key.
@@ -119,7 +120,7 @@
 
 // sendBy returns the time up to which a request with an objective may wait for others.
 func (b *Batcher) sendBy(now, objective control.Time) control.Time {
-	slack := time.Duration(objectiveSlack * b.meanDurationSeconds * float64(time.Second))
+	slack := time.Duration(objectiveSlack * b.meanDurationSeconds.Value * float64(time.Second))
 	untilObjective := objective.Sub(now)
 	if untilObjective < slack+b.settings.MaxWait {
 		return now.Add(max(untilObjective-slack, 0))
@@ -254,7 +255,7 @@
 		return Completion{}
 	}
 	if result.Outcome == outcome.Served {
-		b.observeDuration(now.Sub(batch.sentAt))
+		b.meanDurationSeconds.Observe(now.Sub(batch.sentAt).Seconds(), durationAlpha)
 	}
 	completion := Completion{Handling: handlingOf(result, batch.hadSeveralMembers)}
 	for _, request := range batch.requests {
@@ -284,14 +285,6 @@
 	return RetrySeparately
 }
 
-func (b *Batcher) observeDuration(duration time.Duration) {
-	seconds := duration.Seconds()
-	if b.meanDurationSeconds == 0 {
-		b.meanDurationSeconds = seconds
-	}
-	b.meanDurationSeconds += durationAlpha * (seconds - b.meanDurationSeconds)
-}
-
 // Cancel removes a request that needs no further answer. It has no effect for a request that is not known.
 func (b *Batcher) Cancel(id RequestID) Cancellation {
 	request := b.requests[id]
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -5,6 +5,8 @@
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"martenlock/control/internal/ewma"
 )
 
 const (
@@ -24,21 +26,21 @@
 
 // capacityView is what is known of the KV memory of all decode and colocated engines together.
 type capacityView struct {
-	routers          int           // of the service
-	reportFields     []ReportField // the values of a load report, in order
-	meanDemand       ewma[Tokens]  // KV memory of a request
-	memoryTokens     Tokens        // of all these engines, by the settings; 0 for unknown
-	engines          int           // number of these engines
-	reportedFree     ewma[Tokens]  // free memory of one of them, by load reports
-	reportedAt       Time          // latest load report; 0 for never
-	sentSinceReport  Tokens        // demand that load reports do not show yet
-	demand           Tokens        // of our attempts in flight
-	prefillsInFlight int           // our attempts at prefill engines
-	releaseThreshold float64       // share of a mean request that must be free for a release, from 0 to 1
+	routers          int                  // of the service
+	reportFields     []ReportField        // the values of a load report, in order
+	meanDemand       ewma.Average[Tokens] // KV memory of a request
+	memoryTokens     Tokens               // of all these engines, by the settings; 0 for unknown
+	engines          int                  // number of these engines
+	reportedFree     ewma.Average[Tokens] // free memory of one of them, by load reports
+	reportedAt       Time                 // latest load report; 0 for never
+	sentSinceReport  Tokens               // demand that load reports do not show yet
+	demand           Tokens               // of our attempts in flight
+	prefillsInFlight int                  // our attempts at prefill engines
+	releaseThreshold float64              // share of a mean request that must be free for a release, from 0 to 1
 }
 
 // demandPerRequest returns the mean demand of a request, at least one token.
-func (c *capacityView) demandPerRequest() Tokens { return max(c.meanDemand.value, 1) }
+func (c *capacityView) demandPerRequest() Tokens { return max(c.meanDemand.Value, 1) }
 
 // freeRequests returns how many mean requests fit in our share of the free memory, less our prefills in
 // flight. Load reports come late, so our own attempts bound it too: the lesser of the two counts.
@@ -46,7 +48,7 @@
 	perRequest := c.demandPerRequest()
 	free := c.share(c.memoryTokens) - float64(c.demand/perRequest)
 	if now.Sub(c.reportedAt) < reportTTL && c.reportedAt != 0 {
-		reported := c.reportedFree.value * Tokens(c.engines) / Tokens(c.routers)
+		reported := c.reportedFree.Value * Tokens(c.engines) / Tokens(c.routers)
 		free = min(free, float64((reported-c.sentSinceReport)/perRequest))
 	}
 	return free - float64(c.prefillsInFlight)
@@ -96,7 +98,7 @@
 		return
 	}
 	if free, known := c.freeMemory(source, report); known {
-		c.reportedFree.observe(free, reportAlpha)
+		c.reportedFree.Observe(free, reportAlpha)
 		c.reportedAt = now
 	}
 }
@@ -110,7 +112,7 @@
 	case report[ReportMemory] > fullMemory || report[ReportQueued] >= fullQueue:
 		return 0, true
 	case report[ReportInFlight]*utilization > 0:
-		free = Tokens(report[ReportInFlight]*(1-utilization)/utilization) * c.meanDemand.value
+		free = Tokens(report[ReportInFlight]*(1-utilization)/utilization) * c.meanDemand.Value
 		return free, !math.IsInf(float64(free), 1) // a utilization next to 0 says nothing
 	case source.memoryTokens > 0 && slices.Contains(c.reportFields, ReportMemory):
 		return Tokens(max(fullMemory-report[ReportMemory], 0)) * source.memoryTokens, true
--- a/control/estimate.go
+++ b/control/estimate.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"math"
 	"time"
+
+	"martenlock/control/internal/ewma"
 )
 
 const (
@@ -37,15 +39,15 @@
 // latencyEstimator holds averages of the times that attempts took.
 type latencyEstimator struct {
 	roles         [roleCount]roleLatency
-	answerSeconds []ewma[float64] // by class
+	answerSeconds []ewma.Average[float64] // by class
 }
 
 // roleLatency holds averages over all endpoints of one role.
 type roleLatency struct {
-	mean            ewma[secondsPerToken]
-	best            ewma[secondsPerToken] // of the better times
-	observedAt      Time                  // latest of these times
-	relativeLatency ewma[float64]         // time of its answers over the mean of their class
+	mean            ewma.Average[secondsPerToken]
+	best            ewma.Average[secondsPerToken] // of the better times
+	observedAt      Time                          // latest of these times
+	relativeLatency ewma.Average[float64]         // time of its answers over the mean of their class
 }
 
 // observe records the time that an endpoint of a role took for a prefill, or to a first token. It returns
@@ -55,9 +57,9 @@
 ) secondsPerToken {
 	perToken := secondsPerToken(elapsed.Seconds() / float64(tokens+overheadTokens))
 	stats := &l.roles[role]
-	stats.mean.observe(min(perToken, outlierCap*cmp.Or(stats.mean.value, perToken)), latencyAlpha)
+	stats.mean.Observe(min(perToken, outlierCap*cmp.Or(stats.mean.Value, perToken)), latencyAlpha)
 	riseAlpha := 1 - math.Exp(-now.Sub(stats.observedAt).Seconds()/estimateFadeTime.Seconds())
-	stats.best.observeLow(perToken, bestAlpha, riseAlpha)
+	stats.best.ObserveLow(perToken, bestAlpha, riseAlpha)
 	stats.observedAt = now
 	return perToken
 }
@@ -66,15 +68,15 @@
 func (l *latencyEstimator) observeAnswer(role Role, class int, elapsed time.Duration) (relative float64) {
 	seconds := elapsed.Seconds()
 	mean := &l.answerSeconds[class]
-	relative = seconds / cmp.Or(mean.value, seconds)
-	l.roles[role].relativeLatency.observe(relative, latencyAlpha)
-	mean.observe(seconds, meanAlpha)
+	relative = seconds / cmp.Or(mean.Value, seconds)
+	l.roles[role].relativeLatency.Observe(relative, latencyAlpha)
+	mean.Observe(seconds, meanAlpha)
 	return relative
 }
 
 // expectedTime returns a multiple of the mean time that an endpoint of a role takes for a number of tokens.
 func (l *latencyEstimator) expectedTime(role Role, tokens Tokens, multiple float64) time.Duration {
-	perToken := secondsPerToken(multiple) * l.roles[role].mean.value
+	perToken := secondsPerToken(multiple) * l.roles[role].mean.Value
 	return time.Duration(perToken.times(tokens) * float64(time.Second))
 }
 
@@ -84,7 +86,7 @@
 	for role, tokens := range [...]Tokens{RolePrefill: uncached, RoleDecode: prompt} {
 		stats := &l.roles[role]
 		age := now.Sub(stats.observedAt).Seconds() / estimateFadeTime.Seconds()
-		seconds += stats.best.value.times(tokens+overheadTokens) * math.Exp(-age)
+		seconds += stats.best.Value.times(tokens+overheadTokens) * math.Exp(-age)
 	}
 	return time.Duration(estimateMargin * min(seconds, estimateMax) * float64(time.Second))
 }
--- a/control/health.go
+++ b/control/health.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"time"
+
+	"martenlock/control/internal/ewma"
 )
 
 // Ejection and probation.
@@ -44,12 +46,12 @@
 
 // endpointHealth is what outcomes, progress and health checks say of an endpoint.
 type endpointHealth struct {
-	failureRate     float64       // share of recent attempts that failed
-	relativeLatency ewma[float64] // its better times over the mean of its role, or of the answer's class
-	lastProgress    Time          // latest outcome or start of an answer
-	nextProbation   Time          // while ejected, it gets no attempt before
-	rejectingUntil  Time          // after a rejection, it gets no attempt before
-	checkedAt       Time          // latest health check
+	failureRate     float64               // share of recent attempts that failed
+	relativeLatency ewma.Average[float64] // its better times over the mean of its role, or of the answer's class
+	lastProgress    Time                  // latest outcome or start of an answer
+	nextProbation   Time                  // while ejected, it gets no attempt before
+	rejectingUntil  Time                  // after a rejection, it gets no attempt before
+	checkedAt       Time                  // latest health check
 	checkInFlight   bool
 }
 
@@ -59,7 +61,7 @@
 // restart forgets what was observed before the engine started anew.
 func (h *endpointHealth) restart() {
 	h.failureRate = 0
-	h.relativeLatency = ewma[float64]{}
+	h.relativeLatency = ewma.Average[float64]{}
 }
 
 // recordSuccess records an attempt that succeeded. An ejected endpoint may be tried again at once.
@@ -84,8 +86,8 @@
 // slow. The comparison is with its peers, not with its own past, so that an endpoint that slows ever more
 // shows too.
 func (h *endpointHealth) observeLatency(relative float64) (slow bool) {
-	h.relativeLatency.observeLow(min(relative, relativeLatencyCap*slowLatency), bestAlpha, latencyAlpha)
-	return min(relative, h.relativeLatency.value) > slowLatency
+	h.relativeLatency.ObserveLow(min(relative, relativeLatencyCap*slowLatency), bestAlpha, latencyAlpha)
+	return min(relative, h.relativeLatency.Value) > slowLatency
 }
 
 // onProbation reports whether an ejected endpoint may be tried with a request.
@@ -129,7 +131,7 @@
 		}
 	case Cancelled, NotSent: // our own doing
 	}
-	r.rejectionRates[target.role].approach(rejected, latencyAlpha)
+	r.rejectionRates[target.role].Approach(rejected, latencyAlpha)
 	target.health.lastProgress = r.now
 	if event.Result == PrefillDone {
 		target.recordProgress(request, r.now)
@@ -143,7 +145,7 @@
 	if event.Result == PrefillDone {
 		computed := max(request.PromptTokens-Tokens(event.CachedTokens), 0)
 		perToken := r.latency.observe(target.role, event.Elapsed, computed, r.now)
-		relative = float64(perToken / cmp.Or(r.latency.roles[RolePrefill].mean.value, perToken))
+		relative = float64(perToken / cmp.Or(r.latency.roles[RolePrefill].mean.Value, perToken))
 	} else {
 		relative = r.latency.observeAnswer(target.role, request.Class, event.Elapsed)
 	}
--- a/control/retry.go
+++ b/control/retry.go
@@ -165,7 +165,7 @@
 // While prefill engines reject many requests, two rejections of this one are enough: further attempts would
 // add load to the other engines.
 func (r *Router) retryObstacle(request *request) (reason FinishReason, blocked bool) {
-	rejecting := r.rejectionRates[RolePrefill].value > rejectionLimit
+	rejecting := r.rejectionRates[RolePrefill].Value > rejectionLimit
 	sendDeadline := request.sendDeadline(r.settings.Limits.KVRetentionLimit)
 	switch {
 	case !request.mayRepeat(r.now):
--- a/control/router.go
+++ b/control/router.go
@@ -3,6 +3,8 @@
 import (
 	"math/rand/v2"
 	"time"
+
+	"martenlock/control/internal/ewma"
 )
 
 const (
@@ -34,7 +36,7 @@
 	topology topology
 	prefixes prefixPopularity
 
-	rejectionRates [roleCount]ewma[float64] // share of recent attempts that were rejected, by role
+	rejectionRates [roleCount]ewma.Average[float64] // share of recent attempts that were rejected, by role
 
 	lastSequence      uint64  // of the latest request
 	healthCheckBudget float64 // health checks that may be sent
@@ -54,7 +56,7 @@
 		sessions:  sessionTable{},
 		requests:  map[RequestID]*request{},
 		prefixes:  prefixPopularity{requests: map[uint64]float64{}},
-		latency:   latencyEstimator{answerSeconds: make([]ewma[float64], len(settings.Classes))},
+		latency:   latencyEstimator{answerSeconds: make([]ewma.Average[float64], len(settings.Classes))},
 		capacity:  capacityView{routers: settings.Identity.Routers, reportFields: settings.Engines.ReportFields},
 	}
 }
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -6,6 +6,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"martenlock/control/internal/ewma"
 )
 
 // promotionRatio is the ratio of a session's waiting time to its service time above which its requests are
@@ -77,19 +79,19 @@
 
 // releaseCounter measures how fast requests leave the queue.
 type releaseCounter struct {
-	perSecond ewma[float64]
+	perSecond ewma.Average[float64]
 	count     float64 // since the latest update
 }
 
 // update ends an interval of the measurement.
 func (c *releaseCounter) update(elapsed time.Duration) {
-	c.perSecond.observe(c.count/elapsed.Seconds(), latencyAlpha)
+	c.perSecond.Observe(c.count/elapsed.Seconds(), latencyAlpha)
 	c.count = 0
 }
 
 // timeFor returns how long the release of a number of requests takes. It is 0 while the rate is unknown.
 func (c *releaseCounter) timeFor(requests float64) time.Duration {
-	seconds := requests / cmp.Or(c.perSecond.value, math.Inf(1))
+	seconds := requests / cmp.Or(c.perSecond.Value, math.Inf(1))
 	return time.Duration(seconds * float64(time.Second))
 }
 
@@ -103,7 +105,7 @@
 	r.requests[event.ID] = added
 	r.prefixes.observe(event.PrefixHash)
 	r.healthCheckBudget += healthChecksPerRequest
-	r.capacity.meanDemand.observe(added.demand, meanAlpha)
+	r.capacity.meanDemand.Observe(added.demand, meanAlpha)
 	r.queue.add(added)
 	r.arrivals = append(r.arrivals, added)
 }
@@ -127,7 +129,7 @@
 		r.forward(request, target)
 		r.releases.count++
 		r.capacity.drawReleaseThreshold(r.rng)
-		free -= float64(request.demand / r.capacity.meanDemand.value)
+		free -= float64(request.demand / r.capacity.meanDemand.Value)
 	}
 }
 
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -20,7 +20,7 @@
 // slowStartShare returns the share of others' traffic that an endpoint in slow start may get. It is lower
 // while its role rejects many attempts.
 func (r *Router) slowStartShare(role Role) float64 {
-	accepted := 1 - r.rejectionRates[role].value
+	accepted := 1 - r.rejectionRates[role].Value
 	return r.settings.SlowStart.InitialShare * r.settings.SlowStart.OverloadMultiple * slowStartMargin * accepted
 }
 
--- a/control/status.go
+++ b/control/status.go
@@ -25,7 +25,7 @@
 		InFlight:        len(e.load.attempts),
 		FailureRate:     e.health.failureRate,
 		Ejected:         e.health.ejected(),
-		RelativeLatency: e.health.relativeLatency.value,
+		RelativeLatency: e.health.relativeLatency.Value,
 		RejectingFor:    max(e.health.rejectingUntil.Sub(r.now), 0),
 		SlowStart:       !r.warmedUp(e),
 	}
--- a/control/topology.go
+++ b/control/topology.go
@@ -132,8 +132,8 @@
 // colocatedWeight returns the weight of a colocated engine's answers over that of a decode engine's. It falls
 // while the answers of colocated engines are slow.
 func (r *Router) colocatedWeight() float64 {
-	decode := cmp.Or(r.latency.roles[RoleDecode].relativeLatency.value, 1)
-	colocated := cmp.Or(r.latency.roles[RoleColocated].relativeLatency.value, 1)
+	decode := cmp.Or(r.latency.roles[RoleDecode].relativeLatency.Value, 1)
+	colocated := cmp.Or(r.latency.roles[RoleColocated].relativeLatency.Value, 1)
 	return colocatedShare * min(colocatedSlowdown*decode/colocated, 1)
 }
 
