--- a/internal/openaiserver/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -6,26 +6,12 @@
 
 	"martenlock/control"
 	"martenlock/control/batching"
+	"martenlock/internal/decisionloop"
 	"martenlock/internal/http1"
 	"martenlock/internal/timerwheel"
 	"martenlock/internal/upstream"
 )
 
-// attemptState is how far an attempt has come.
-type attemptState uint8
-
-//go:generate go tool stringer -linecomment -type=attemptState -output=enum_string.go
-
-// The states of an attempt.
-const (
-	// attemptWaiting: the answer is buffered, and nothing of it was handed to the client.
-	attemptWaiting attemptState = iota // waiting
-	// attemptStreaming: the client receives the answer piece by piece. No further attempt follows.
-	attemptStreaming // streaming
-	// attemptEnded: the outcome was reported to the decision module.
-	attemptEnded // ended
-)
-
 // attempt is a request forwarded once, to one engine. It implements upstream.ResponseHandler for the engine's response.
 type attempt struct {
 	exchange   *exchange
@@ -36,7 +22,7 @@
 	conn       *upstream.Conn // nil until assigned and after the response has ended
 	startedAt  time.Duration
 
-	state             attemptState
+	state             decisionloop.AttemptState
 	answerTimeout     timerwheel.Timer // bounds the time until the answer starts
 	streamIdleTimeout timerwheel.Timer // bounds the time between two pieces of a streamed answer
 
@@ -74,7 +60,7 @@
 // finish ends the attempt and reports its outcome to the decision module. Later calls have no effect. If isFinal
 // is set the request ends too and the client receives the rest of its answer.
 func (a *attempt) finish(result control.Result, isFinal bool) {
-	if a.state == attemptEnded {
+	if a.state == decisionloop.AttemptEnded {
 		return
 	}
 	exchange := a.exchange
@@ -109,7 +95,7 @@
 
 // stop ends the attempt's timers and buffer, and resets a connection whose response is not complete.
 func (a *attempt) stop() {
-	a.state = attemptEnded
+	a.state = decisionloop.AttemptEnded
 	loop := a.exchange.pool.server.loop
 	loop.StopTimer(&a.answerTimeout)
 	loop.StopTimer(&a.streamIdleTimeout)
--- a/internal/openaiserver/attemptresponse.go
+++ b/internal/openaiserver/attemptresponse.go
@@ -5,6 +5,7 @@
 
 	"martenlock/control"
 	"martenlock/control/outcome"
+	"martenlock/internal/decisionloop"
 	"martenlock/internal/http1"
 	"martenlock/internal/openai"
 	"martenlock/internal/upstream"
@@ -40,8 +41,8 @@
 	server := a.exchange.pool.server
 	isPrefill := a.role == control.RolePrefill
 	switch {
-	case a.state == attemptEnded:
-	case a.state == attemptStreaming:
+	case a.state == decisionloop.AttemptEnded:
+	case a.state == decisionloop.AttemptStreaming:
 		a.forwardData(data)
 	case len(a.buffered)+len(data) <= a.maxBufferedBytes():
 		if server.bufferedBytes+int64(len(data)) > maxBufferedBytes {
@@ -83,7 +84,7 @@
 		a.finishByStatus()
 	case a.role == control.RolePrefill:
 		a.finishPrefill()
-	case a.state == attemptStreaming:
+	case a.state == decisionloop.AttemptStreaming:
 		a.finish(control.OK, true)
 	case a.exchange.call.Stream: // a stream without any event
 		a.finish(control.Failed, false)
@@ -152,5 +153,5 @@
 		a.finish(control.ConnectFailed, false)
 		return
 	}
-	a.finish(control.Reset, a.state == attemptStreaming)
+	a.finish(control.Reset, a.state == decisionloop.AttemptStreaming)
 }
--- a/internal/openaiserver/attemptstream.go
+++ b/internal/openaiserver/attemptstream.go
@@ -1,6 +1,9 @@
 package openaiserver
 
-import "martenlock/control"
+import (
+	"martenlock/control"
+	"martenlock/internal/decisionloop"
+)
 
 // This file streams an engine's answer to the client.
 
@@ -9,7 +12,7 @@
 func (a *attempt) startStream(data []byte) {
 	exchange := a.exchange
 	loop := exchange.pool.server.loop
-	a.state = attemptStreaming
+	a.state = decisionloop.AttemptStreaming
 	exchange.answerStarted = true
 	exchange.kvHolders = nil
 	loop.StopTimer(&a.answerTimeout)
--- a/internal/openaiserver/exchange.go
+++ b/internal/openaiserver/exchange.go
@@ -5,6 +5,7 @@
 
 	"martenlock/control"
 	"martenlock/control/outcome"
+	"martenlock/internal/decisionloop"
 	"martenlock/internal/http1"
 	"martenlock/internal/openai"
 )
@@ -80,7 +81,7 @@
 // being streamed.
 func (e *exchange) CancelAttempt(number control.AttemptNumber) {
 	a := e.attempt
-	if a != nil && a.number == number && a.state == attemptWaiting {
+	if a != nil && a.number == number && a.state == decisionloop.AttemptWaiting {
 		a.finish(control.Cancelled, false)
 	}
 }
@@ -175,7 +176,7 @@
 // clientWritable implements operation. It resumes a paused answer.
 func (e *exchange) clientWritable() {
 	a := e.attempt
-	if a != nil && a.state == attemptStreaming {
+	if a != nil && a.state == decisionloop.AttemptStreaming {
 		a.resume()
 	}
 }
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -5,26 +5,12 @@
 	"time"
 
 	"martenlock/control"
+	"martenlock/internal/decisionloop"
 	"martenlock/internal/http1"
 	"martenlock/internal/timerwheel"
 	"martenlock/internal/upstream"
 )
 
-//go:generate go tool stringer -linecomment -type=attemptState,requestOutcome,shutdownPhase,firstEventState,jsonElementKind -output=enum_string.go
-
-// attemptState is how far an attempt has come.
-type attemptState uint8
-
-// The states of an attempt, in order.
-const (
-	// attemptWaiting lasts until the first event of the response is complete.
-	attemptWaiting attemptState = iota // waiting
-	// attemptStreaming means that the client receives this response. No other attempt follows.
-	attemptStreaming // streaming
-	// attemptEnded means that the outcome was reported to the exchange.
-	attemptEnded // ended
-)
-
 // attempt is one forwarding of a request to one engine. It implements upstream.ResponseHandler
 // and upstream.HeadBuilder for its connection. Its methods run on the loop.
 //
@@ -41,7 +27,7 @@
 	deadline   time.Duration    // of the first event
 	deferred   *control.Forward // the action to start with once the KV release is confirmed; nil if not deferred
 
-	state           attemptState
+	state           decisionloop.AttemptState
 	firstEventTimer timerwheel.Timer // runs from the beginning, also while the attempt is deferred
 	streamIdleTimer timerwheel.Timer // runs between two pieces of the stream
 
@@ -86,7 +72,7 @@
 // startDeferred starts the attempt if it was deferred. It ends as NotSent if its engine is no longer
 // listed as ready, or if no time is left.
 func (a *attempt) startDeferred() {
-	if a.deferred == nil || a.state == attemptEnded {
+	if a.deferred == nil || a.state == decisionloop.AttemptEnded {
 		return
 	}
 	s := a.exchange.server
@@ -119,12 +105,12 @@
 // finish ends the attempt and reports its outcome to the decision module; later calls have no
 // effect. If isFinal is set the request ends too and the client receives the rest of its answer.
 func (a *attempt) finish(result control.Result, isFinal bool) {
-	if a.state == attemptEnded {
+	if a.state == decisionloop.AttemptEnded {
 		return
 	}
-	streamStarted := a.state == attemptStreaming
+	streamStarted := a.state == decisionloop.AttemptStreaming
 	a.logEnd(result)
-	a.state = attemptEnded
+	a.state = decisionloop.AttemptEnded
 	a.stopTimers()
 	mayStillExecute := a.closeConn()
 	a.discardBuffered()
--- a/internal/platform/attemptresponse.go
+++ b/internal/platform/attemptresponse.go
@@ -4,6 +4,7 @@
 	"net/http"
 
 	"martenlock/control"
+	"martenlock/internal/decisionloop"
 	"martenlock/internal/http1"
 	"martenlock/internal/upstream"
 )
@@ -31,8 +32,8 @@
 func (a *attempt) Data(data []byte) {
 	s := a.exchange.server
 	switch {
-	case a.state == attemptEnded:
-	case a.state == attemptStreaming:
+	case a.state == decisionloop.AttemptEnded:
+	case a.state == decisionloop.AttemptStreaming:
 		a.forwardEvents(data)
 	case a.status != http.StatusOK: // the part of such a body that is used is short
 		fits := min(len(data), maxBufferedAnswerBytes-len(a.buffered))
@@ -63,7 +64,7 @@
 func (a *attempt) startStream() {
 	e := a.exchange
 	s := e.server
-	a.state = attemptStreaming
+	a.state = decisionloop.AttemptStreaming
 	s.loop.StopTimer(&a.firstEventTimer)
 	elapsed := s.loop.Now() - a.startedAt
 	e.timeToFirstEvent = s.loop.Now() - e.startedAt
@@ -113,8 +114,8 @@
 	a.conn = nil
 	s.kvReleases.scheduler.RecordResponse(s.now(), a.endpointID)
 	switch {
-	case a.state == attemptEnded:
-	case a.state == attemptStreaming:
+	case a.state == decisionloop.AttemptEnded:
+	case a.state == decisionloop.AttemptStreaming:
 		a.finish(control.OK, true)
 	case a.status == http.StatusOK: // a stream without events
 		a.finish(control.Failed, false)
@@ -142,7 +143,7 @@
 	if err.Malformed != "" {
 		a.exchange.server.counters.malformed++
 	}
-	if a.state == attemptStreaming {
+	if a.state == decisionloop.AttemptStreaming {
 		a.finish(control.Reset, true)
 		return
 	}
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -6,6 +6,7 @@
 
 	"martenlock/control"
 	"martenlock/control/connlimit"
+	"martenlock/internal/decisionloop"
 	"martenlock/internal/timerwheel"
 )
 
@@ -35,6 +36,8 @@
 	prefillMayEndLate bool // a prefill that was abandoned may still end, and retain KV state from then on
 }
 
+//go:generate go tool stringer -linecomment -type=requestOutcome,shutdownPhase,firstEventState,jsonElementKind -output=enum_string.go
+
 // requestOutcome is how a request ended, as log lines name it.
 type requestOutcome uint8
 
@@ -120,7 +123,7 @@
 // CancelAttempt implements decisionloop.Exchange.
 func (e *exchange) CancelAttempt(number control.AttemptNumber) {
 	a := e.attempt
-	if a != nil && a.number == number && a.state == attemptWaiting {
+	if a != nil && a.number == number && a.state == decisionloop.AttemptWaiting {
 		a.finish(control.Cancelled, false)
 	}
 }
@@ -157,7 +160,7 @@
 	if !e.kv.mayRetain {
 		return
 	}
-	if e.attempt != nil && e.attempt.state == attemptWaiting {
+	if e.attempt != nil && e.attempt.state == decisionloop.AttemptWaiting {
 		e.attempt.recordUnresponsive()
 	}
 	e.server.enqueueKVRelease(e.meta.callID, action.Reason)
@@ -229,7 +232,7 @@
 // clientWritable resumes the stream after the client has read what was buffered for it.
 func (e *exchange) clientWritable() {
 	a := e.attempt
-	if a != nil && a.state == attemptStreaming {
+	if a != nil && a.state == decisionloop.AttemptStreaming {
 		a.resume()
 	}
 }
