--- a/internal/demo/fault.go
+++ b/internal/demo/fault.go
@@ -93,7 +93,7 @@
 	case FaultFull:
 		return fakeengine.Fault{RejectAll: true}
 	case FaultKVMissing:
-		return fakeengine.Fault{KVUnavailable: true}
+		return fakeengine.Fault{KVMissing: true}
 	case FaultResetBefore:
 		return fakeengine.Fault{ResetBefore: true}
 	case FaultResetAfter:
--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -22,8 +22,8 @@
 	// that have failed by it. Each request that raises it to 1 fails.
 	accumulatedFailures float64
 
-	startedAt   time.Duration // start of its process, in time of the event loop
-	startedCold bool          // its process started in slow start
+	startedAt          time.Duration // start of its process, in time of the event loop
+	startedInSlowStart bool          // its process started in slow start
 
 	scheduler scheduler
 	kvStore   kvStore
@@ -38,8 +38,8 @@
 	return e
 }
 
-// start starts the engine's process, in slow start if cold is set.
-func (e *Engine) start(cold bool) error {
+// start starts the engine's process, in slow start if slowStart is set.
+func (e *Engine) start(slowStart bool) error {
 	listener, err := e.cluster.loop.Listen(e.Spec.Listen, e.accept)
 	if err != nil {
 		return err
@@ -50,8 +50,8 @@
 	e.kvStore.reset()
 	e.scheduler.reset()
 	e.startedAt = e.cluster.loop.Now()
-	e.startedCold = cold
-	if cold {
+	e.startedInSlowStart = slowStart
+	if slowStart {
 		e.observe(invariant.EngineStarted, "", 0)
 	}
 	return nil
@@ -106,17 +106,17 @@
 	}
 }
 
-// requestIDSeparator separates the ids of the requests of a batch.
-const requestIDSeparator = ", "
+// recordIDSeparator separates the ids of the requests of a batch in a record id.
+const recordIDSeparator = ", "
 
-// observe records an event of a request, or of the engine if requestID is "". An event of a batch is
+// observe records an event of a request, or of the engine if recordID is "". An event of a batch is
 // recorded for each of its requests, with an equal share of the work.
-func (e *Engine) observe(kind invariant.Kind, requestID string, work float64) {
+func (e *Engine) observe(kind invariant.Kind, recordID string, work float64) {
 	if e.cluster.recording == nil {
 		return
 	}
-	work /= float64(strings.Count(requestID, requestIDSeparator) + 1)
-	for id := range strings.SplitSeq(requestID, requestIDSeparator) {
+	work /= float64(strings.Count(recordID, recordIDSeparator) + 1)
+	for id := range strings.SplitSeq(recordID, recordIDSeparator) {
 		e.cluster.recording.Add(invariant.Event{At: e.cluster.clock(), Kind: kind, Request: id, Engine: e.Spec.Name, Work: work})
 	}
 }
@@ -124,7 +124,7 @@
 // speed returns the engine's current speed, as a share of its full speed.
 func (e *Engine) speed() float64 {
 	share := 1.0
-	if e.startedCold && e.Spec.SlowStartDuration > 0 {
+	if e.startedInSlowStart && e.Spec.SlowStartDuration > 0 {
 		progress := (e.cluster.loop.Now() - e.startedAt).Seconds() / e.Spec.SlowStartDuration.Seconds()
 		share = e.Spec.SlowStartInitialSpeed + (1-e.Spec.SlowStartInitialSpeed)*min(progress, 1)
 	}
--- a/internal/fakeengine/fakeengine.go
+++ b/internal/fakeengine/fakeengine.go
@@ -1,9 +1,9 @@
 // Package fakeengine emulates inference engines for the demo, the tests and the benchmarks. They respond
 // in the published formats (OpenAI's API, rerank, vLLM's disaggregated prefill, ORCA load reports) with
-// made-up content. A simple formula gives their speed, and a Fault makes them fail.
+// made-up content. Their speed follows a simple formula, and a Fault makes them fail.
 //
 // A prefill engine retains KV states as bytes. The decode engine fetches them over a connection of its
-// own and checks a hash, so a test notices a state that did not arrive whole.
+// own and checks a hash, so that a test detects a state that arrived incomplete.
 //
 // The engines do not model the speed of real ones. Prefills run one after another at a fixed rate, and
 // tokens come at a fixed interval regardless of load. Nothing is batched, preempted or cached, and KV
@@ -71,12 +71,12 @@
 	return c, nil
 }
 
-// Start starts an engine and returns it. The engine starts in slow start if cold is set.
-func (c *Cluster) Start(spec Spec, cold bool) (*Engine, error) {
+// Start starts an engine and returns it. The engine starts in slow start if slowStart is set.
+func (c *Cluster) Start(spec Spec, slowStart bool) (*Engine, error) {
 	e := newEngine(c, spec)
 	var err error
 	c.do(func() {
-		err = e.start(cold)
+		err = e.start(slowStart)
 		if err == nil {
 			c.engines[spec.Name] = e
 		}
--- a/internal/fakeengine/fault.go
+++ b/internal/fakeengine/fault.go
@@ -13,7 +13,7 @@
 	Hang            bool          // accepts connections but reads and sends nothing; open connections stay open
 	ErrorRate       float64       // share of the requests that fail with status 500
 	RejectAll       bool          // rejects all requests with status 503
-	KVUnavailable   bool          // reports that KV states can't be fetched
+	KVMissing       bool          // reports that KV states can't be fetched
 	ResetBefore     bool          // resets the connection in place of executing a request
 	ResetAfter      int           // resets the connection after this many tokens; 0 for never, -1 for after execution but before the first token
 	StallAfter      int           // sends nothing more after this many tokens; 0 for never
--- a/internal/fakeengine/job.go
+++ b/internal/fakeengine/job.go
@@ -118,7 +118,7 @@
 	case e.fault.RejectAll || e.scheduler.isFull() || e.kvStore.isFull():
 		j.fail(http.StatusServiceUnavailable, "overloaded", "no place in the queue")
 	case e.Spec.Role == control.RoleDecode && j.stage == control.RoleColocated:
-		j.failKVGone("a decode engine needs a KV state")
+		j.failKVMissing("a decode engine needs a KV state")
 	default:
 		return false
 	}
--- a/internal/fakeengine/kvfetch.go
+++ b/internal/fakeengine/kvfetch.go
@@ -30,8 +30,8 @@
 	state  []byte
 }
 
-// failKVGone responds that the KV state of the request is missing, and finishes the job.
-func (j *job) failKVGone(message string) {
+// failKVMissing responds that the KV state of the request is missing, and finishes the job.
+func (j *job) failKVMissing(message string) {
 	j.fail(http.StatusFailedDependency, "kv_state_gone", message)
 }
 
@@ -39,14 +39,14 @@
 func (j *job) startKVFetch() {
 	transfer := gjson.GetBytes(j.body, kvTransferField)
 	address, err := netip.ParseAddrPort(fmt.Sprintf("%s:%d", transfer.Get("remote_host").Str, transfer.Get("remote_port").Int()))
-	if err != nil || j.engine.fault.KVUnavailable {
-		j.failKVGone(kvFetchFailed)
+	if err != nil || j.engine.fault.KVMissing {
+		j.failKVMissing(kvFetchFailed)
 		return
 	}
 	f := &kvFetch{job: j, parser: http1.NewResponses(&httpLimits)}
 	f.socket, err = j.engine.cluster.loop.Dial(address, f)
 	if err != nil {
-		j.failKVGone(err.Error())
+		j.failKVMissing(err.Error())
 		return
 	}
 	j.fetch = f
@@ -106,7 +106,7 @@
 func (f *kvFetch) fail() {
 	wasAwaited := f.end()
 	if wasAwaited {
-		f.job.failKVGone(kvFetchFailed)
+		f.job.failKVMissing(kvFetchFailed)
 	}
 }
 
--- a/internal/fakeengine/rerank.go
+++ b/internal/fakeengine/rerank.go
@@ -16,8 +16,7 @@
 	score float64
 }
 
-// rerank returns the body of the response to a rerank request. The score of a document is the share of
-// the query's words that it contains.
+// rerank returns the body of the response to a rerank request.
 func (j *job) rerank() []byte {
 	documents := rankDocuments(j.body)
 	withText := gjson.GetBytes(j.body, "return_documents").Bool()
@@ -56,8 +55,9 @@
 	return documents
 }
 
-// relevance returns the score of a document, between 0 and 1.
+// relevance returns the score of a document: about the share of the query's words that it contains.
 func relevance(queryWords []string, text string) float64 {
+	const offset = 0.1 // above 0 and below 1, so that scores are too
 	text = strings.ToLower(text)
 	hits := 0
 	for _, queryWord := range queryWords {
@@ -65,5 +65,5 @@
 			hits++
 		}
 	}
-	return (float64(hits) + 0.1) / (float64(len(queryWords)) + 1)
+	return (float64(hits) + offset) / (float64(len(queryWords)) + 1)
 }
