--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -52,9 +52,8 @@
 	s := startServer(t, longTimeouts())
 	client, h := s.dial()
 
-	client.send(get("/later"), get("/next"), get("/last"))
+	client.sendAndServe(h, get("/later"), get("/next"), get("/last"))
 
-	s.waitFor("the first request is served", func() bool { return h.conn.State() == httpserver.Serving })
 	s.loop.DoIteration(func() {
 		if len(h.calls) != 1 {
 			t.Errorf("received %q before the first response", h.calls)
@@ -69,8 +68,7 @@
 func TestClientThatEndsItsSideIsGone(t *testing.T) {
 	s := startServer(t, longTimeouts())
 	client, h := s.dial()
-	client.send(get("/later"))
-	s.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+	client.sendAndServe(h, get("/later"))
 
 	if err := client.CloseWrite(); err != nil {
 		t.Fatal(err)
@@ -213,8 +211,7 @@
 			options.ResponseDeliveryTime = time.Minute
 			s := startServer(t, options)
 			client, h := s.dialSmallBuffer()
-			client.send(get("/later"))
-			s.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+			client.sendAndServe(h, get("/later"))
 
 			s.loop.Do(func() { // within one iteration, so that the client's bytes lie unread
 				client.send(get("/never"))
@@ -238,8 +235,7 @@
 	options.WriteStallTimeout = 50 * time.Millisecond
 	s := startServer(t, options)
 	client, h := s.dialSmallBuffer()
-	client.send(get("/later"))
-	s.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+	client.sendAndServe(h, get("/later"))
 
 	s.loop.Do(h.startBody)
 	writeUntilFull(s, h)
@@ -276,8 +272,7 @@
 	options.WriteStallTimeout = 5 * time.Second
 	s := startServer(t, options)
 	client, h := s.dialSmallBuffer()
-	client.send(get("/later"))
-	s.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+	client.sendAndServe(h, get("/later"))
 	s.loop.Do(h.startBody)
 	writeUntilFull(s, h)
 
@@ -304,8 +299,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := startServer(t, longTimeouts())
 			client, h := s.dialSmallBuffer()
-			client.send("GET /later HTTP/1.0\r\n\r\n")
-			s.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+			client.sendAndServe(h, "GET /later HTTP/1.0\r\n\r\n")
 			s.loop.Do(h.startBody)
 			writeUntilFull(s, h)
 
--- a/internal/httpserver/conns_test.go
+++ b/internal/httpserver/conns_test.go
@@ -139,8 +139,7 @@
 func TestTakenBodyIsTheCallersToRelease(t *testing.T) {
 	s := startServer(t, longTimeouts())
 	client, h := s.dial()
-	client.send(postHead("/later", "4"), "body")
-	s.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+	client.sendAndServe(h, postHead("/later", "4"), "body")
 
 	var taken []byte
 	s.loop.DoIteration(func() {
@@ -159,8 +158,7 @@
 func TestStopKeepAliveClosesAfterTheNextResponse(t *testing.T) {
 	s := startServer(t, longTimeouts())
 	client, h := s.dial()
-	client.send(get("/later"))
-	s.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+	client.sendAndServe(h, get("/later"))
 
 	s.loop.DoIteration(func() {
 		s.conns.StopKeepAlive()
@@ -184,8 +182,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := startServer(t, longTimeouts())
 			client, h := s.dial()
-			client.send(get("/later"))
-			s.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+			client.sendAndServe(h, get("/later"))
 
 			s.loop.DoIteration(func() {
 				h.startBody()
@@ -206,8 +203,7 @@
 	s := startServer(t, longTimeouts())
 	idle, idleHandler := s.dial()
 	serving, servingHandler := s.dial()
-	serving.send(get("/later"))
-	s.waitFor("the request is served", func() bool { return servingHandler.conn.State() == httpserver.Serving })
+	serving.sendAndServe(servingHandler, get("/later"))
 
 	s.loop.DoIteration(s.conns.CloseIdle)
 
--- a/internal/httpserver/harness_test.go
+++ b/internal/httpserver/harness_test.go
@@ -99,7 +99,7 @@
 	s.waitFor("the connection is accepted", func() bool { return len(s.handlers) > accepted })
 	var h *testHandler
 	s.loop.Do(func() { h = s.handlers[accepted] })
-	return &client{t: s.t, TCPConn: conn, reader: bufio.NewReader(conn)}, h
+	return &client{t: s.t, server: s, TCPConn: conn, reader: bufio.NewReader(conn)}, h
 }
 
 // waitFor waits for a condition, which is evaluated on the loop.
@@ -200,6 +200,7 @@
 type client struct {
 	*net.TCPConn
 	t      *testing.T
+	server *server
 	reader *bufio.Reader
 }
 
@@ -211,6 +212,13 @@
 	}
 }
 
+// sendAndServe writes requests of which the first is for /later, and waits until that is served.
+func (c *client) sendAndServe(h *testHandler, texts ...string) {
+	c.t.Helper()
+	c.send(texts...)
+	c.server.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+}
+
 // response is a response as its client reads it.
 type response struct {
 	status     int
--- a/internal/httpserver/response_test.go
+++ b/internal/httpserver/response_test.go
@@ -58,8 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := startServer(t, longTimeouts())
 			client, h := s.dial()
-			client.send(c.request)
-			s.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+			client.sendAndServe(h, c.request)
 
 			s.loop.DoIteration(func() {
 				h.startBody()
@@ -82,8 +81,7 @@
 func TestBodyOfKnownLengthIsNotChunked(t *testing.T) {
 	s := startServer(t, longTimeouts())
 	client, h := s.dial()
-	client.send(get("/later"))
-	s.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+	client.sendAndServe(h, get("/later"))
 
 	s.loop.DoIteration(func() {
 		if framing := h.conn.SelectFraming(true); framing != httpserver.ByLength {
