--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission holds large requests back so that small ones keep their latency objectives, and
-// rejects requests that cannot be served.
+// Package admission delays large requests so that small ones meet their latency objectives, and rejects
+// requests that cannot be served.
 //
 // Queue is a fair queue of the large requests of one pool. It decides when each unit of a large request
 // (one shard of it, or the whole) is handed to the decision module, package control, which alone
--- a/control/admission/deadline.go
+++ b/control/admission/deadline.go
@@ -10,9 +10,10 @@
 // maxEstimateSeconds bounds an estimated time to completion, so that it fits a time.Duration.
 const maxEstimateSeconds = 1e6
 
-// estimateCompletion returns the time at which ownTokens of a tenant's work would have ended. The work ends
-// after all outstanding units and after what other tenants are served meanwhile by their fair shares.
-// excludedTokens of the waiting work are not counted. tenant is nil for a tenant that is not known yet.
+// estimateCompletion returns the estimated time at which ownTokens of a tenant's waiting work are served. All
+// outstanding units are served before, and other tenants get their fair shares meanwhile. excludedTokens of the
+// waiting work are not counted. tenant is nil for a tenant that is not known. Without an observed throughput
+// the result is now.
 func (q *Queue) estimateCompletion(now control.Time, tenant *tenantQueue, ownTokens, excludedTokens float64) control.Time {
 	rate := q.throughput.optimisticRate(now)
 	if rate == 0 {
--- a/control/admission/queue.go
+++ b/control/admission/queue.go
@@ -108,7 +108,7 @@
 		return
 	}
 	tokens := request.UnitTokens[unit.Index]
-	if tokens < 0 { // unitCompleted
+	if tokens == unitCompleted {
 		return
 	}
 	request.UnitTokens[unit.Index] = unitCompleted
@@ -120,8 +120,8 @@
 	}
 	switch outcome {
 	case UnitServed:
-		q.throughput.add(tokens)
-	case UnitNotServed: // the window goes on without its tokens
+		q.throughput.addServed(tokens)
+	case UnitNotServed: // the window continues without its tokens
 	case UnitCancelled: // clients that leave early must not make the pool look slow
 		q.throughput.restartWindow(now, q.waitingTokens > 0)
 	}
@@ -251,9 +251,9 @@
 	return currentShare * max(ownEndpoints*q.meanUnitTokens.Value, q.throughput.rate.Value*seconds)
 }
 
-// observeThroughput closes the window of the throughput if it is long enough.
+// observeThroughput ends the window of the throughput if it is long enough.
 func (q *Queue) observeThroughput(now control.Time) {
-	q.throughput.observe(now, load{
+	q.throughput.observe(now, queueState{
 		hasOutstanding: q.outstandingUnits > 0,
 		hasWaiting:     q.waitingTokens > 0,
 		meanUnitTokens: q.meanUnitTokens.Value,
--- a/control/admission/share.go
+++ b/control/admission/share.go
@@ -45,7 +45,7 @@
 
 // observe records a small request. A late one lowers the share only while large requests are outstanding, and
 // at most once in an interval, so that large requests admitted before can end. Requests whose clients wait for
-// less than the objective are ignored: one client could hold back all large requests with them.
+// less than the objective are ignored: with them one client could delay all large requests.
 func (s *share) observe(now control.Time, request SmallRequest, hasOutstanding bool, interval time.Duration) {
 	s.lastSmallAt = now
 	if request.ClientTimeout < request.Objective {
--- a/control/admission/throughput.go
+++ b/control/admission/throughput.go
@@ -29,8 +29,9 @@
 // throughput measures the rate at which the pool serves large requests.
 //
 // A sample is the tokens of units that ended in a window, divided by the window's length. A window in which
-// work waited all the time measures the pool's capacity and is averaged in. In any other window the pool may
-// have been idle, so that the sample is only a lower bound: it can raise the throughput but not lower it.
+// work waited all the time measures the pool's capacity, and its sample enters the average. In any other window
+// the pool may have been idle, so that the sample is only a lower bound: it can raise the throughput but not
+// lower it.
 type throughput struct {
 	rate               ewma.Average[float64] // tokens a second
 	updatedAt          control.Time
@@ -39,15 +40,15 @@
 	windowIsBacklogged bool    // work waited all through the window
 }
 
-// load is the state of the queue at the end of a window. It decides what the window's sample means.
-type load struct {
+// queueState is the state of the queue at the end of a window. It decides what the window's sample means.
+type queueState struct {
 	hasOutstanding bool
 	hasWaiting     bool
 	meanUnitTokens float64
 }
 
-// add records that a unit was served.
-func (t *throughput) add(tokens float64) { t.windowTokens += tokens }
+// addServed records that a unit was served.
+func (t *throughput) addServed(tokens float64) { t.windowTokens += tokens }
 
 // restartWindow discards the current window and begins another.
 func (t *throughput) restartWindow(now control.Time, isBacklogged bool) {
@@ -56,10 +57,10 @@
 	t.windowIsBacklogged = isBacklogged
 }
 
-// observe closes the current window and takes its sample, if the window is long enough.
-func (t *throughput) observe(now control.Time, current load) {
-	if !current.hasOutstanding && t.windowTokens == 0 { // idle: nothing to measure
-		t.restartWindow(now, current.hasWaiting)
+// observe ends the current window and observes its sample, if the window is long enough.
+func (t *throughput) observe(now control.Time, state queueState) {
+	if !state.hasOutstanding && t.windowTokens == 0 { // idle: nothing to measure
+		t.restartWindow(now, state.hasWaiting)
 		return
 	}
 	length := now.Sub(t.windowStart)
@@ -69,7 +70,7 @@
 	sample := t.windowTokens / length.Seconds()
 	switch {
 	case sample == 0:
-		lowest := current.meanUnitTokens * recoveryUnitsPerSecond
+		lowest := state.meanUnitTokens * recoveryUnitsPerSecond
 		t.rate.Value = min(t.rate.Value, max(t.rate.Value/2, lowest))
 		t.updatedAt = now
 	case t.windowIsBacklogged && t.rate.Value > 0:
@@ -79,7 +80,7 @@
 		t.rate.Value = sample
 		t.updatedAt = now
 	}
-	t.restartWindow(now, current.hasWaiting)
+	t.restartWindow(now, state.hasWaiting)
 }
 
 // optimisticRate returns the throughput, raised by the age of its last sample. Without this, a pool that was
--- a/control/coalesce/coalesce.go
+++ b/control/coalesce/coalesce.go
@@ -107,8 +107,8 @@
 // Complete records the end of a leader. It has no effect for any other request.
 //
 // A rejection may be due to the leader's own early deadline, so that the next request is computed instead. Any
-// other outcome also applies to all followers. In particular, an input that crashes engines must not be tried
-// once for each request.
+// other outcome also applies to all followers. In particular, an input that crashes engines must not be sent
+// to another engine for each follower.
 func (g *Group) Complete(id RequestID, result outcome.Outcome) Completion {
 	completed := g.requests[id]
 	if completed == nil || completed.computation.leader != completed {
--- a/control/connlimit/descriptors.go
+++ b/control/connlimit/descriptors.go
@@ -18,7 +18,7 @@
 
 // reservedDescriptors are reserved for everything but established connections to clients and engines.
 // 19 are counted: 3 for the standard streams, 4 for epoll and wake-up of the event loop and of the Go
-// runtime, 1 for the listener, 1 for a file that is open for a moment, 5 for discovery's watch and its
+// runtime, 1 for the listener, 1 for a file that is open briefly, 5 for discovery's watch and its
 // 4 calls, and 5 more while discovery moves. The rest is for connections that are accepted before
 // they are rejected.
 const reservedDescriptors = 40
@@ -41,8 +41,8 @@
 	}
 }
 
-// AcceptLimit returns how many client connections may be open for a moment, given how many may stay
-// open. The difference is half of the reserved descriptors: an evicted connection keeps its
-// descriptor until the end of the event loop's iteration, after the new one is accepted. The other
-// half stays free for files.
+// AcceptLimit returns how many client connections may be open within one iteration of the event loop,
+// given how many may stay open. An evicted connection keeps its descriptor until the end of the
+// iteration, after the new one is accepted. The difference is half of the reserved descriptors. The
+// other half stays free for files.
 func AcceptLimit(clients int) int { return clients + reservedDescriptors/2 }
--- a/control/connlimit/memory.go
+++ b/control/connlimit/memory.go
@@ -32,8 +32,8 @@
 
 // EvictedBefore reports whether the request is evicted before another one when the buffered bytes
 // reach their bound. The larger request is evicted first, and of two equal ones that of the older
-// connection. So the few clients that send much and never finish yield to those that send usual
-// amounts, whatever the order of arrival.
+// connection. So a few clients that send large bodies and never finish cannot displace clients with
+// bodies of the usual size, whatever the order of arrival.
 func (r PartialRequest) EvictedBefore(other PartialRequest) bool {
 	if r.BufferedBytes != other.BufferedBytes {
 		return r.BufferedBytes > other.BufferedBytes
--- a/control/connlimit/timeouts.go
+++ b/control/connlimit/timeouts.go
@@ -23,8 +23,8 @@
 	WriteStallTimeout = 10 * time.Second
 
 	// StreamIdleTimeout bounds how long an engine may send nothing in the middle of a stream. The
-	// client must learn of it early: it counts as abandoned after 5 s without an event, and if it must
-	// request the rest again, it gains by doing so sooner.
+	// platform counts a client as abandoned after 5 s without an event. The router ends the answer before
+	// that, so that the client can request the rest.
 	StreamIdleTimeout = 3500 * time.Millisecond
 
 	// CancelPropagationDelay is how long an engine may take to notice the end of a connection: several
@@ -39,7 +39,7 @@
 	engineIdleDivisor = 2
 
 	// ShutdownAcceptWindow is how long a router that shuts down still accepts connections and requests:
-	// the time until clients have learnt of another router.
+	// the time until clients use another router.
 	ShutdownAcceptWindow = 550 * time.Millisecond
 
 	// RetryAfterFull is the Retry-After of a request that this router has no capacity for. Other
--- a/control/internal/indexedheap/indexedheap.go
+++ b/control/internal/indexedheap/indexedheap.go
@@ -1,5 +1,5 @@
-// Package indexedheap provides a binary min-heap whose items can learn their index, so that an item
-// that is not the minimum can be removed, or moved after its key has changed.
+// Package indexedheap provides a binary min-heap that reports the index of each item to its owner. By its
+// index any item can be removed, or moved after its key has changed.
 //
 // The algorithm is that of the standard library's container/heap, step for step: the same calls give
 // the same order of items, also among items that compare as equal. This package adds type safety and
--- a/control/kvrelease/kvrelease.go
+++ b/control/kvrelease/kvrelease.go
@@ -36,7 +36,7 @@
 	// maxCallsPerEndpoint bounds the calls in flight to one engine.
 	maxCallsPerEndpoint = 4
 
-	// MaxPending bounds the pending releases. Enqueue drops the oldest one to make place.
+	// MaxPending bounds the pending releases. Enqueue drops the oldest one to stay within it.
 	MaxPending = 4096
 )
 
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -43,9 +43,9 @@
 
 const (
 	// StaleAcceptDelay is the time after which a stale complete list applies if nothing else arrives.
-	// A later list that the stale one has overtaken arrives within it. It must be short: the platform
-	// counts a list as known as soon as discovery is back, and allows only the drain grace in
-	// addition.
+	// A current list that the stale one has overtaken arrives within it. It must be short: when
+	// discovery is back after an outage, the platform counts its list as known at once and allows only
+	// the drain grace in addition.
 	StaleAcceptDelay = 500 * time.Millisecond
 	// EndedRetention is how long the end of an endpoint is remembered and overrides stale lists. A
 	// stale list applies in full if nothing else arrives for as long.
--- a/control/scatter/gather.go
+++ b/control/scatter/gather.go
@@ -98,8 +98,9 @@
 // Cancel ends the request without a decision, because its client has left or the router shuts down.
 func (g *Gather) Cancel() { g.decided = true }
 
-// RetryAfter returns the Retry-After of a whole request, given that of one shard. The whole needs capacity for
-// all shards and waits for as many times as long, up to bound. The result is never less than oneShard.
+// RetryAfter returns the Retry-After of a whole request, given that of one shard. The whole request needs
+// capacity for all shards. So it waits for oneShard times their number, but at most for bound, and never for
+// less than oneShard.
 func RetryAfter(oneShard time.Duration, shards int, bound time.Duration) time.Duration {
 	return min(oneShard*time.Duration(max(shards, 1)), max(bound, oneShard))
 }
--- a/internal/demo/scenarioclient.go
+++ b/internal/demo/scenarioclient.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// classifyError returns the result that an error response stands for.
+// classifyError returns the result of a request whose response is an error.
 func classifyError(response *http.Response) invariant.Result {
 	body, err := io.ReadAll(response.Body)
 	if err != nil || !bytes.Contains(body, []byte(`"error"`)) {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,8 +1,8 @@
 // Package invariant checks five rules that a router must keep. The evidence is what clients and engines observed on
 // their own sockets, never a router's log or counters. Each rule has a file of its own.
 //
-// The package is not a model of a router. It knows what must not be observed whatever the router chose, and nothing of
-// what the router should have chosen. A rule that was never put to the test counts as kept.
+// The package is not a model of a router. It states what must not be observed whatever the router chooses, and not what
+// the router should choose. A rule counts as kept if no observation could have broken it; Verdict.Checked is 0 then.
 package invariant
 
 import (
--- a/internal/openai/embeddingsresponse.go
+++ b/internal/openai/embeddingsresponse.go
@@ -10,15 +10,15 @@
 // Embedding is the embedding of one input, as raw JSON.
 type Embedding []byte
 
-// EmbeddingResult is what a response says of one input.
+// EmbeddingResult is the part of a response that belongs to one input.
 type EmbeddingResult struct {
 	Embedding    Embedding // refers to the response's body
 	PromptTokens int64     // the input's share of the response's usage
 }
 
-// SplitResponse returns the results of an embeddings response, which CheckResponse has accepted, in
-// the order of the request's inputs. The usage is shared out in proportion to tokens, the estimates
-// of the inputs; the shares are whole numbers whose sum is the response's usage.
+// SplitResponse returns the results of an embeddings response that CheckResponse has accepted, in the
+// order of the request's inputs. The usage is divided in proportion to tokens, the estimates of the
+// inputs. The shares are whole numbers and add up to the response's usage.
 func (r *Request) SplitResponse(body []byte, tokens []float64) []EmbeddingResult {
 	results := make([]EmbeddingResult, r.ItemCount)
 	gjson.GetBytes(body, r.API.resultMember()).ForEach(func(_, result gjson.Result) bool {
--- a/internal/openai/enginebody.go
+++ b/internal/openai/enginebody.go
@@ -25,8 +25,8 @@
 	return append(out, prefillMembers...)
 }
 
-// AppendDecodeBody appends the body for a decode engine. kvTransfer is PrefillResponse.KVTransfer:
-// it tells where to fetch the KV state.
+// AppendDecodeBody appends the body for a decode engine. kvTransfer is
+// PrefillResponse.KVTransfer, by which the engine fetches the KV state.
 func (r *Request) AppendDecodeBody(out, kvTransfer []byte) []byte {
 	out = r.appendOpenObject(out, kvMember)
 	out = append(out, `"`+kvMember+`":`...)
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -25,8 +25,8 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Message }
 
-// InvalidRequest returns an Error with status 400. param is the name of the invalid member, or
-// "" if the request as a whole is invalid.
+// InvalidRequest returns an Error with status 400. param is the name of the invalid member, or "" if the
+// request as a whole is invalid. format and args are those of fmt.Sprintf.
 func InvalidRequest(param, format string, args ...any) *Error {
 	return &Error{
 		Status:  http.StatusBadRequest,
--- a/internal/openai/prefillresponse.go
+++ b/internal/openai/prefillresponse.go
@@ -23,5 +23,5 @@
 }
 
 // ParsePromptTokens returns the length of the prompt in tokens according to a response's usage. It
-// returns 0 if the response does not tell.
+// returns 0 if the response has none.
 func ParsePromptTokens(body []byte) float64 { return gjson.GetBytes(body, "usage.prompt_tokens").Num }
--- a/internal/serve/log.go
+++ b/internal/serve/log.go
@@ -45,7 +45,7 @@
 	}
 	l.ring = diode.NewWriter(nopCloser{out}, maxPendingLines, logPollInterval, func(missed int) {
 		l.dropped.Add(uint64(missed))
-		// Past the ring: it has just been full.
+		// The ring is full, so the warning bypasses it.
 		direct := zerolog.New(out)
 		direct.Warn().Msgf("%d log lines dropped, %d in all", missed, l.dropped.Load())
 	})
