--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		return throughput{}, err
 	}
-	forwarded := float64(latencies.TotalCount()) * units
+	forwarded := float64(latencies.Count()) * units
 	cpuTime := max(subject.cpuTime()-cpuBefore, minCPUTime)
 	return throughput{
 		perCPUSecond: forwarded / cpuTime.Seconds(),
@@ -181,13 +181,13 @@
 	return nil
 }
 
-// latency holds quantiles of the time to a complete answer, in microseconds.
-type latency struct{ p50, p99 float64 }
+// percentiles are latencies to a complete answer in microseconds.
+type percentiles struct{ p50, p99 float64 }
 
 // latencySample is the latency of a subject at a fixed rate, and that of the backend alone.
 type latencySample struct {
-	direct latency // of the backend without a subject
-	added  latency // by the subject
+	direct percentiles // of the backend without a subject
+	added  percentiles // by the subject
 }
 
 // measureLatency measures the latency that each subject adds at a fixed rate.
@@ -218,12 +218,12 @@
 	if err != nil {
 		return latencySample{}, err
 	}
-	added := latency{p50: through.p50 - direct.p50, p99: through.p99 - direct.p99}
+	added := percentiles{p50: through.p50 - direct.p50, p99: through.p99 - direct.p99}
 	return latencySample{direct: direct, added: added}, nil
 }
 
 // latencyOf measures a process at a fixed rate of requests.
-func (b *benchmark) latencyOf(target *process, requestsPerSecond float64) (latency, error) {
+func (b *benchmark) latencyOf(target *process, requestsPerSecond float64) (percentiles, error) {
 	latencies, err := runLoad(loadOptions{
 		address:  target.address,
 		clients:  embeddingClients,
@@ -232,9 +232,12 @@
 		request:  embeddingRequest,
 	})
 	if err != nil {
-		return latency{}, err
+		return percentiles{}, err
 	}
-	return latency{p50: float64(latencies.ValueAtQuantile(50)), p99: float64(latencies.ValueAtQuantile(99))}, nil
+	return percentiles{
+		p50: float64(latencies.Percentile(50).Microseconds()),
+		p99: float64(latencies.Percentile(99).Microseconds()),
+	}, nil
 }
 
 // measureIdleMemory measures the memory of idle connections, in new processes without any load.
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -8,9 +8,8 @@
 	"sync"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"martenlock/internal/http1"
+	"martenlock/internal/latency"
 )
 
 // The requests of the load.
@@ -30,17 +29,6 @@
 // readBufferBytes is the size of a client's buffer. It is larger than any head.
 const readBufferBytes = 64 << 10
 
-// Latencies are recorded from 1 us to one minute with three significant digits.
-const (
-	maxLatencyMicros = 60_000_000
-	latencyPrecision = 3
-)
-
-// newHistogram returns an empty histogram of latencies in microseconds.
-func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxLatencyMicros, latencyPrecision)
-}
-
 // loadOptions describe a load. Each client sends one request after another.
 type loadOptions struct {
 	address  string
@@ -50,24 +38,23 @@
 	request  []byte
 }
 
-// runLoad runs the clients and returns the latencies of all answers, in microseconds. It returns the error of the client
-// that failed last.
-func runLoad(options loadOptions) (*hdrhistogram.Histogram, error) {
-	all := newHistogram()
+// runLoad runs the clients and returns the latencies of all answers. It returns the error of the client that failed last.
+func runLoad(options loadOptions) (*latency.Histogram, error) {
+	all := latency.NewHistogram()
 	end := time.Now().Add(options.span)
-	var mu sync.Mutex
+	var mu sync.Mutex // guards lastError
 	var lastError error
 	var clients sync.WaitGroup
 	for i := range options.clients {
 		clients.Go(func() {
-			latencies := newHistogram()
+			latencies := latency.NewHistogram()
 			// The clients' first requests are spread over the interval.
 			firstSend := time.Now().Add(options.interval * time.Duration(i) / time.Duration(options.clients))
 			err := runClient(options, firstSend, end, latencies)
-			mu.Lock()
-			defer mu.Unlock()
 			all.Merge(latencies)
 			if err != nil {
+				mu.Lock()
+				defer mu.Unlock()
 				lastError = err
 			}
 		})
@@ -77,7 +64,7 @@
 }
 
 // runClient sends requests on one connection until the end and records their latencies.
-func runClient(options loadOptions, nextSend, end time.Time, latencies *hdrhistogram.Histogram) (err error) {
+func runClient(options loadOptions, nextSend, end time.Time, latencies *latency.Histogram) (err error) {
 	conn, err := net.Dial("tcp", options.address)
 	if err != nil {
 		return err
@@ -95,8 +82,7 @@
 		if err != nil {
 			return err
 		}
-		// The only error is a latency beyond the histogram, which is left out.
-		_ = latencies.RecordValue(time.Since(sentAt).Microseconds())
+		latencies.Record(time.Since(sentAt))
 	}
 	return nil
 }
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -7,10 +7,9 @@
 	"sync"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"martenlock/internal/fakeengine"
 	"martenlock/internal/invariant"
+	"martenlock/internal/latency"
 	"martenlock/internal/printer"
 )
 
@@ -26,10 +25,6 @@
 
 	maxClientConnections = 4096 // above the requests that a scenario has in flight
 
-	// Latencies are recorded from 1 us to one minute with three significant digits.
-	maxLatencyMicros  = 60_000_000
-	latencyPrecision  = 3
-	microsPerMilli    = 1000
 	timelineRowLength = 2 * time.Second
 )
 
@@ -40,13 +35,13 @@
 	recording *invariant.Recording
 	baseURL   string // of the router
 	client    *http.Client
+	latencies *latency.Histogram // to the first token or complete answer
 	startedAt time.Time
 	tasks     sync.WaitGroup // requests and faults
 
-	mu        sync.Mutex // guards the fields below
-	out       *printer.Printer
-	latencies *hdrhistogram.Histogram
-	err       error // first error that invalidates the run
+	mu  sync.Mutex // guards the fields below
+	out *printer.Printer
+	err error // first error that invalidates the run
 }
 
 // Run runs the scenario with a router and fake engines of its own and prints how requests ended. The report says whether
@@ -78,7 +73,7 @@
 			MaxIdleConns:        maxClientConnections,
 		}},
 		startedAt: time.Now(),
-		latencies: hdrhistogram.New(1, maxLatencyMicros, latencyPrecision),
+		latencies: latency.NewHistogram(),
 	}
 	run.startFaults()
 	scheduleLag := run.sendAll(requests)
@@ -206,14 +201,14 @@
 // printLatencies prints the time to the first token or, if an answer was not streamed, to the complete answer. It also
 // prints the greatest delay of the load.
 func (run *scenarioRun) printLatencies(scheduleLag time.Duration) {
-	p50 := float64(run.latencies.ValueAtQuantile(50)) / microsPerMilli
-	p99 := float64(run.latencies.ValueAtQuantile(99)) / microsPerMilli
-	lag := scheduleLag.Seconds() * 1000
+	p50 := latency.Milliseconds(run.latencies.Percentile(50))
+	p99 := latency.Milliseconds(run.latencies.Percentile(99))
+	lag := latency.Milliseconds(scheduleLag)
 	run.out.Printf("first token or whole answer: p50 %.1f ms, p99 %.1f ms; the load was at most %.1f ms behind its schedule\n", p50, p99, lag)
 }
 
-// answerCounts counts answers by invariant.Result.
-type answerCounts [4]int
+// answerCounts counts answers by invariant.Result, of which Malformed is the last.
+type answerCounts [invariant.Malformed + 1]int
 
 // printTimeline prints how requests ended by the time when they were sent.
 func (run *scenarioRun) printTimeline() {
--- a/internal/demo/scenarioclient.go
+++ b/internal/demo/scenarioclient.go
@@ -73,10 +73,7 @@
 func (run *scenarioRun) recordFirstToken(planned *plannedRequest, sentAt time.Duration) {
 	now := run.cluster.Clock()
 	run.recording.Add(invariant.Event{At: now, Kind: invariant.FirstToken, Request: planned.id})
-	run.mu.Lock()
-	defer run.mu.Unlock()
-	// The only error is a latency beyond the histogram, which is left out.
-	_ = run.latencies.RecordValue((now - sentAt).Microseconds())
+	run.latencies.Record(now - sentAt)
 }
 
 // receive sends the request and reads its answer. answered is false if the client disconnected or the connection failed
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -12,17 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"martenlock/internal/demo"
+	"martenlock/internal/latency"
 )
 
 const (
-	// Latencies are recorded from 1 us to one minute with three significant digits.
-	maxLatencyMicros = 60_000_000
-	latencyPrecision = 3
-	microsPerMilli   = 1000
-
 	maxIdleConnections = 4096 // above the requests that a load has in flight
 
 	retryDelay = 50 * time.Millisecond // wait of a client of a closed loop after a request that was not served
@@ -30,15 +24,12 @@
 
 // load sends requests to a router and counts how they ended.
 type load struct {
-	baseURL string
-	client  *http.Client
-
-	mu        sync.Mutex // guards latencies
-	latencies *hdrhistogram.Histogram
-
-	served   atomic.Int64
-	rejected atomic.Int64
-	failed   atomic.Int64
+	baseURL   string
+	client    *http.Client
+	latencies *latency.Histogram
+	served    atomic.Int64
+	rejected  atomic.Int64
+	failed    atomic.Int64
 }
 
 // newLoad returns a load on a cluster's router.
@@ -46,7 +37,7 @@
 	return &load{
 		baseURL:   "http://" + cluster.Service.Router.Addr(),
 		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}},
-		latencies: hdrhistogram.New(1, maxLatencyMicros, latencyPrecision),
+		latencies: latency.NewHistogram(),
 	}
 }
 
@@ -66,7 +57,7 @@
 	defer func() { _ = response.Body.Close() }() // the body was read to its end or failed
 	if response.StatusCode == http.StatusOK {
 		_, _ = io.ReadFull(response.Body, make([]byte, 1))
-		l.recordLatency(time.Since(due))
+		l.latencies.Record(time.Since(due))
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	switch {
@@ -81,16 +72,9 @@
 	return false
 }
 
-// recordLatency adds a latency to the histogram. A latency beyond its end is left out.
-func (l *load) recordLatency(latency time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	_ = l.latencies.RecordValue(latency.Microseconds())
-}
-
-// milliseconds returns a quantile of the latencies. The quantile is in percent.
-func (l *load) milliseconds(quantile float64) float64 {
-	return float64(l.latencies.ValueAtQuantile(quantile)) / microsPerMilli
+// milliseconds returns the latency that the given percentage of latencies does not exceed.
+func (l *load) milliseconds(percent float64) float64 {
+	return latency.Milliseconds(l.latencies.Percentile(percent))
 }
 
 // notServed returns how many requests were rejected or failed.
