--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -2,7 +2,7 @@
 
 import "martenlock/control"
 
-// actionCode identifies the kind of an action's record.
+// actionCode is the number by which a record says which action it holds.
 type actionCode uint8
 
 // The codes of actions.
@@ -58,12 +58,12 @@
 
 // code codes an action.
 func (a *Action) code(c *coder) {
-	kind := actionCodeOf(a.Body)
-	integer(c, &kind)
+	code := actionCodeOf(a.Body)
+	integer(c, &code)
 	if c.err != nil {
 		return
 	}
-	switch kind {
+	switch code {
 	case actionFail:
 		a.Body = moduleAction(c, a, failFields)
 	case actionHealthCheck:
@@ -85,7 +85,7 @@
 	case actionLog:
 		a.Body = moduleAction(c, a, logLine)
 	default:
-		c.fail(&UnknownValueError{Field: "action code", Value: uint64(kind)})
+		c.fail(&UnknownValueError{Field: "action code", Value: uint64(code)})
 	}
 }
 
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -2,7 +2,7 @@
 
 import "martenlock/control"
 
-// eventCode identifies the kind of an event's record.
+// eventCode is the number by which a record says which event it holds.
 type eventCode uint8
 
 // The codes of events.
@@ -64,12 +64,12 @@
 
 // code codes an event.
 func (e *Event) code(c *coder) {
-	kind := eventCodeOf(e.Body)
-	integer(c, &kind)
+	code := eventCodeOf(e.Body)
+	integer(c, &code)
 	if c.err != nil {
 		return
 	}
-	switch kind {
+	switch code {
 	case eventStart:
 		e.Body = record(c, &e.Router, e.Body, startFields)
 	case eventEndpointListUpdate:
@@ -95,7 +95,7 @@
 	case eventEndpointTable:
 		e.Body = endpointTable(c, e.Body)
 	default:
-		c.fail(&UnknownValueError{Field: "event code", Value: uint64(kind)})
+		c.fail(&UnknownValueError{Field: "event code", Value: uint64(code)})
 	}
 }
 
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -14,7 +14,7 @@
 	*value = control.EndpointID(host)<<portBits | control.EndpointID(port)
 }
 
-// statusCode is the code of a result on the wire, with few exceptions a gRPC status.
+// statusCode is the code of a result on the wire. Most are those of a gRPC status with a similar meaning.
 type statusCode uint8
 
 // resultByStatus maps the codes on the wire to the module's results.
@@ -23,14 +23,14 @@
 	result control.Result
 }{
 	{0, control.OK},
-	{77, control.PrefillDone},
-	{13, control.Failed},
-	{8, control.Rejected},
-	{4, control.TimedOut},
-	{14, control.ConnectFailed},
-	{10, control.Reset},
-	{1, control.Cancelled},
-	{9, control.NotSent},
+	{77, control.PrefillDone},   // not a gRPC status
+	{13, control.Failed},        // INTERNAL
+	{8, control.Rejected},       // RESOURCE_EXHAUSTED
+	{4, control.TimedOut},       // DEADLINE_EXCEEDED
+	{14, control.ConnectFailed}, // UNAVAILABLE
+	{10, control.Reset},         // ABORTED
+	{1, control.Cancelled},      // CANCELLED
+	{9, control.NotSent},        // FAILED_PRECONDITION
 }
 
 // result codes the result of an attempt or of a health check.
