--- a/internal/openaiserver/attemptresponse.go
+++ b/internal/openaiserver/attemptresponse.go
@@ -11,7 +11,7 @@
 	"martenlock/internal/upstream"
 )
 
-// This file handles an engine's response: the methods of upstream.ResponseHandler, and the result that a response stands for.
+// This file handles an engine's response: the methods of upstream.ResponseHandler and the result of the attempt.
 
 // Bounds of the buffered part of a response, in bytes.
 const (
@@ -52,7 +52,8 @@
 		a.buffered = append(a.buffered, data...)
 		server.bufferedBytes += int64(len(data))
 	case a.status != http.StatusOK: // the rest of an error's text is cut off
-	case isPrefill || a.exchange.call.HasCheckedResponse(): // a reload may have lowered the limit since the connection was made
+	case isPrefill || a.exchange.call.HasCheckedResponse():
+		// The connection's own limit may be higher: a reload may have lowered it since.
 		a.finish(control.Failed, false)
 	default:
 		a.startStream(data)
--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -31,7 +31,7 @@
 	scheduler   *batchScheduler
 	id          batching.BatchID
 	exchange    *exchange
-	call        *openai.Request            // with the inputs of all members; nil for a single one, which gets the answer as it is
+	call        *openai.Request            // with the inputs of all members; nil if there is one
 	firstInput  map[batching.RequestID]int // index of each member's first input
 	inputTokens []float64
 	maxAttempts int // of the members' class
@@ -63,10 +63,10 @@
 }
 
 // mayBatch reports whether a request may share a batch. A part of a larger request may not.
-func (b *batchScheduler) mayBatch(r *inferenceRequest) bool {
-	return r.call.API == openai.Embeddings && r.shardSuffix == "" &&
-		b.batcher.IsSmall(r.call.ItemCount, r.call.PromptTokens) &&
-		batching.MayBatch(*r.class(), b.pool.maxAttempts(r.class()))
+func (b *batchScheduler) mayBatch(request *inferenceRequest) bool {
+	return request.call.API == openai.Embeddings && request.shardSuffix == "" &&
+		b.batcher.IsSmall(request.call.ItemCount, request.call.PromptTokens) &&
+		batching.MayBatch(*request.class(), b.pool.maxAttempts(request.class()))
 }
 
 // startBatched enqueues a request that may share a batch. It returns nil if the request may not.
@@ -75,21 +75,21 @@
 	if !b.mayBatch(r) {
 		return nil
 	}
-	m := &batchMember{request: r, client: client}
-	m.inputs, m.inputTokens = r.splitInputs()
+	member := &batchMember{request: r, client: client}
+	member.inputs, member.inputTokens = r.splitInputs()
 	b.lastID++
-	m.id = b.lastID
-	b.members[m.id] = m
+	member.id = b.lastID
+	b.members[member.id] = member
 	now := r.pool.server.now()
-	b.batcher.Enqueue(now, m.batchKey(), batching.Request{
-		ID:        m.id,
+	b.batcher.Enqueue(now, member.batchKey(), batching.Request{
+		ID:        member.id,
 		Items:     r.call.ItemCount,
 		Tokens:    r.call.PromptTokens,
 		Objective: now.Add(r.class().TTFTObjective),
 		Deadline:  r.moduleRequest.Deadline,
 	})
 	b.schedulePoll()
-	return m
+	return member
 }
 
 // batchKey returns the hash of what the requests of a batch must have in common. It includes the first byte of an input
@@ -151,10 +151,10 @@
 func (b *batchScheduler) poll() {
 	result := b.batcher.Poll(b.pool.server.now())
 	for _, id := range result.Expired {
-		m := b.members[id]
-		if m != nil {
+		member := b.members[id]
+		if member != nil {
 			delete(b.members, id)
-			m.client.respond(overloaded(b.pool.server.requestIDs.next(), batching.ExpiredRetryAfter))
+			member.client.respond(overloaded(b.pool.server.requestIDs.next(), batching.ExpiredRetryAfter))
 		}
 	}
 	for _, due := range result.Batches {
@@ -180,12 +180,12 @@
 	var headers [][]byte
 	promptTokens := 0.0
 	for _, id := range due.Requests {
-		m := b.members[id]
+		member := b.members[id]
 		started.firstInput[id] = len(inputs)
-		started.inputTokens = append(started.inputTokens, m.inputTokens...)
-		inputs = append(inputs, m.inputs...)
-		headers = append(headers, m.request.headers)
-		promptTokens += m.request.call.PromptTokens
+		started.inputTokens = append(started.inputTokens, member.inputTokens...)
+		inputs = append(inputs, member.inputs...)
+		headers = append(headers, member.request.headers)
+		promptTokens += member.request.call.PromptTokens
 	}
 	started.call = request.call.Batch(inputs, promptTokens)
 	request.call = started.call
@@ -216,28 +216,28 @@
 		results = b.call.SplitResponse(a.body, b.inputTokens)
 	}
 	for _, id := range completion.Requests {
-		m := scheduler.members[id]
+		member := scheduler.members[id]
 		delete(scheduler.members, id)
 		switch {
 		case completion.Handling == batching.RetrySequentially:
-			retry.enqueue(m)
+			retry.enqueue(member)
 		case completion.Handling == batching.RetrySeparately:
-			m.startAlone(m.client, a)
+			member.startAlone(member.client, a)
 		case results != nil:
 			scheduler.batchedRequests++
-			m.client.respond(b.memberAnswer(m, a, results))
+			member.client.respond(b.memberAnswer(member, a, results))
 		default:
-			m.client.respond(a)
+			member.client.respond(a)
 		}
 	}
 	retry.startNext()
 }
 
 // memberAnswer returns a member's part of the batch's answer.
-func (b *batch) memberAnswer(m *batchMember, a answer, results []openai.EmbeddingResult) answer {
-	from := b.firstInput[m.id]
-	to := from + len(m.inputs)
-	embeddings := make([]openai.Embedding, 0, len(m.inputs))
+func (b *batch) memberAnswer(member *batchMember, a answer, results []openai.EmbeddingResult) answer {
+	from := b.firstInput[member.id]
+	to := from + len(member.inputs)
+	embeddings := make([]openai.Embedding, 0, len(member.inputs))
 	promptTokens := int64(0)
 	for _, result := range results[from:to] {
 		embeddings = append(embeddings, result.Embedding)
--- a/internal/openaiserver/cachefill.go
+++ b/internal/openaiserver/cachefill.go
@@ -67,8 +67,8 @@
 	e.request.pool.server.bufferedBytes -= f.copiedBytes
 }
 
-// completeInputs ends the inputs' computations in the coalescing group. It returns the inputs of other requests that share
-// the result, and those that another request now has to compute.
+// completeInputs ends the inputs' computations in the coalescing group. It returns the inputs of other requests that
+// share the result, and those that another request now has to compute.
 func (f *cacheFill) completeInputs(result outcome.Outcome) (followers []follower, newLeaders []inputRef) {
 	cache := f.request.request.pool.embeddings
 	for position, index := range f.inputs {
--- a/internal/openaiserver/dispatch.go
+++ b/internal/openaiserver/dispatch.go
@@ -47,9 +47,9 @@
 	isOwnPath := c.request.path == healthPath || c.request.path == modelsPath
 	switch {
 	case isAPIPath:
-		c.respondMethodNotAllowed("POST")
+		c.respondMethodNotAllowed(http.MethodPost)
 	case isOwnPath:
-		c.respondMethodNotAllowed("GET")
+		c.respondMethodNotAllowed(http.MethodGet)
 	default:
 		c.respondError(&openai.Error{
 			Status:  http.StatusNotFound,
@@ -106,7 +106,7 @@
 	}
 }
 
-// respondRouterFull rejects a request above max_requests or during a shutdown.
+// respondRouterFull rejects a request above Limits.MaxRequests or during a shutdown.
 func (c *clientConn) respondRouterFull() {
 	c.respondError(&openai.Error{
 		Status:  http.StatusServiceUnavailable,
--- a/internal/openaiserver/embeddingcache.go
+++ b/internal/openaiserver/embeddingcache.go
@@ -18,7 +18,7 @@
 	pool      *pool
 	group     *coalesce.Group
 	cache     *otter.Cache[coalesce.Key, openai.EmbeddingResult] // nil if cache_bytes is 0
-	pending   map[coalesce.RequestID]inputRef                    // inputs that are computed, or wait for another request's computation
+	pending   map[coalesce.RequestID]inputRef                    // inputs that are computed or wait for a computation
 	lastID    coalesce.RequestID
 	hits      uint64 // inputs answered from the cache
 	coalesced uint64 // inputs that waited for another request's computation
@@ -88,9 +88,9 @@
 	return isLeader
 }
 
-// cacheKeys returns the cache's key of each input. It is the hash of the input and of all else that the embedding depends
-// on: the other members of the call except for the user, the path and the model's revision. The tenant is part of it
-// unless tenants share the cache.
+// cacheKeys returns the cache's key of each input. It is the hash of the input and of all else that the embedding
+// depends on: the other members of the call except for the user, the path and the model's revision. The tenant is part
+// of it unless tenants share the cache.
 func (r *inferenceRequest) cacheKeys(inputs [][]byte) []coalesce.Key {
 	p := r.pool
 	tenant := r.tenant
--- a/internal/openaiserver/embeddingrequest.go
+++ b/internal/openaiserver/embeddingrequest.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// resolveInputs looks up each input in the cache and in the computations in flight. It returns the indices of the inputs
-// that this request has to compute.
+// resolveInputs looks up each input in the cache and in the computations in flight. It returns the indices of the
+// inputs that this request has to compute.
 func (e *embeddingRequest) resolveInputs() (leaders []int) {
 	cache := e.request.pool.embeddings
 	e.markRepeatedInputs()
--- a/internal/openaiserver/engine.go
+++ b/internal/openaiserver/engine.go
@@ -82,7 +82,8 @@
 		e = newEngine(s)
 		s.engines.byID[node.ID] = e
 	}
-	if e.node.Addr != node.Addr || !e.node.StartedAt.Equal(node.StartedAt) { // another process: connections to the earlier one are of no use
+	isOtherProcess := e.node.Addr != node.Addr || !e.node.StartedAt.Equal(node.StartedAt)
+	if isOtherProcess { // connections to the earlier one are of no use
 		e.CloseIdle()
 	}
 	e.node = node
--- a/internal/openaiserver/httpexchange.go
+++ b/internal/openaiserver/httpexchange.go
@@ -96,7 +96,8 @@
 	p.removeIfDrained()
 }
 
-// observeLatency notifies the admission queue of the latency of a request that is not large. Later calls have no effect.
+// observeLatency notifies the admission queue of the latency of a request that is not large. Later calls have no
+// effect.
 func (e *httpExchange) observeLatency(result outcome.Outcome) {
 	request := e.request
 	queue := request.pool.admission.queue
--- a/internal/openaiserver/reload.go
+++ b/internal/openaiserver/reload.go
@@ -8,7 +8,6 @@
 
 	"martenlock/control/connlimit"
 	"martenlock/internal/config"
-	"martenlock/internal/http1"
 	"martenlock/internal/nodes"
 	"martenlock/internal/upstream"
 )
@@ -71,11 +70,13 @@
 // this process, raised as far as is allowed, is too small for it.
 func (s *Server) applyLimits() {
 	limits := &s.config.Limits
+	responseLimits := limits.HTTP
+	responseLimits.Body = limits.MaxResponseBytes
 	s.engines.connOptions = upstream.Options{
 		ConnectTimeout: s.config.Control.Limits.ConnectTimeout,
 		IdleTimeout:    limits.EngineIdleTimeout,
 		MaxPerEngine:   limits.MaxEngineConns,
-		Limits:         http1.Limits{Line: limits.HTTP.Line, Headers: limits.HTTP.Headers, Fields: limits.HTTP.Fields, Body: limits.MaxResponseBytes},
+		Limits:         responseLimits,
 	}
 	s.clients.Options = clientOptions(limits)
 	listener := s.clients.Listener
@@ -95,8 +96,8 @@
 	}
 }
 
-// raiseDescriptorLimit raises the descriptor limit of this process as far as is allowed. It returns the limit that holds
-// then. The error is that of reading the limit.
+// raiseDescriptorLimit raises the descriptor limit of this process as far as is allowed. It returns the limit that
+// holds then. The error is that of reading the limit.
 func raiseDescriptorLimit() (uint64, error) {
 	var limit unix.Rlimit
 	err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
--- a/internal/openaiserver/sequentialretry.go
+++ b/internal/openaiserver/sequentialretry.go
@@ -16,31 +16,31 @@
 }
 
 // enqueue adds a member. If its retry has not started at the member's deadline, the member is rejected.
-func (r *sequentialRetry) enqueue(m *batchMember) {
-	s := m.request.pool.server
-	r.order.Add(m.id)
-	r.members[m.id] = m
-	m.retry = r
-	m.deadline.Fire = func() {
-		r.complete(m, false)
-		m.client.respond(overloaded(s.requestIDs.next(), batching.ExpiredRetryAfter))
+func (r *sequentialRetry) enqueue(member *batchMember) {
+	s := member.request.pool.server
+	r.order.Add(member.id)
+	r.members[member.id] = member
+	member.retry = r
+	member.deadline.Fire = func() {
+		r.complete(member, false)
+		member.client.respond(overloaded(s.requestIDs.next(), batching.ExpiredRetryAfter))
 	}
-	s.loop.StartTimer(&m.deadline, max(m.request.moduleRequest.Deadline.Sub(s.now()), 0))
+	s.loop.StartTimer(&member.deadline, max(member.request.moduleRequest.Deadline.Sub(s.now()), 0))
 }
 
 // startNext starts the members that package batching releases for a retry.
 func (r *sequentialRetry) startNext() {
 	for _, id := range r.order.Start() {
-		m := r.members[id]
-		m.request.pool.server.loop.StopTimer(&m.deadline)
-		m.startAlone(m, r.batchAnswer)
+		member := r.members[id]
+		member.request.pool.server.loop.StopTimer(&member.deadline)
+		member.startAlone(member, r.batchAnswer)
 	}
 }
 
 // complete removes a member. lostConnection reports whether its own retry lost a connection too.
-func (r *sequentialRetry) complete(m *batchMember, lostConnection bool) {
-	m.request.pool.server.loop.StopTimer(&m.deadline)
-	delete(r.members, m.id)
-	r.order.Complete(m.id, lostConnection)
+func (r *sequentialRetry) complete(member *batchMember, lostConnection bool) {
+	member.request.pool.server.loop.StopTimer(&member.deadline)
+	delete(r.members, member.id)
+	r.order.Complete(member.id, lostConnection)
 	r.startNext()
 }
--- a/internal/openaiserver/service_test.go
+++ b/internal/openaiserver/service_test.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"path/filepath"
 	"strings"
+	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -169,3 +171,31 @@
 	<-w.unblocked
 	return len(line), nil
 }
+
+// TestLocalLimitsEjectNoEngine: a limit of this process is no fault of an engine. With one connection to an engine, all
+// requests are answered and the engine stays in use.
+func TestLocalLimitsEjectNoEngine(t *testing.T) {
+	h := startHarness(t, embeddingSpecs(1), "[limits]\n", "[limits]\nengine_connections = 1\n")
+
+	var clients sync.WaitGroup
+	var served atomic.Int64
+	for range 8 {
+		clients.Go(func() {
+			received := h.sendEmbeddings(`{"model":"demo-embed","input":"frozen pipe"}`)
+			if received.served() {
+				served.Add(1)
+			} else if !received.rejected() {
+				t.Error(received)
+			}
+		})
+	}
+	clients.Wait()
+
+	time.Sleep(50 * ms) // for the log's lines; correct code passes without the pause
+	if served.Load() == 0 {
+		t.Error("no request was served")
+	}
+	if h.log.contains("endpoint ejected") {
+		t.Error("the engine was ejected")
+	}
+}
--- a/internal/openaiserver/shutdown.go
+++ b/internal/openaiserver/shutdown.go
@@ -17,7 +17,8 @@
 const drainCheckInterval = 10 * time.Millisecond
 
 // Shutdown starts a graceful shutdown: it closes the listener, and Run returns once every accepted request is answered.
-// Requests that are open after Limits.ShutdownTimeout are aborted. Shutdown does not wait. Further calls have no effect.
+// Requests that are open after Limits.ShutdownTimeout are aborted. Shutdown does not wait. Further calls have no
+// effect.
 func (s *Server) Shutdown() { s.loop.Post(s.startShutdown) }
 
 // startShutdown is Shutdown on the loop.
--- a/internal/serve/log.go
+++ b/internal/serve/log.go
@@ -17,7 +17,7 @@
 
 // Bounds of the log's ring buffer.
 const (
-	maxPendingLines = 10000                 // further lines are dropped and counted: the event loop must not wait for the disk
+	maxPendingLines = 10000                 // further lines are dropped: the event loop must not wait for the disk
 	logPollInterval = 10 * time.Millisecond // between two checks for new lines; bounds how late a line is written
 )
 
