--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -70,10 +70,10 @@
 // insert puts a running timer into the slot of its tick.
 func (w *Wheel) insert(t *Timer) {
 	tick := min(max(t.when, w.now+1), w.now+Span)
-	level := (63 - bits.LeadingZeros64((w.now^tick)|slotMask)) / slotBits
-	if level >= levels { // now and tick differ above the top level, which wraps around
-		level = levels - 1
-	}
+	// The level is that of the highest bit in which tick and now differ. Above the top level, which wraps
+	// around, it is the top level.
+	highestBit := bits.Len64((w.now^tick)|slotMask) - 1
+	level := min(highestBit/slotBits, levels-1)
 	slot := tick >> (level * slotBits) & slotMask
 	head := w.heads[level][slot]
 	t.level = int8(level)
@@ -116,10 +116,15 @@
 	t.previous = nil
 }
 
-// firstSlot returns the earliest occupied slot and the tick at which it begins. It returns false if no
-// slot is occupied.
-func (w *Wheel) firstSlot() (start uint64, level, slot int, ok bool) {
-	for level = range levels {
+// occupiedSlot is a slot that has a timer.
+type occupiedSlot struct {
+	level, slot int
+	start       uint64 // tick at which the slot begins
+}
+
+// firstSlot returns the earliest occupied slot. It returns false if no slot is occupied.
+func (w *Wheel) firstSlot() (first occupiedSlot, ok bool) {
+	for level := range levels {
 		if w.occupied[level] == 0 {
 			continue
 		}
@@ -128,17 +133,20 @@
 		// The search starts after the current slot. Only the top level uses that one, for timers a whole
 		// revolution ahead, which come last.
 		ahead := 1 + bits.TrailingZeros64(bits.RotateLeft64(w.occupied[level], -current-1))
-		slot = (current + ahead) & slotMask
-		return (w.now>>shift + uint64(ahead)) << shift, level, slot, true
+		return occupiedSlot{
+			level: level,
+			slot:  (current + ahead) & slotMask,
+			start: (w.now>>shift + uint64(ahead)) << shift,
+		}, true
 	}
-	return 0, 0, 0, false
+	return occupiedSlot{}, false
 }
 
 // NextDeadline returns a tick before which no timer fires. It returns false if no timer is running. The
 // first timer may fire later than that tick, since only the slot of distant timers is known.
 func (w *Wheel) NextDeadline() (uint64, bool) {
-	start, _, _, ok := w.firstSlot()
-	return start, ok
+	first, ok := w.firstSlot()
+	return first.start, ok
 }
 
 // Advance moves the wheel to a tick, fires all timers up to it, slot by slot in order of time, and
@@ -146,12 +154,12 @@
 // this one ends.
 func (w *Wheel) Advance(now uint64) (fired int) {
 	for {
-		start, level, slot, ok := w.firstSlot()
-		if !ok || start > now {
+		first, ok := w.firstSlot()
+		if !ok || first.start > now {
 			break
 		}
-		w.now = max(start, w.now)
-		w.takeSlot(level, slot)
+		w.now = max(first.start, w.now)
+		w.takeSlot(first.level, first.slot)
 		fired += w.fireExpired()
 	}
 	w.now = max(w.now, now)
