--- a/internal/demo/cluster_test.go
+++ b/internal/demo/cluster_test.go
@@ -51,12 +51,12 @@
 	go func() { done <- readList(t, c, &stop) }()
 	var drainReturned []time.Duration
 	for range rounds {
-		if err := c.SetState(Draining, false, engine); err != nil {
+		if err := c.SetState(Draining, engine); err != nil {
 			t.Error(err)
 		}
 		drainReturned = append(drainReturned, c.Clock())
 		time.Sleep(time.Millisecond)
-		if err := c.SetState(Ready, false, engine); err != nil {
+		if err := c.SetState(Ready, engine); err != nil {
 			t.Error(err)
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/demo/endpointlist.go
+++ b/internal/demo/endpointlist.go
@@ -29,12 +29,32 @@
 	startedAt time.Time // start of its process; zero for long ago
 }
 
-// SetState sets the state of engines, publishes the endpoint list and records the change for the checker of the rules. If
-// restarted is set, the engines' processes have just started and are listed with their start.
-func (c *Cluster) SetState(state EndpointState, restarted bool, engines ...*fakeengine.Engine) error {
+// SetState sets the state of engines, publishes the endpoint list and records the change for the checker of the rules.
+func (c *Cluster) SetState(state EndpointState, engines ...*fakeengine.Engine) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.setState(state, restarted, engines)
+	return c.publishState(state, engines)
+}
+
+// SetRestarted lists engines whose processes have just started as ready, with that start. Otherwise it is like SetState.
+func (c *Cluster) SetRestarted(engines ...*fakeengine.Engine) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, listed := range c.endpoints {
+		if slices.Contains(engines, listed.engine) {
+			listed.startedAt = time.Now()
+		}
+	}
+	return c.publishState(Ready, engines)
+}
+
+// publishState sets the state of engines, publishes the endpoint list and records the change. The caller holds the lock.
+func (c *Cluster) publishState(state EndpointState, engines []*fakeengine.Engine) error {
+	for _, listed := range c.endpoints {
+		if slices.Contains(engines, listed.engine) {
+			listed.state = state
+		}
+	}
 	published, err := c.writeEndpointList()
 	if state == Ready {
 		if err == nil {
@@ -48,19 +68,6 @@
 	return err
 }
 
-// setState sets the state of engines for the next list. The caller holds the lock.
-func (c *Cluster) setState(state EndpointState, restarted bool, engines []*fakeengine.Engine) {
-	for _, listed := range c.endpoints {
-		if !slices.Contains(engines, listed.engine) {
-			continue
-		}
-		listed.state = state
-		if restarted {
-			listed.startedAt = time.Now()
-		}
-	}
-}
-
 // record records an event of the endpoint list for each engine.
 func (c *Cluster) record(kind invariant.Kind, at time.Duration, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -164,12 +164,12 @@
 		engine.Kill()
 	}
 	run.sleepUntil(fault.Start + min(deathListedAfter, fault.Length/2))
-	run.checkFault(fault, run.cluster.SetState(Gone, false, engines...))
+	run.checkFault(fault, run.cluster.SetState(Gone, engines...))
 	run.sleepUntil(fault.end())
 	for _, engine := range engines {
 		run.checkFault(fault, engine.Restart())
 	}
-	run.checkFault(fault, run.cluster.SetState(Ready, true, engines...))
+	run.checkFault(fault, run.cluster.SetRestarted(engines...))
 }
 
 // injectReplacement starts a successor of each engine in slow start and drains the engines. Their processes exit later.
@@ -179,9 +179,9 @@
 		successor.Name += "-next"
 		run.checkFault(fault, run.cluster.AddEngine(successor, true))
 	}
-	run.checkFault(fault, run.cluster.SetState(Draining, false, engines...))
+	run.checkFault(fault, run.cluster.SetState(Draining, engines...))
 	run.sleepUntil(fault.Start + drainedProcessExit)
-	run.checkFault(fault, run.cluster.SetState(Gone, false, engines...))
+	run.checkFault(fault, run.cluster.SetState(Gone, engines...))
 	for _, engine := range engines {
 		engine.Kill()
 	}
--- a/internal/openaiserver/harness_test.go
+++ b/internal/openaiserver/harness_test.go
@@ -146,7 +146,7 @@
 // setState sets an engine's state in the endpoint list.
 func (h *harness) setState(state demo.EndpointState, engine string) {
 	h.t.Helper()
-	err := h.SetState(state, false, h.engine(engine))
+	err := h.SetState(state, h.engine(engine))
 	if err != nil {
 		h.t.Fatal(err)
 	}
--- a/internal/openaiserver/mixedload_test.go
+++ b/internal/openaiserver/mixedload_test.go
@@ -112,9 +112,9 @@
 		var err error
 		switch i % 10 {
 		case 4:
-			err = h.SetState(demo.Ready, false, h.engine("e5"))
+			err = h.SetState(demo.Ready, h.engine("e5"))
 		case 9:
-			err = h.SetState(demo.Draining, false, h.engine("e5"))
+			err = h.SetState(demo.Draining, h.engine("e5"))
 		}
 		if err != nil {
 			h.t.Error(err)
