--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -52,11 +52,10 @@
 }
 
 // element is what one step of the parser found. The zero element stands for nothing consumed and
-// nothing found.
+// nothing found. An element of kind Data consists of content only.
 type element struct {
 	consumed int
-	kind     Kind   // NeedMore for an element that the caller need not know of
-	data     []byte // of kind Data
+	kind     Kind // NeedMore for an element that the caller need not know of
 }
 
 // NewRequests returns a parser of requests, for a server.
@@ -74,10 +73,14 @@
 // After an error the parser must not be used again.
 func (p *Parser) Next(b []byte) (consumed int, kind Kind, data []byte, err *Error) {
 	for {
-		found, err := p.readElement(b[consumed:])
+		rest := b[consumed:]
+		found, err := p.readElement(rest)
 		consumed += found.consumed
+		if found.kind == Data {
+			return consumed, Data, rest[:found.consumed], nil
+		}
 		if found.kind != NeedMore || err != nil || found.consumed == 0 {
-			return consumed, found.kind, found.data, err
+			return consumed, found.kind, nil, err
 		}
 	}
 }
@@ -136,7 +139,7 @@
 		return element{}
 	}
 	p.remaining -= int64(n)
-	return element{consumed: n, kind: Data, data: b[:n]}
+	return element{consumed: n, kind: Data}
 }
 
 // readUntilClose consumes content that ends with the connection.
@@ -148,5 +151,5 @@
 	if len(b) == 0 {
 		return element{}, nil
 	}
-	return element{consumed: len(b), kind: Data, data: b}, nil
+	return element{consumed: len(b), kind: Data}, nil
 }
