--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -29,7 +29,7 @@
 func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
 	if s.clients.Listener.Open() > s.limits.maxClientConns && !s.clients.EvictIdle() {
 		s.counters.connsRejected++
-		s.events.connection().Str("reason", "no_idle_connection_to_evict").Msg("client connection rejected")
+		s.events.connLine().Str("reason", "no_idle_connection_to_evict").Msg("client connection rejected")
 		return nil
 	}
 	client := &clientConn{server: s}
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -53,8 +53,8 @@
 
 // start starts the first call.
 func (d *discoveryClient) start() {
-	d.nextCallTimer.Fire = d.call
-	d.call()
+	d.nextCallTimer.Fire = d.startCall
+	d.startCall()
 }
 
 // stop ends the subscription and cancels its calls.
@@ -69,9 +69,9 @@
 	}
 }
 
-// call starts one more call and schedules the next. The oldest pending call is cancelled if there are
+// startCall starts one more call and schedules the next. The oldest pending call is cancelled if there are
 // membership.MaxConcurrentCalls already.
-func (d *discoveryClient) call() {
+func (d *discoveryClient) startCall() {
 	if d.isStopped || d.watch != nil {
 		return
 	}
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -46,7 +46,7 @@
 // connClosed is the upstream.Pool's OnConnClosed. It logs the reason, unless that is routine.
 func (e *endpoint) connClosed(reason upstream.CloseReason) {
 	if !reason.IsRoutine() {
-		e.server.events.connection().Str("endpoint_name", e.name).Stringer("reason", reason).Msg("engine connection closed")
+		e.server.events.connLine().Str("endpoint_name", e.name).Stringer("reason", reason).Msg("engine connection closed")
 	}
 	e.removeIfUnused()
 }
--- a/internal/platform/endpointupdates.go
+++ b/internal/platform/endpointupdates.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return fmt.Errorf("decode endpoint list: %w", err)
 	}
-	update, err := message.update(&s.config.Settings, s.routerTime)
+	update, err := message.update(&s.config.Settings, s.controlTime)
 	if err != nil {
 		s.warn(warning{message: "discovery entries skipped"}, err)
 	}
--- a/internal/platform/eventlog.go
+++ b/internal/platform/eventlog.go
@@ -14,11 +14,11 @@
 // requests and lines about connections have separate budgets, so that a flood of one kind does not
 // suppress the other.
 type eventLog struct {
-	logger       zerolog.Logger
-	now          func() time.Duration
-	requestLines *rate.Limiter
-	connLines    *rate.Limiter
-	suppressed   uint64 // lines suppressed since the latest that was written
+	logger        zerolog.Logger
+	now           func() time.Duration
+	requestBudget *rate.Limiter
+	connBudget    *rate.Limiter
+	suppressed    uint64 // lines suppressed since the latest that was written
 }
 
 const (
@@ -33,19 +33,19 @@
 // newEventLog returns an event log. now is the loop's clock, since the wall clock may be stepped.
 func newEventLog(logger zerolog.Logger, now func() time.Duration) eventLog {
 	return eventLog{
-		logger:       logger,
-		now:          now,
-		requestLines: rate.NewLimiter(eventLinesPerSecond, eventLineBurst),
-		connLines:    rate.NewLimiter(eventLinesPerSecond, eventLineBurst),
+		logger:        logger,
+		now:           now,
+		requestBudget: rate.NewLimiter(eventLinesPerSecond, eventLineBurst),
+		connBudget:    rate.NewLimiter(eventLinesPerSecond, eventLineBurst),
 	}
 }
 
-// request returns a line about a request. It is nil, which writes nothing, if the budget is exhausted.
-func (l *eventLog) request() *zerolog.Event { return l.line(l.requestLines) }
+// requestLine returns a line about a request. It is nil, which writes nothing, if the budget is exhausted.
+func (l *eventLog) requestLine() *zerolog.Event { return l.line(l.requestBudget) }
 
-// connection returns a line about a connection. It is nil, which writes nothing, if the budget is
+// connLine returns a line about a connection. It is nil, which writes nothing, if the budget is
 // exhausted.
-func (l *eventLog) connection() *zerolog.Event { return l.line(l.connLines) }
+func (l *eventLog) connLine() *zerolog.Event { return l.line(l.connBudget) }
 
 // line returns a line within a budget, with the number of lines that were suppressed before it.
 func (l *eventLog) line(budget *rate.Limiter) *zerolog.Event {
@@ -67,7 +67,7 @@
 		return
 	}
 	s := a.exchange.server
-	s.events.request().
+	s.events.requestLine().
 		Str("request_id", a.exchange.meta.callID).
 		Int("attempt", int(a.number)).
 		Str("endpoint_name", s.endpointName(a.endpointID)).
@@ -85,7 +85,7 @@
 // logRetry logs an attempt that follows one that failed. previous is that one's result.
 func (a *attempt) logRetry(previous control.Result) {
 	s := a.exchange.server
-	s.events.request().
+	s.events.requestLine().
 		Str("request_id", a.exchange.meta.callID).
 		Int("attempt", int(a.number)).
 		Str("endpoint_name", s.endpointName(a.endpointID)).
@@ -96,7 +96,7 @@
 
 // logOutcome logs how a request ended that was not served, and traces it.
 func (e *exchange) logOutcome(outcome requestOutcome, reason string) {
-	e.server.events.request().
+	e.server.events.requestLine().
 		Str("request_id", e.meta.callID).
 		Stringer("outcome", outcome).
 		Str("reason", reason).
@@ -108,7 +108,7 @@
 
 // logClose logs that this server closed a client's connection.
 func (c *clientConn) logClose(reason string) {
-	c.server.events.connection().
+	c.server.events.connLine().
 		Stringer("state", c.conn.State()).
 		Str("reason", reason).
 		Dur("age_ms", c.server.loop.Now()-c.conn.AcceptedAt()).
--- a/internal/platform/eventlog_test.go
+++ b/internal/platform/eventlog_test.go
@@ -88,13 +88,13 @@
 	events := newEventLog(zerolog.New(&written), func() time.Duration { return now })
 
 	for range 10 * eventLineBurst {
-		events.request().Msg("request")
+		events.requestLine().Msg("request")
 	}
 	if n := len(written.lines("request")); n != eventLineBurst {
 		t.Errorf("%d lines at once, want %d", n, eventLineBurst)
 	}
 
-	events.connection().Msg("connection")
+	events.connLine().Msg("connection")
 	lines := written.lines("connection")
 	if len(lines) != 1 || lines[0]["lines_suppressed"] != float64(9*eventLineBurst) {
 		t.Errorf("the other kind: %v", lines)
@@ -104,7 +104,7 @@
 	before := len(written.lines("request"))
 	for range seconds * 1000 {
 		now += time.Millisecond
-		events.request().Msg("request")
+		events.requestLine().Msg("request")
 	}
 	if n := len(written.lines("request")) - before; n < seconds*eventLinesPerSecond-1 || n > seconds*eventLinesPerSecond+1 {
 		t.Errorf("%d lines in %d s of a flood", n, seconds)
--- a/internal/platform/kvrelease.go
+++ b/internal/platform/kvrelease.go
@@ -24,7 +24,7 @@
 // enqueueKVRelease schedules the release of the KV state of a client's request.
 func (s *Server) enqueueKVRelease(clientID string, reason control.ReleaseReason) {
 	s.kvReleases.scheduler.Enqueue(s.now(), clientID)
-	s.events.request().Str("request_id", clientID).Stringer("reason", reason).Msg("KV release enqueued")
+	s.events.requestLine().Str("request_id", clientID).Stringer("reason", reason).Msg("KV release enqueued")
 }
 
 // pollKVReleases starts the calls that are due and sets the timer for the next ones.
@@ -76,7 +76,7 @@
 	} else if !completion.WasPending {
 		return
 	}
-	s.events.request().
+	s.events.requestLine().
 		Str("request_id", call.Key).
 		Str("endpoint_name", s.endpointName(call.Endpoint)).
 		Dur("pending_ms", completion.Age).
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -119,10 +119,10 @@
 // now returns the current time on the decision module's clock.
 func (s *Server) now() control.Time { return clockStart.Add(s.loop.Now()) }
 
-// routerTime converts a Unix time in milliseconds to the decision module's clock. It returns 0 for times
+// controlTime converts a Unix time in milliseconds to the decision module's clock. It returns 0 for times
 // more than a day before the server's start, and the current time for times in the future. Other
 // times always give the same result. Otherwise an engine would look restarted each time it is listed.
-func (s *Server) routerTime(unixMillis int64) control.Time {
+func (s *Server) controlTime(unixMillis int64) control.Time {
 	at := int64(clockStart) + unixMillis*1000 - s.loop.Origin().UnixMicro()
 	if unixMillis <= 0 || at <= 0 {
 		return 0
--- a/internal/platformsettings/controlsettings.go
+++ b/internal/platformsettings/controlsettings.go
@@ -9,7 +9,7 @@
 )
 
 // controlSettings returns the decision module's settings.
-func (o *object) controlSettings(seed uint64) (control.Settings, error) {
+func (o *settingsObject) controlSettings(seed uint64) (control.Settings, error) {
 	kinds, err := o.engineKinds()
 	if err != nil {
 		return control.Settings{}, err
@@ -53,7 +53,7 @@
 
 // engineKinds returns the role and memory of each kind of engine. The memory of a kind is unknown if the
 // list of memories ends before it.
-func (o *object) engineKinds() ([]control.EngineKind, error) {
+func (o *settingsObject) engineKinds() ([]control.EngineKind, error) {
 	var kinds []control.EngineKind
 	for i, name := range o.Family.RoleByKind {
 		role, err := valueOf(roleByName, "role", name)
@@ -67,7 +67,7 @@
 }
 
 // controlClasses returns the classes of requests in the decision module's terms.
-func (o *object) controlClasses() ([]control.Class, error) {
+func (o *settingsObject) controlClasses() ([]control.Class, error) {
 	var classes []control.Class
 	for i, class := range o.Classes {
 		key := fmt.Sprintf("RequestClasses[%d]", i)
@@ -105,7 +105,7 @@
 
 // reportFields returns the meaning of each field of an engine's load report, in order. Unknown names stand
 // for fields that the decision module does not use.
-func (o *object) reportFields() []control.ReportField {
+func (o *settingsObject) reportFields() []control.ReportField {
 	var fields []control.ReportField
 	for _, name := range o.LoadReport.Fields {
 		field := reportFieldByName[name]
--- a/internal/platformsettings/object.go
+++ b/internal/platformsettings/object.go
@@ -2,9 +2,9 @@
 
 import "martenlock/control"
 
-// object is the JSON form of the settings. Missing keys are zero and unknown keys are ignored. The tags
+// settingsObject is the JSON form of the settings. Missing keys are zero and unknown keys are ignored. The tags
 // are the platform's names, the fields those of this program.
-type object struct {
+type settingsObject struct {
 	Tenants        []tenantObject `json:"Accounts"`
 	Routers        int            `json:"Balancers"`
 	Rank           int
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -51,7 +51,7 @@
 // Parse decodes the settings object of a router. Each start of the router should have its own seed. Any
 // error is an *Error.
 func Parse(seed uint64, text []byte) (Settings, error) {
-	var decoded object
+	var decoded settingsObject
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		return Settings{}, &Error{Err: err}
 	}
