--- a/internal/openaiserver/admission_test.go
+++ b/internal/openaiserver/admission_test.go
@@ -19,31 +19,13 @@
 		specs[i].PrefillTokensPerSecond, specs[i].MaxWaiting = 40_000, 10_000
 	}
 	h := startHarness(t, specs, "join_wait = 5ms", "join_wait = 0s")
-	const bulkRequests, bulkInputs = 12, 1024
-	bulk := `{"model":"demo-embed","dimensions":1,"input":` + inputList(bulkInputs, strings.Repeat("ice ", 40)) + `}` // 42,000 tokens: 0.5 s
-	var clients sync.WaitGroup
-	var mu sync.Mutex
-	served, rejected := 0, 0
-	for i := range bulkRequests {
-		clients.Go(func() {
-			received := h.sendEmbeddings(strings.ReplaceAll(bulk, `"ice `, fmt.Sprintf(`"%d `, i)))
-			mu.Lock()
-			defer mu.Unlock()
-			switch {
-			case received.served() && len(parseEmbeddings(received.body).vectors) == bulkInputs:
-				served++
-			case received.rejected():
-				rejected++
-			default:
-				t.Error(received)
-			}
-		})
-	}
+	const bulkRequests = 12
+	bulk := startBulk(h, bulkRequests)
 	h.waitUntil("a bulk request is computed", func() bool { return h.engine("e1").Stats().Waiting > 0 })
 	ctx, cancel := context.WithCancel(t.Context())
 	abandoned := make(chan response)
 	go func() {
-		abandoned <- h.send(request{ctx: ctx, path: embeddingsPath, class: "search", body: strings.Replace(bulk, `"input":[`, `"input":["waits",`, 1)})
+		abandoned <- h.send(request{ctx: ctx, path: embeddingsPath, class: "search", body: strings.Replace(bulk.body, `"input":[`, `"input":["waits",`, 1)})
 	}()
 	time.AfterFunc(100*ms, cancel) // while it waits for admission, or shortly before or after
 
@@ -57,15 +39,46 @@
 			t.Errorf("search %d: %v", i, received)
 		}
 	}
-	clients.Wait()
+	bulk.clients.Wait()
 
 	received := <-abandoned
 	if received.err == nil && !received.rejected() {
 		t.Error(received)
 	}
-	if served == 0 || rejected == 0 || served+rejected != bulkRequests || maxWaiting > 12 {
-		t.Errorf("%d bulk requests served, %d rejected; %d shards waited at one engine", served, rejected, maxWaiting)
+	if bulk.served == 0 || bulk.rejected == 0 || bulk.served+bulk.rejected != bulkRequests || maxWaiting > 12 {
+		t.Errorf("%d bulk requests served, %d rejected; %d shards waited at one engine", bulk.served, bulk.rejected, maxWaiting)
+	}
+}
+
+// bulk is a number of large embeddings requests, sent concurrently.
+type bulk struct {
+	body    string // that the requests' bodies are variants of
+	clients sync.WaitGroup
+
+	mu               sync.Mutex
+	served, rejected int
+}
+
+// startBulk sends requests of 42,000 tokens each, which take an engine 0.5 s.
+func startBulk(h *harness, requests int) *bulk {
+	const inputs = 1024
+	b := &bulk{body: `{"model":"demo-embed","dimensions":1,"input":` + inputList(inputs, strings.Repeat("ice ", 40)) + `}`}
+	for i := range requests {
+		b.clients.Go(func() {
+			received := h.sendEmbeddings(strings.ReplaceAll(b.body, `"ice `, fmt.Sprintf(`"%d `, i)))
+			b.mu.Lock()
+			defer b.mu.Unlock()
+			switch {
+			case received.served() && len(parseEmbeddings(received.body).vectors) == inputs:
+				b.served++
+			case received.rejected():
+				b.rejected++
+			default:
+				h.t.Error(received)
+			}
+		})
 	}
+	return b
 }
 
 // chatBody returns the body of a chat completion with so many tokens of prompt. maxTokens is left out if it is 0.
--- a/internal/openaiserver/embeddingcache_test.go
+++ b/internal/openaiserver/embeddingcache_test.go
@@ -74,40 +74,58 @@
 	}
 }
 
-// TestIdenticalRequestsAreCoalesced: identical requests at the same time are computed once, but not across tenants and
-// not for classes that are not idempotent. One with little time is rejected by its own deadline. Neither it nor a client
-// that leaves affects the others.
-func TestIdenticalRequestsAreCoalesced(t *testing.T) {
+// identicalRequests is a harness with one slow engine, for embeddings requests with the same input.
+type identicalRequests struct {
+	*harness
+	engine    *fakeengine.Engine
+	responses chan response // of the requests sent, in the order of their ends
+}
+
+// startIdenticalRequests starts a harness.
+func startIdenticalRequests(t *testing.T) *identicalRequests {
+	t.Helper()
 	h := startHarness(t, embeddingSpecs(1))
-	engine := h.engine("e1")
-	engine.SetFault(fakeengine.Fault{PrefillDelay: 400 * ms})
-	responses := make(chan response, 64)
-	send := func(r request) {
-		if r.class == "" {
-			r.class = "search"
-		}
-		r.path, r.body = embeddingsPath, `{"model":"demo-embed","input":"frozen pipe"}`
-		go func() { responses <- h.send(r) }()
-	}
-	waitForCalls := func(n int) {
-		t.Helper()
-		h.waitUntil(fmt.Sprintf("%d computations are in flight", n), func() bool { return engine.Stats().Waiting == n })
-	}
-	waitForFollowers := func(n uint64) {
-		t.Helper()
-		h.waitUntil(fmt.Sprintf("%d requests have waited for another one's computation", n), func() bool { return h.stats().CoalescedInputs == n })
+	identical := &identicalRequests{harness: h, engine: h.engine("e1"), responses: make(chan response, 64)}
+	identical.engine.SetFault(fakeengine.Fault{PrefillDelay: 400 * ms})
+	return identical
+}
+
+// start sends a request, of class "search" unless it has another one, without waiting for its response.
+func (i *identicalRequests) start(r request) {
+	if r.class == "" {
+		r.class = "search"
 	}
+	r.path, r.body = embeddingsPath, `{"model":"demo-embed","input":"frozen pipe"}`
+	go func() { i.responses <- i.send(r) }()
+}
 
+// waitForCalls waits until n computations are in flight.
+func (i *identicalRequests) waitForCalls(n int) {
+	i.t.Helper()
+	i.waitUntil(fmt.Sprintf("%d computations are in flight", n), func() bool { return i.engine.Stats().Waiting == n })
+}
+
+// waitForFollowers waits until n requests have waited for another request's computation.
+func (i *identicalRequests) waitForFollowers(n uint64) {
+	i.t.Helper()
+	i.waitUntil(fmt.Sprintf("%d requests wait for another one's computation", n), func() bool { return i.stats().CoalescedInputs == n })
+}
+
+// TestIdenticalRequestsAreCoalesced: identical requests at the same time are computed once, but not across tenants and
+// not for classes that are not idempotent.
+func TestIdenticalRequestsAreCoalesced(t *testing.T) {
+	identical := startIdenticalRequests(t)
 	for range 20 {
-		send(request{})
+		identical.start(request{})
 	}
-	waitForFollowers(19)
-	send(request{tenant: "other"})
-	send(request{class: "note"})
-	waitForCalls(3)
+	identical.waitForFollowers(19)
+	identical.start(request{tenant: "other"})
+	identical.start(request{class: "note"})
+	identical.waitForCalls(3)
+
 	answers := map[string]bool{}
 	for range 22 {
-		received := <-responses
+		received := <-identical.responses
 		if !received.served() {
 			t.Error(received)
 		}
@@ -115,19 +133,26 @@
 		_ = json.Unmarshal([]byte(received.body), &parsed) // served has checked the body
 		answers[string(parsed.Data)] = true
 	}
-	calls := engine.Stats().Served
+
+	calls := identical.engine.Stats().Served
 	if calls != 3 || len(answers) != 1 {
 		t.Errorf("computed %d times, %d different answers", calls, len(answers))
 	}
+}
+
+// TestCoalescedRequestsOutliveALeaderWithLittleTime: requests with little time are rejected by their own deadlines,
+// the one that leads included. The other one is served.
+func TestCoalescedRequestsOutliveALeaderWithLittleTime(t *testing.T) {
+	identical := startIdenticalRequests(t)
+	identical.start(request{deadline: 300 * ms})
+	identical.waitForCalls(1)
+	identical.start(request{})
+	identical.start(request{deadline: 150 * ms})
+	identical.waitForFollowers(2)
 
-	send(request{deadline: 300 * ms})
-	waitForCalls(1)
-	send(request{})
-	send(request{deadline: 150 * ms})
-	waitForFollowers(21)
 	rejected, served := 0, 0
 	for range 3 {
-		received := <-responses
+		received := <-identical.responses
 		switch {
 		case received.rejected():
 			rejected++
@@ -135,42 +160,56 @@
 			served++
 		}
 	}
+
 	if rejected != 2 || served != 1 {
 		t.Errorf("%d rejected, %d served", rejected, served)
 	}
+}
 
+// TestCoalescedRequestsOutliveALeaderWhoseClientLeaves: the request that waits for the leader's computation is served.
+func TestCoalescedRequestsOutliveALeaderWhoseClientLeaves(t *testing.T) {
+	identical := startIdenticalRequests(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	send(request{ctx: ctx})
-	waitForCalls(1)
-	send(request{})
-	waitForFollowers(22)
+	identical.start(request{ctx: ctx})
+	identical.waitForCalls(1)
+	identical.start(request{})
+	identical.waitForFollowers(1)
+
 	cancel()
+
 	for range 2 {
-		received := <-responses
+		received := <-identical.responses
 		if received.err == nil && !received.served() {
 			t.Error(received)
 		}
 	}
 }
 
+// startCachedHarness starts a harness with two engines and a cache of cacheBytes.
+func startCachedHarness(t *testing.T, cacheBytes int) *harness {
+	t.Helper()
+	return startHarness(t, embeddingSpecs(2), "models = demo-embed\n", fmt.Sprintf("models = demo-embed\ncache_bytes = %d\n", cacheBytes))
+}
+
+// isCached sends an embeddings request with one input, numbered, and reports whether it is answered from the cache.
+func (h *harness) isCached(input int, tenant string) bool {
+	h.t.Helper()
+	received := h.send(request{path: embeddingsPath, class: "search", tenant: tenant, body: fmt.Sprintf(`{"model":"demo-embed","input":"pipe %d"}`, input)})
+	if !received.served() {
+		h.t.Error(received)
+	}
+	return received.header.Get("X-Cache") == "hit"
+}
+
 // TestRepeatedInputIsAnsweredFromTheCache: a repeated input is answered without an engine, but not across tenants, not
-// after the model's revision has changed and not while engines serve different revisions. Many other inputs don't make
-// the cache exceed its bytes.
+// after the model's revision has changed and not while engines serve different revisions.
 func TestRepeatedInputIsAnsweredFromTheCache(t *testing.T) {
-	const cacheBytes = 50_000
-	h := startHarness(t, embeddingSpecs(2), "models = demo-embed\n", fmt.Sprintf("models = demo-embed\ncache_bytes = %d\n", cacheBytes))
-	isHit := func(input int, tenant string) bool {
-		received := h.send(request{path: embeddingsPath, class: "search", tenant: tenant, body: fmt.Sprintf(`{"model":"demo-embed","input":"pipe %d"}`, input)})
-		if !received.served() {
-			t.Error(received)
-		}
-		return received.header.Get("X-Cache") == "hit"
-	}
+	h := startCachedHarness(t, 50_000)
 	for _, test := range []struct {
 		tenant string
 		want   bool
 	}{{"", false}, {"", true}, {"other", false}, {"other", true}} {
-		got := isHit(0, test.tenant)
+		got := h.isCached(0, test.tenant)
 		if got != test.want {
 			t.Errorf("tenant %q: answered from the cache: %v, want %v", test.tenant, got, test.want)
 		}
@@ -187,17 +226,23 @@
 		{"two revisions", strings.Replace(list, "kind = embedder", "kind = embedder\nrevision = 2", 1), false},
 	} {
 		writeFile(t, listPath, test.list)
-		h.waitUntil("the list invalidates the answer", func() bool { return !isHit(0, "") })
-		got := isHit(0, "")
+		h.waitUntil("the list invalidates the answer", func() bool { return !h.isCached(0, "") })
+		got := h.isCached(0, "")
 		if got != test.isValid {
 			t.Errorf("%s: answered from the cache: %v", test.name, got)
 		}
 	}
 	writeFile(t, listPath, list)
-	h.waitUntil("there is one revision again", func() bool { return isHit(0, "") })
+	h.waitUntil("there is one revision again", func() bool { return h.isCached(0, "") })
+}
+
+// TestCacheStaysWithinItsBytes: many inputs don't make the cache exceed its bytes, and it uses half of them at least.
+func TestCacheStaysWithinItsBytes(t *testing.T) {
+	const cacheBytes = 50_000
+	h := startCachedHarness(t, cacheBytes)
 
 	for input := range 1500 {
-		isHit(input+1, "")
+		h.isCached(input, "")
 		used := h.stats().CacheBytes
 		if used > cacheBytes {
 			t.Fatalf("%d bytes after %d inputs", used, input)
