--- a/internal/nodes/nodes.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,6 +1,6 @@
-// Package nodes reads the endpoint list, an INI file with one section for each engine, and watches
-// the file for changes.
-package nodes
+// Package endpointlist reads the endpoint list of serve, an INI file with one section [node NAME] for each
+// engine, and watches the file for changes. To operators the file is the node list.
+package endpointlist
 
 import (
 	"net/netip"
@@ -16,8 +16,8 @@
 	"martenlock/internal/openai"
 )
 
-// Node is one engine of the list.
-type Node struct {
+// Endpoint is one engine of the list.
+type Endpoint struct {
 	Name      string
 	ID        control.EndpointID // a hash of the name: the same at all routers and after restarts
 	Pool      string
@@ -32,11 +32,11 @@
 	StartedAt time.Time // start of its process; zero for long ago
 }
 
-// maxNodes is the most nodes of a list. A longer list is a mistake.
-const maxNodes = 100_000
+// maxEndpoints is the most endpoints of a list. A longer list is a mistake.
+const maxEndpoints = 100_000
 
 // Load reads and parses the list in a file. Errors in the list are those of Parse.
-func Load(path string, c *config.Config) ([]Node, error) {
+func Load(path string, c *config.Config) ([]Endpoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -45,9 +45,9 @@
 }
 
 // Parse parses the text of a list and checks it against the configuration. name is used in errors.
-// If the list has errors Parse returns no nodes. The returned error joins one *inifile.Error for
+// If the list has errors Parse returns no endpoints. The returned error joins one *inifile.Error for
 // each error in the list.
-func Parse(name string, text []byte, c *config.Config) ([]Node, error) {
+func Parse(name string, text []byte, c *config.Config) ([]Endpoint, error) {
 	file, err := inifile.Parse(name, text)
 	if err != nil {
 		return nil, err
@@ -57,15 +57,15 @@
 		nameByID:   map[control.EndpointID]string{},
 		nameByAddr: map[netip.AddrPort]string{},
 	}
-	var list []Node
+	var list []Endpoint
 	for _, section := range file.Sections("node") {
-		list = append(list, p.parseNode(section))
+		list = append(list, p.parseEndpoint(section))
 	}
 	if len(list) == 0 { // more likely a mistake than a service without engines, which has state = gone
 		file.AddError("%w section [node NAME]", inifile.ErrMissing)
 	}
-	if len(list) > maxNodes {
-		file.AddError("number of nodes %d is %w, want at most %d", len(list), inifile.ErrOutOfRange, maxNodes)
+	if len(list) > maxEndpoints {
+		file.AddError("number of nodes %d is %w, want at most %d", len(list), inifile.ErrOutOfRange, maxEndpoints)
 	}
 	err = file.Err("node")
 	if err != nil {
@@ -74,11 +74,11 @@
 	return list, nil
 }
 
-// parser parses the nodes of one list.
+// parser parses the endpoints of one list.
 type parser struct {
 	config     *config.Config
-	nameByID   map[control.EndpointID]string // of the nodes parsed so far
-	nameByAddr map[netip.AddrPort]string     // of the nodes parsed so far
+	nameByID   map[control.EndpointID]string // of the endpoints parsed so far
+	nameByAddr map[netip.AddrPort]string     // of the endpoints parsed so far
 }
 
 // The values of state and what they mean.
@@ -87,9 +87,9 @@
 	states     = []control.EndpointState{control.Gone, control.Ready, control.Draining}
 )
 
-// parseNode parses one node. It records errors in the section.
-func (p *parser) parseNode(section *inifile.Section) Node {
-	node := Node{
+// parseEndpoint parses a section [node NAME]. It records errors in the section.
+func (p *parser) parseEndpoint(section *inifile.Section) Endpoint {
+	endpoint := Endpoint{
 		Name:     section.Name,
 		ID:       control.EndpointID(xxhash.Sum64String(section.Name)),
 		Pool:     section.Required("pool"),
@@ -100,26 +100,26 @@
 		Weight:   section.Float("weight", 1, 0.01, 1000),
 		State:    states[section.Choice("state", "ready", stateWords...)],
 	}
-	p.checkIdentity(section, &node)
-	pool := p.findPool(section, node.Pool)
-	p.parseKind(section, &node, pool)
-	node.StartedAt = parseStart(section)
-	return node
+	p.checkIdentity(section, &endpoint)
+	pool := p.findPool(section, endpoint.Pool)
+	p.parseKind(section, &endpoint, pool)
+	endpoint.StartedAt = parseStart(section)
+	return endpoint
 }
 
-// checkIdentity checks that no earlier node has the same id or address.
-func (p *parser) checkIdentity(section *inifile.Section, node *Node) {
+// checkIdentity checks that no earlier endpoint has the same id or address.
+func (p *parser) checkIdentity(section *inifile.Section, endpoint *Endpoint) {
 	section.RequireName()
-	sameID, isUsed := p.nameByID[node.ID]
-	if isUsed && sameID != node.Name {
+	sameID, isUsed := p.nameByID[endpoint.ID]
+	if isUsed && sameID != endpoint.Name {
 		section.AddError("", "%w id, the names of this node and of node %s have the same hash: rename one", inifile.ErrDuplicate, sameID)
 	}
-	p.nameByID[node.ID] = node.Name
-	sameAddr, isUsed := p.nameByAddr[node.Addr]
+	p.nameByID[endpoint.ID] = endpoint.Name
+	sameAddr, isUsed := p.nameByAddr[endpoint.Addr]
 	if isUsed {
-		section.AddError("address", "%w address %s, node %s has it too", inifile.ErrDuplicate, node.Addr, sameAddr)
+		section.AddError("address", "%w address %s, node %s has it too", inifile.ErrDuplicate, endpoint.Addr, sameAddr)
 	}
-	p.nameByAddr[node.Addr] = node.Name
+	p.nameByAddr[endpoint.Addr] = endpoint.Name
 }
 
 // findPool returns a pool of the configuration. It returns nil if there is none of that name.
@@ -133,9 +133,9 @@
 	return &pools[i]
 }
 
-// parseKind parses the kind of a node and sets its role. pool is the node's pool, or nil if it is
+// parseKind parses the kind of an endpoint and sets its role. pool is the endpoint's pool, or nil if it is
 // unknown.
-func (p *parser) parseKind(section *inifile.Section, node *Node, pool *config.Pool) {
+func (p *parser) parseKind(section *inifile.Section, endpoint *Endpoint, pool *config.Pool) {
 	kind := section.Required("kind")
 	if kind == "" {
 		return
@@ -145,15 +145,15 @@
 		section.AddError("kind", "%w kind %q, there is no section [kind %s] in %s", inifile.ErrUnknown, kind, kind, p.config.File)
 		return
 	}
-	node.Kind = kind
-	node.Role = p.config.Control.Engines.Kinds[i].Role
-	if pool != nil && node.Role != control.RoleColocated && slices.ContainsFunc(pool.APIs, openai.API.HasOneStage) {
+	endpoint.Kind = kind
+	endpoint.Role = p.config.Control.Engines.Kinds[i].Role
+	if pool != nil && endpoint.Role != control.RoleColocated && slices.ContainsFunc(pool.APIs, openai.API.HasOneStage) {
 		const format = "%w kind %q, want one of role mixed: [pool %s] serves embeddings or rerank, which have one stage"
-		section.AddError("kind", format, inifile.ErrInvalid, kind, node.Pool)
+		section.AddError("kind", format, inifile.ErrInvalid, kind, endpoint.Pool)
 	}
 }
 
-// parseStart parses the start of a node's process. It returns the zero time if the list has none.
+// parseStart parses the start of an engine's process. It returns the zero time if the list has none.
 func parseStart(section *inifile.Section) time.Time {
 	text := section.Text("start", "")
 	if text == "" {
--- a/internal/nodes/nodes_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -1,4 +1,4 @@
-package nodes_test
+package endpointlist_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"martenlock/internal/config"
 	"martenlock/internal/demo"
-	"martenlock/internal/nodes"
+	"martenlock/internal/endpointlist"
 )
 
 // settings is a valid configuration.
@@ -39,7 +39,7 @@
 }
 
 func TestParseReturnsNodesOfValidList(t *testing.T) {
-	valid, err := nodes.Parse("n.ini", []byte(list), parseSettings(t, settings))
+	valid, err := endpointlist.Parse("n.ini", []byte(list), parseSettings(t, settings))
 	if err != nil || len(valid) != 2 || valid[0].ID == valid[1].ID || valid[1].StartedAt.IsZero() {
 		t.Fatal(valid, err)
 	}
@@ -47,7 +47,7 @@
 
 func TestParseRejectsPrefillEngineInPoolOfEmbeddings(t *testing.T) {
 	withEmbeddings := parseSettings(t, strings.Replace(settings, "apis = chat", "apis = embeddings, chat", 1))
-	if _, err := nodes.Parse("n.ini", []byte(list), withEmbeddings); err == nil || !strings.Contains(err.Error(), `[node r1] kind: invalid kind "reader", want one of role mixed: [pool chat]`) {
+	if _, err := endpointlist.Parse("n.ini", []byte(list), withEmbeddings); err == nil || !strings.Contains(err.Error(), `[node r1] kind: invalid kind "reader", want one of role mixed: [pool chat]`) {
 		t.Error(err)
 	}
 }
@@ -69,7 +69,7 @@
 		{"state = draining", "weight = 0", `[node w1] weight: number 0 is out of range`},
 		{"zone = a", "zome = a", "[node r1] zome: unknown key"},
 	} {
-		if _, err := nodes.Parse("n.ini", []byte(strings.Replace(list, c.old, c.new, 1)), cfg); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := endpointlist.Parse("n.ini", []byte(strings.Replace(list, c.old, c.new, 1)), cfg); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v; want %s", c.new, err, c.want)
 		}
 	}
--- a/internal/nodes/watch.go
+++ b/internal/endpointlist/watch.go
@@ -1,4 +1,4 @@
-package nodes
+package endpointlist
 
 import (
 	"bytes"
--- a/internal/nodes/watch_test.go
+++ b/internal/endpointlist/watch_test.go
@@ -1,4 +1,4 @@
-package nodes_test
+package endpointlist_test
 
 import (
 	"os"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"martenlock/internal/nodes"
+	"martenlock/internal/endpointlist"
 )
 
 // TestWatchReportsOnlyWholeFiles writes a file in pieces, which must be reported when it is closed;
@@ -16,7 +16,7 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "nodes.ini")
 	reported := make(chan string, 16)
-	watcher, err := nodes.Watch(path, func() {
+	watcher, err := endpointlist.Watch(path, func() {
 		text, _ := os.ReadFile(path)
 		reported <- string(text)
 	})
--- a/internal/openaiserver/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -43,7 +43,7 @@
 // start sends the request.
 func (a *attempt) start(action control.Forward) {
 	exchange := a.exchange
-	a.role = a.engine.node.Role
+	a.role = a.engine.endpoint.Role
 	body := exchange.appendBody(make([]byte, 0, exchange.call.BodySize()+bodyOverheadBytes), a.role)
 	head := exchange.appendHead(a.engine.newRequestHead(http.MethodPost, exchange.path))
 	a.answerTimeout.Fire = func() { a.finish(control.TimedOut, false) }
--- a/internal/openaiserver/attemptresponse.go
+++ b/internal/openaiserver/attemptresponse.go
@@ -99,7 +99,7 @@
 	exchange := a.exchange
 	response, hasKVTransfer := openai.ParsePrefillResponse(a.buffered)
 	if !hasKVTransfer {
-		exchange.pool.server.log.Warn().Str("endpoint", a.engine.node.Name).Msg("prefill response without kv_transfer_params")
+		exchange.pool.server.log.Warn().Str("endpoint", a.engine.endpoint.Name).Msg("prefill response without kv_transfer_params")
 		a.finish(control.Failed, false)
 		return
 	}
@@ -116,7 +116,7 @@
 	exchange := a.exchange
 	err := exchange.call.CheckResponse(a.buffered)
 	if err != nil {
-		exchange.pool.server.log.Warn().Str("endpoint", a.engine.node.Name).Err(err).Msg("invalid answer")
+		exchange.pool.server.log.Warn().Str("endpoint", a.engine.endpoint.Name).Err(err).Msg("invalid answer")
 		a.finish(control.Failed, false)
 		return
 	}
@@ -148,7 +148,7 @@
 func (a *attempt) Failed(connError upstream.ConnError) {
 	a.conn = nil
 	if connError.Malformed != "" {
-		a.exchange.pool.server.log.Warn().Str("endpoint", a.engine.node.Name).Str("reason", connError.Malformed).Msg("malformed response")
+		a.exchange.pool.server.log.Warn().Str("endpoint", a.engine.endpoint.Name).Str("reason", connError.Malformed).Msg("malformed response")
 	}
 	if !connError.Established {
 		a.finish(control.ConnectFailed, false)
--- a/internal/openaiserver/engine.go
+++ b/internal/openaiserver/engine.go
@@ -4,9 +4,9 @@
 	"net/http"
 
 	"martenlock/control"
+	"martenlock/internal/endpointlist"
 	"martenlock/internal/enginecall"
 	"martenlock/internal/http1"
-	"martenlock/internal/nodes"
 	"martenlock/internal/openai"
 	"martenlock/internal/upstream"
 )
@@ -15,7 +15,7 @@
 type engine struct {
 	upstream.Pool
 	server   *Server
-	node     nodes.Node
+	endpoint endpointlist.Endpoint
 	releases kvReleases
 }
 
@@ -46,17 +46,19 @@
 // only.
 func (e *engine) connEnded(reason upstream.CloseReason) {
 	if !reason.IsRoutine() {
-		e.server.log.Debug().Str("endpoint", e.node.Name).Stringer("reason", reason).Msg("engine connection closed")
+		e.server.log.Debug().Str("endpoint", e.endpoint.Name).Stringer("reason", reason).Msg("engine connection closed")
 	}
 	e.removeIfUnused()
 }
 
-// SetNodes replaces the endpoint list. list must have passed nodes.Parse. It may be called from any goroutine and
+// SetEndpoints replaces the endpoint list. list must have passed endpointlist.Parse. It may be called from any goroutine and
 // does not wait.
-func (s *Server) SetNodes(list []nodes.Node) { s.loop.Post(func() { s.applyNodes(list) }) }
+func (s *Server) SetEndpoints(list []endpointlist.Endpoint) {
+	s.loop.Post(func() { s.applyEndpoints(list) })
+}
 
-// applyNodes is SetNodes on the loop.
-func (s *Server) applyNodes(list []nodes.Node) {
+// applyEndpoints is SetEndpoints on the loop.
+func (s *Server) applyEndpoints(list []endpointlist.Endpoint) {
 	isListed := map[control.EndpointID]bool{}
 	for i := range list {
 		isListed[list[i].ID] = true
@@ -70,31 +72,31 @@
 		}
 	}
 	for _, p := range s.pools.all() {
-		p.applyNodes(list)
+		p.applyEndpoints(list)
 	}
 	s.log.Info().Int("endpoints", len(list)).Msg("endpoint list applied")
 }
 
 // listEngine adds a listed engine or updates a known one.
-func (s *Server) listEngine(node nodes.Node) {
-	e := s.engines.byID[node.ID]
+func (s *Server) listEngine(endpoint endpointlist.Endpoint) {
+	e := s.engines.byID[endpoint.ID]
 	if e == nil {
 		e = newEngine(s)
-		s.engines.byID[node.ID] = e
+		s.engines.byID[endpoint.ID] = e
 	}
-	isOtherProcess := e.node.Addr != node.Addr || !e.node.StartedAt.Equal(node.StartedAt)
+	isOtherProcess := e.endpoint.Addr != endpoint.Addr || !e.endpoint.StartedAt.Equal(endpoint.StartedAt)
 	if isOtherProcess { // connections to the earlier one are of no use
 		e.CloseIdle()
 	}
-	e.node = node
-	e.Addr = node.Addr
+	e.endpoint = endpoint
+	e.Addr = endpoint.Addr
 	e.Removed = false
 }
 
 // removeIfUnused removes an engine that is no longer listed and has no connections and no pending KV releases.
 func (e *engine) removeIfUnused() {
-	if e.Removed && e.Open() == 0 && len(e.releases.pending) == 0 && e.server.engines.byID[e.node.ID] == e {
-		delete(e.server.engines.byID, e.node.ID)
+	if e.Removed && e.Open() == 0 && len(e.releases.pending) == 0 && e.server.engines.byID[e.endpoint.ID] == e {
+		delete(e.server.engines.byID, e.endpoint.ID)
 	}
 }
 
@@ -105,7 +107,7 @@
 // newRequestHead returns the start of a request's head: request line and Host.
 func (e *engine) newRequestHead(method, path string) []byte {
 	head := http1.AppendRequest(make([]byte, 0, requestHeadBytes), method, path)
-	return http1.AppendField(head, "Host", e.node.Addr.String())
+	return http1.AppendField(head, "Host", e.endpoint.Addr.String())
 }
 
 // checkHealth starts a health check and reports its result to the pool's decision module.
@@ -121,7 +123,7 @@
 		},
 		OnDone: func(call enginecall.Result) {
 			p.push(control.HealthCheckResult{
-				Endpoint: e.node.ID,
+				Endpoint: e.endpoint.ID,
 				Result:   classifyHealthCheck(call),
 				Elapsed:  loop.Now() - startedAt,
 				Report:   loadReport,
--- a/internal/openaiserver/kvrelease.go
+++ b/internal/openaiserver/kvrelease.go
@@ -39,7 +39,7 @@
 // are retried until it confirms or the release times out.
 func (e *engine) releaseKV(requestID string) {
 	if len(e.releases.pending) >= maxPendingKVReleases {
-		e.server.log.Warn().Str("endpoint", e.node.Name).Msg("KV release dropped, too many are pending")
+		e.server.log.Warn().Str("endpoint", e.endpoint.Name).Msg("KV release dropped, too many are pending")
 		return
 	}
 	e.releases.pending[requestID] = e.server.loop.Now() + kvReleaseTimeout
@@ -82,7 +82,7 @@
 	now := e.server.loop.Now()
 	for requestID, deadline := range e.releases.pending {
 		if now > deadline {
-			e.server.log.Warn().Str("endpoint", e.node.Name).Str("request_id", requestID).Msg("KV release timed out")
+			e.server.log.Warn().Str("endpoint", e.endpoint.Name).Str("request_id", requestID).Msg("KV release timed out")
 			delete(e.releases.pending, requestID)
 		} else if len(requestIDs) < maxKVReleasesPerCall {
 			requestIDs = append(requestIDs, requestID)
--- a/internal/openaiserver/pool.go
+++ b/internal/openaiserver/pool.go
@@ -7,7 +7,7 @@
 	"martenlock/control/admission"
 	"martenlock/internal/config"
 	"martenlock/internal/decisionloop"
-	"martenlock/internal/nodes"
+	"martenlock/internal/endpointlist"
 	"martenlock/internal/openai"
 )
 
@@ -139,9 +139,9 @@
 	}
 }
 
-// applyNodes applies an endpoint list: it notifies the decision module, the admission queue and the batcher of the
+// applyEndpoints applies an endpoint list: it notifies the decision module, the admission queue and the batcher of the
 // pool's engines.
-func (p *pool) applyNodes(list []nodes.Node) {
+func (p *pool) applyEndpoints(list []endpointlist.Endpoint) {
 	s := p.server
 	update := control.EndpointUpdate{Full: true}
 	p.readyEndpoints = 0
@@ -149,28 +149,28 @@
 	p.revisionsMixed = false
 	var capacities []admission.EndpointCapacity
 	for i := range list {
-		node := &list[i]
-		kind := slices.Index(p.config.Kinds, node.Kind) // a retired pool's configuration may number kinds differently
-		if node.Pool != p.settings.Name || kind < 0 {
+		endpoint := &list[i]
+		kind := slices.Index(p.config.Kinds, endpoint.Kind) // a retired pool's configuration may number kinds differently
+		if endpoint.Pool != p.settings.Name || kind < 0 {
 			continue
 		}
-		if node.State != control.Gone {
+		if endpoint.State != control.Gone {
 			capacities = append(capacities, admission.EndpointCapacity{
 				Role:         p.config.Control.Engines.Kinds[kind].Role,
 				MemoryTokens: float64(p.config.Control.Engines.Kinds[kind].MemoryTokens),
 			})
 		}
-		if node.State == control.Ready {
-			p.addReadyEndpoint(node.Revision)
+		if endpoint.State == control.Ready {
+			p.addReadyEndpoint(endpoint.Revision)
 		}
 		update.Endpoints = append(update.Endpoints, control.Endpoint{
-			ID:        node.ID,
-			State:     node.State,
+			ID:        endpoint.ID,
+			State:     endpoint.State,
 			Kind:      kind,
-			Weight:    node.Weight,
-			StartedAt: s.routerTime(node.StartedAt),
-			Zone:      s.topology.zone(node.Zone),
-			Cell:      s.topology.cell(node.Zone, node.Cell),
+			Weight:    endpoint.Weight,
+			StartedAt: s.routerTime(endpoint.StartedAt),
+			Zone:      s.topology.zone(endpoint.Zone),
+			Cell:      s.topology.cell(endpoint.Zone, endpoint.Cell),
 		})
 	}
 	p.tokenLimits = admission.NewTokenLimits(p.settings.MaxContextTokens, capacities)
--- a/internal/openaiserver/reload.go
+++ b/internal/openaiserver/reload.go
@@ -8,7 +8,7 @@
 
 	"martenlock/control/connlimit"
 	"martenlock/internal/config"
-	"martenlock/internal/nodes"
+	"martenlock/internal/endpointlist"
 	"martenlock/internal/upstream"
 )
 
@@ -27,7 +27,7 @@
 // under the old configuration. If a setting of the decision modules has changed, new requests are decided on by new
 // modules, which know no load, health or sessions yet. Reload waits until the configuration is in force. It returns a
 // *ListenChangedError, and changes nothing, if the listen address differs.
-func (s *Server) Reload(cfg *config.Config, list []nodes.Node) error {
+func (s *Server) Reload(cfg *config.Config, list []endpointlist.Endpoint) error {
 	if cfg.Listen != s.config.Listen && s.config.Listen.Port() != 0 {
 		return &ListenChangedError{File: cfg.File, Old: s.config.Listen.String(), New: cfg.Listen.String()}
 	}
@@ -41,7 +41,7 @@
 }
 
 // applyConfig is Reload on the loop.
-func (s *Server) applyConfig(cfg *config.Config, list []nodes.Node) {
+func (s *Server) applyConfig(cfg *config.Config, list []endpointlist.Endpoint) {
 	old := s.config
 	s.config = cfg
 	s.applyLimits()
@@ -49,7 +49,7 @@
 		s.retirePools()
 		s.createPools()
 	}
-	s.applyNodes(list)
+	s.applyEndpoints(list)
 }
 
 // samePoolSettings reports whether two configurations agree in all that pools and their decision modules are created
--- a/internal/openaiserver/server.go
+++ b/internal/openaiserver/server.go
@@ -2,7 +2,7 @@
 // decision module (control.Router), and the module's actions into bytes. It makes no decisions of its own about where,
 // when and how often a request is forwarded.
 //
-// All of its state belongs to one event loop. Only Addr, Run, SetNodes, Reload, Shutdown and Stats may be called from
+// All of its state belongs to one event loop. Only Addr, Run, SetEndpoints, Reload, Shutdown and Stats may be called from
 // other goroutines.
 package openaiserver
 
@@ -18,9 +18,9 @@
 
 	"martenlock/control"
 	"martenlock/internal/config"
+	"martenlock/internal/endpointlist"
 	"martenlock/internal/eventloop"
 	"martenlock/internal/httpserver"
-	"martenlock/internal/nodes"
 )
 
 // Server serves OpenAI's API on one listener. New returns one.
@@ -63,7 +63,7 @@
 const clockStart = control.Time(24 * 3600 * 1e6)
 
 // New returns a server that listens. Connections are served once Run is called. list is the first endpoint list.
-func New(cfg *config.Config, list []nodes.Node, log zerolog.Logger) (*Server, error) {
+func New(cfg *config.Config, list []endpointlist.Endpoint, log zerolog.Logger) (*Server, error) {
 	loop, err := eventloop.New(eventloop.Options{OnPanic: func(reason any) {
 		log.Error().Str("panic", fmt.Sprint(reason)).Bytes("stack", debug.Stack()).Msg("handler panicked, connection closed")
 	}})
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	s.applyLimits()
-	s.applyNodes(list)
+	s.applyEndpoints(list)
 	return s, nil
 }
 
--- a/internal/openaiserver/service_test.go
+++ b/internal/openaiserver/service_test.go
@@ -145,7 +145,7 @@
 	}
 
 	for range 30_000 { // one log line each
-		h.Service.Router.SetNodes(nil)
+		h.Service.Router.SetEndpoints(nil)
 	}
 	err = h.PublishEndpoints()
 	if err != nil {
--- a/internal/serve/service.go
+++ b/internal/serve/service.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 
 	"martenlock/internal/config"
+	"martenlock/internal/endpointlist"
 	"martenlock/internal/inifile"
-	"martenlock/internal/nodes"
 	"martenlock/internal/openaiserver"
 )
 
@@ -21,17 +21,17 @@
 	path    string                        // of the configuration
 	config  atomic.Pointer[config.Config] // in force
 	log     *logFile
-	watcher *nodes.Watcher
+	watcher *endpointlist.Watcher
 	ended   chan error // receives the result of Router.Run
 }
 
 // Check loads and checks the configuration at path and its endpoint list. It starts nothing.
-func Check(path string) (*config.Config, []nodes.Node, error) {
+func Check(path string) (*config.Config, []endpointlist.Endpoint, error) {
 	c, err := config.Load(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	list, err := nodes.Load(c.EndpointListPath, c)
+	list, err := endpointlist.Load(c.EndpointListPath, c)
 	return c, list, err
 }
 
@@ -52,25 +52,25 @@
 	if err != nil {
 		return nil, err
 	}
-	s.watcher, err = nodes.Watch(c.EndpointListPath, s.reloadNodes)
+	s.watcher, err = endpointlist.Watch(c.EndpointListPath, s.reloadEndpoints)
 	if err != nil {
 		return nil, err
 	}
-	s.reloadNodes() // the list may have changed between Check and Watch
+	s.reloadEndpoints() // the list may have changed between Check and Watch
 	go func() { s.ended <- s.Router.Run() }()
 	s.log.logger.Info().Str("address", s.Router.Addr()).Msg("listening")
 	return s, nil
 }
 
-// reloadNodes loads the endpoint list again. An invalid list is rejected and logged.
-func (s *Service) reloadNodes() {
+// reloadEndpoints loads the endpoint list again. An invalid list is rejected and logged.
+func (s *Service) reloadEndpoints() {
 	c := s.config.Load()
-	list, err := nodes.Load(c.EndpointListPath, c)
+	list, err := endpointlist.Load(c.EndpointListPath, c)
 	if err != nil {
 		s.log.logger.Error().Err(err).Msg("endpoint list rejected, the previous one stays in force")
 		return
 	}
-	s.Router.SetNodes(list)
+	s.Router.SetEndpoints(list)
 }
 
 // Reload loads the configuration and the endpoint list again and applies them. If one of them is invalid or needs a
