--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -34,7 +34,7 @@
 		TTFTPer1000Tokens: section.Duration("aim_per_1000", 0, 0, day),
 		Deadline:          section.Duration("deadline", 0, 0, day),
 		ITLObjective:      section.Duration("token_aim", 0, 0, day),
-		PriorityWeight:    section.Float("worth", 1, 0, 1e9),
+		PriorityWeight:    section.Float("worth", 1, 0, maxWeight),
 		LateWeightShare:   section.Float("late_worth", 0.2, 0, 1),
 		Idempotency:       idempotencies[section.Choice("effect", "safe", effectWords...)],
 		DedupScope:        dedupScopes[section.Choice("scope", "all", scopeWords...)],
@@ -49,8 +49,9 @@
 	c.Classes = append(c.Classes, Class{Name: section.Name, StreamIndex: index, UnaryIndex: index + 1})
 }
 
-// defaultUnaryObjective returns the default of whole_aim. The first byte of an answer that is not
-// streamed comes later than that of a stream, but must come before the deadline.
+// defaultUnaryObjective returns the default of whole_aim: three quarters of the deadline, or the objective
+// of streams if it is longer. The first byte of an answer that is not streamed comes later than that of a
+// stream, but must come before the deadline.
 func defaultUnaryObjective(stream *control.Class) time.Duration {
 	return max(stream.TTFTObjective, stream.Deadline*3/4)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,14 +36,17 @@
 // Bounds that several keys share. They catch mistakes such as a missing unit, and are far from what
 // a service needs.
 const (
-	day           = 24 * time.Hour
-	minTimeout    = 10 * time.Millisecond // shorter ones would close connections that are merely busy
-	maxTimeout    = day
-	maxTokens     = 1e9     // of a request or a batch
-	maxItems      = 1 << 20 // of a request
-	maxRouters    = 100_000
-	maxSeed       = 1 << 62
-	maxConnsLimit = 1 << 20 // Linux's default limit of a process's descriptors, fs.nr_open
+	day             = 24 * time.Hour
+	minTimeout      = 10 * time.Millisecond // shorter ones would close connections that are merely busy
+	maxTimeout      = day
+	maxTokens       = 1e9     // of a request or a batch
+	maxMemoryTokens = 1e12    // of an engine
+	maxWeight       = 1e9     // of a class
+	maxRate         = 1e9     // of a tenant, in requests a second
+	maxItems        = 1 << 20 // of a request
+	maxRouters      = 100_000
+	maxSeed         = 1 << 62
+	maxConnsLimit   = 1 << 20 // Linux's default limit of a process's descriptors, fs.nr_open
 )
 
 // Load reads and parses a file. A relative path of the endpoint list is relative to the directory of
--- a/internal/config/kind.go
+++ b/internal/config/kind.go
@@ -18,7 +18,7 @@
 	}
 	kind := control.EngineKind{
 		Role:         roles[section.Choice("role", "", roleWords...)],
-		MemoryTokens: control.Tokens(section.Float("memory_tokens", 0, 0, 1e12)),
+		MemoryTokens: control.Tokens(section.Float("memory_tokens", 0, 0, maxMemoryTokens)),
 	}
 	c.Kinds = append(c.Kinds, section.Name)
 	c.Control.Engines.Kinds = append(c.Control.Engines.Kinds, kind)
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -14,20 +14,20 @@
 
 // Pool is a set of engines that serve the same models.
 type Pool struct {
-	Name             string
-	APIs             []openai.API
-	Models           []string              // nil for any
-	DefaultClass     int                   // index in Classes, for requests that name no class
-	ReportMetrics    []string              // names of the metrics of a load report
-	ReportFields     []control.ReportField // what these metrics mean, by the same index
-	ShardLimits      scatter.Limits        // of embeddings and rerank requests
-	MaxContextTokens float64               // most tokens of prompt and answer together; 0 for unknown
-	LargeTokens      float64               // tokens above which a request waits for admission; 0 for no limit
-	LargeWait        time.Duration         // most outstanding work of large requests
-	Batching         batching.Settings     // of small embeddings requests
-	Coalesces        bool                  // identical embeddings inputs are computed once
-	CacheBytes       int                   // of cached embeddings; 0 disables the cache
-	SharesCache      bool                  // tenants may get each other's embeddings
+	Name                 string
+	APIs                 []openai.API
+	Models               []string              // nil for any
+	DefaultClass         int                   // index in Classes, for requests that name no class
+	ReportMetrics        []string              // names of the metrics of a load report
+	ReportFields         []control.ReportField // what these metrics mean, by the same index
+	ShardLimits          scatter.Limits        // of embeddings and rerank requests
+	MaxContextTokens     float64               // most tokens of prompt and answer together; 0 for unknown
+	LargeTokens          float64               // tokens above which a request waits for admission; 0 for no limit
+	OutstandingLargeWork time.Duration         // most work that large requests have outstanding, as the time in which the pool serves it
+	Batching             batching.Settings     // of small embeddings requests
+	Coalesces            bool                  // identical embeddings inputs are computed once
+	CacheBytes           int                   // of cached embeddings; 0 disables the cache
+	SharesCache          bool                  // tenants may get each other's embeddings
 }
 
 // parsePool parses a section [pool NAME].
@@ -88,9 +88,9 @@
 	return slices.ContainsFunc(p.Models, func(model string) bool { return slices.Contains(other.Models, model) })
 }
 
-// largeWaitDivisor gives the default of large_wait as a part of the default class's objective. A
-// tenth leaves most of it to the requests behind the large ones.
-const largeWaitDivisor = 10
+// outstandingLargeWorkDivisor makes the default of large_wait a tenth of the default class's objective.
+// That leaves most of the objective to the requests that wait behind large ones.
+const outstandingLargeWorkDivisor = 10
 
 // parseDefaultClass parses the class of requests that name none, and large_wait, whose default
 // depends on it.
@@ -102,7 +102,7 @@
 		return
 	}
 	objective := c.Control.Classes[c.Classes[pool.DefaultClass].StreamIndex].TTFTObjective
-	pool.LargeWait = section.Duration("large_wait", objective/largeWaitDivisor, 0, time.Minute)
+	pool.OutstandingLargeWork = section.Duration("large_wait", objective/outstandingLargeWorkDivisor, 0, time.Minute)
 }
 
 // The fields of report and what they mean.
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -11,16 +11,16 @@
 // RequestRules configure how a request's header and body are decoded. Names of header fields are in
 // lower case.
 type RequestRules struct {
-	ClassHeader    string
-	SessionHeader  string
-	TenantHeader   string
-	DeadlineHeader string
-	Forward        []string // header fields that are forwarded to engines unchanged
-	OpenAI         openai.DecodeOptions
+	ClassHeader     string
+	SessionHeader   string
+	TenantHeader    string
+	DeadlineHeader  string
+	ForwardedFields []string // header fields that are forwarded to engines unchanged
+	OpenAI          openai.DecodeOptions
 }
 
-// defaultForward is the default of forward.
-var defaultForward = []string{"x-client-request-id", "traceparent", "tracestate", "baggage"}
+// defaultForwardedFields is the default of forward.
+var defaultForwardedFields = []string{"x-client-request-id", "traceparent", "tracestate", "baggage"}
 
 // neverForwarded are the header fields that describe one connection or are set by the router.
 var neverForwarded = []string{
@@ -31,11 +31,11 @@
 // parseRequest parses the section [request].
 func (c *Config) parseRequest(section *inifile.Section) {
 	c.Request = RequestRules{
-		ClassHeader:    strings.ToLower(section.Text("class_header", "x-request-class")),
-		SessionHeader:  strings.ToLower(section.Text("session_header", "x-session-id")),
-		TenantHeader:   strings.ToLower(section.Text("tenant_header", "x-tenant")),
-		DeadlineHeader: strings.ToLower(section.Text("deadline_header", "x-request-deadline-ms")),
-		Forward:        parseForward(section),
+		ClassHeader:     strings.ToLower(section.Text("class_header", "x-request-class")),
+		SessionHeader:   strings.ToLower(section.Text("session_header", "x-session-id")),
+		TenantHeader:    strings.ToLower(section.Text("tenant_header", "x-tenant")),
+		DeadlineHeader:  strings.ToLower(section.Text("deadline_header", "x-request-deadline-ms")),
+		ForwardedFields: parseForwardedFields(section),
 		OpenAI: openai.DecodeOptions{
 			BytesPerToken:    section.Float("bytes_per_token", 4, 0.1, 100),
 			PrefixMessages:   section.Int("prefix_messages", 1, 0, 100),
@@ -47,11 +47,11 @@
 	}
 }
 
-// parseForward parses the header fields that are forwarded.
-func parseForward(section *inifile.Section) []string {
+// parseForwardedFields parses the header fields that are forwarded.
+func parseForwardedFields(section *inifile.Section) []string {
 	names := section.List("forward")
 	if !section.Has("forward") {
-		return slices.Clone(defaultForward)
+		return slices.Clone(defaultForwardedFields)
 	}
 	var fields []string
 	for _, name := range names {
--- a/internal/config/tenant.go
+++ b/internal/config/tenant.go
@@ -13,7 +13,7 @@
 		return
 	}
 	tenant := control.Tenant{
-		RateLimit: section.Float("allowance", 0, 0, 1e9),
+		RateLimit: section.Float("allowance", 0, 0, maxRate),
 		Share:     section.Float("share", 1, 0, 1),
 	}
 	c.Tenants = append(c.Tenants, section.Name)
--- a/internal/openaiserver/admissionqueue.go
+++ b/internal/openaiserver/admissionqueue.go
@@ -20,7 +20,7 @@
 func newAdmissionQueue(p *pool) *admissionQueue {
 	settings := admission.Settings{
 		LargeTokens:     p.settings.LargeTokens,
-		OutstandingWork: p.settings.LargeWait,
+		OutstandingWork: p.settings.OutstandingLargeWork,
 		Routers:         p.config.Control.Identity.Routers,
 	}
 	q := &admissionQueue{
--- a/internal/openaiserver/clientconn.go
+++ b/internal/openaiserver/clientconn.go
@@ -54,7 +54,7 @@
 		return
 	}
 	request.forwarded = request.forwarded[:0]
-	for _, name := range rules.Forward {
+	for _, name := range rules.ForwardedFields {
 		value := head.Get(name)
 		if value != nil {
 			request.forwarded = http1.AppendField(request.forwarded, name, value)
