--- a/control/batching/batcher.go
+++ b/control/batching/batcher.go
@@ -54,10 +54,10 @@
 
 // sentBatch is a batch that has not ended.
 type sentBatch struct {
-	queue             *requestQueue
-	sentAt            control.Time
-	hadSeveralMembers bool              // when it was sent
-	requests          []*trackedRequest // not cancelled or expired since
+	queue              *requestQueue
+	sentAt             control.Time
+	hadSeveralRequests bool              // when it was sent
+	requests           []*trackedRequest // not cancelled or expired since
 }
 
 // trackedRequest is a request that waits or is in a batch.
@@ -156,7 +156,7 @@
 	var batches []Batch
 	stillWaiting := b.waitingQueues[:0]
 	for _, queue := range b.waitingQueues {
-		batches = b.sendDueOf(now, queue, batches)
+		batches = b.sendDueFrom(now, queue, batches)
 		queue.listed = len(queue.waiting) > 0
 		if queue.listed {
 			stillWaiting = append(stillWaiting, queue)
@@ -169,8 +169,8 @@
 	return batches
 }
 
-// sendDueOf appends the batches of one queue that are due.
-func (b *Batcher) sendDueOf(now control.Time, queue *requestQueue, batches []Batch) []Batch {
+// sendDueFrom appends the batches of one queue that are due.
+func (b *Batcher) sendDueFrom(now control.Time, queue *requestQueue, batches []Batch) []Batch {
 	ownEndpoints := max(b.readyEndpoints/b.settings.Routers, 1)
 	for len(queue.waiting) > 0 {
 		isFull := queue.waitingItems > b.settings.BatchItems || queue.waitingTokens > b.settings.BatchTokens
@@ -186,23 +186,23 @@
 	return batches
 }
 
-// send makes a batch of the requests at the front of a queue, as many as fit. It takes at least one and at most
+// send returns a batch of the requests at the front of a queue: as many as fit, but at least one and at most
 // maxRequests.
 func (b *Batcher) send(now control.Time, queue *requestQueue, maxRequests int) Batch {
 	requests := b.takeFitting(queue, maxRequests)
 	b.lastBatchID++
 	batch := Batch{ID: b.lastBatchID}
-	hasSeveralMembers := len(requests) > 1
+	hasSeveralRequests := len(requests) > 1
 	for _, request := range requests {
 		request.batch = batch.ID
 		batch.Requests = append(batch.Requests, request.ID)
 		batch.Deadline = max(batch.Deadline, request.Deadline)
-		if hasSeveralMembers { // the decision module enforces the deadline of a single one
+		if hasSeveralRequests { // the decision module enforces the deadline of a single one
 			b.deadlines.Push(request)
 		}
 	}
 	queue.outstandingBatches++
-	b.batches[batch.ID] = &sentBatch{queue: queue, sentAt: now, hadSeveralMembers: hasSeveralMembers, requests: requests}
+	b.batches[batch.ID] = &sentBatch{queue: queue, sentAt: now, hadSeveralRequests: hasSeveralRequests, requests: requests}
 	return batch
 }
 
@@ -257,7 +257,7 @@
 	if result.Outcome == outcome.Served {
 		b.meanDurationSeconds.Observe(now.Sub(batch.sentAt).Seconds(), durationAlpha)
 	}
-	completion := Completion{Handling: handlingOf(result, batch.hadSeveralMembers)}
+	completion := Completion{Handling: handlingOf(result, batch.hadSeveralRequests)}
 	for _, request := range batch.requests {
 		completion.Requests = append(completion.Requests, request.ID)
 		b.forgetRequest(request)
@@ -267,7 +267,7 @@
 }
 
 // handlingOf decides how the requests of a batch are handled after its end.
-func handlingOf(result BatchResult, hadSeveralMembers bool) FailureHandling {
+func handlingOf(result BatchResult, hadSeveralRequests bool) FailureHandling {
 	mayBeRequestFault := false
 	switch result.Outcome {
 	case outcome.Failed, outcome.InvalidRequest:
@@ -277,7 +277,7 @@
 	case outcome.Served:
 	}
 	switch {
-	case !mayBeRequestFault || !hadSeveralMembers || result.Attempts >= result.MaxAttempts:
+	case !mayBeRequestFault || !hadSeveralRequests || result.Attempts >= result.MaxAttempts:
 		return ShareResult
 	case result.LostConnections > 0:
 		return RetrySequentially
--- a/control/batching/sequentialretry.go
+++ b/control/batching/sequentialretry.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// SequentialRetry orders the retries of the requests of a batch that lost its engine. One of them may crash
-// engines, and would cost others their attempts if they shared an engine with it. So each retry waits for the
-// end of the one before, until one loses its engine again. That one is assumed to be the cause, and all others
-// are retried at once. The zero value has no requests and is ready for use.
+// SequentialRetry orders the retries of the requests of a batch that lost its engine. One of the requests may
+// crash engines, and others that run at the same engine would lose their attempts with it. So each retry waits
+// for the end of the one before, until one loses its engine again. That one is assumed to be the cause, and all
+// others are retried at once. The zero value has no requests and is ready for use.
 type SequentialRetry struct {
 	requests   []retriedRequest
 	causeFound bool
--- a/control/kvrelease/kvrelease.go
+++ b/control/kvrelease/kvrelease.go
@@ -18,7 +18,7 @@
 
 const (
 	// hedgeShare is the share of the retention limit that one engine may take before the next is
-	// called too.
+	// called too. It is small, so that several engines are called within the limit.
 	hedgeShare = 0.12
 	// callTimeoutShare is the share of the retention limit that a call may take. A call that takes
 	// longer has failed, and its engine is called last from then on.
