--- a/control/admission/queue.go
+++ b/control/admission/queue.go
@@ -82,22 +82,28 @@
 	if lateness := completion.Sub(request.Deadline); lateness >= 0 {
 		return Rejection{request.ID, max(lateness, pollInterval)}, true
 	}
+	q.add(added)
+	return Rejection{}, false
+}
+
+// add adds a request to its tenant's queue.
+func (q *Queue) add(added *queuedRequest) {
+	tenant := q.tenants[added.Tenant]
 	if tenant == nil {
 		q.forgetIdleTenants()
 		tenant = newTenantQueue(q.virtualTime, q.sequence)
-		q.tenants[request.Tenant] = tenant
+		q.tenants[added.Tenant] = tenant
 	}
 	tenant.startTag = max(tenant.startTag, q.virtualTime)
 	q.sequence++
 	added.tenant = tenant
-	q.requests[request.ID] = added
+	q.requests[added.ID] = added
 	tenant.requests.Push(added)
 	tenant.waitingTokens += added.waitingTokens
 	q.waitingTokens += added.waitingTokens
 	if !tenant.isWaiting() {
 		q.waitingTenants.Push(tenant)
 	}
-	return Rejection{}, false
 }
 
 // Complete records the end of an admitted unit. It has no effect for a unit that has already ended or was
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -240,7 +240,7 @@
 		case invariant.FinalAnswer:
 			rows[rowOfRequest[event.Request]][event.Result]++
 		default:
-			// Other events say nothing about how a request ended.
+			// Other events don't end a request.
 		}
 	}
 	return rows
--- a/internal/invariant/slowstart_test.go
+++ b/internal/invariant/slowstart_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// load returns requests at one engine, so many milliseconds apart.
+// load returns requests at one engine, with a fixed number of milliseconds between them.
 func load(count, interval int) (events []Event) {
 	for i := range count {
 		id := string(rune('a' + i))
