--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -23,6 +23,7 @@
 func TestEndpointChangesApplyInTheIterationOfTheirArrival(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
 	draining, other := h.engines[1], h.engines[2]
+	callsBefore := h.discovery.Calls()
 
 	// An engine drains by a message in two pieces.
 	h.revision = 5
@@ -49,12 +50,12 @@
 
 	// A malformed message, and the end of a watch, lead to a new one from the last revision.
 	h.discovery.Send("%%% no JSON\n")
-	h.waitFor("a new watch", func() bool { return h.discovery.Calls() == 2 })
-	if since := h.discovery.Since(2); since != "6" {
+	h.waitFor("a new watch", func() bool { return h.discovery.Calls() == callsBefore+1 })
+	if since := h.discovery.Since(callsBefore + 1); since != "6" {
 		t.Errorf("watch from revision %s", since)
 	}
 	h.discovery.CloseCalls()
-	h.waitFor("another watch", func() bool { return h.discovery.Calls() == 3 })
+	h.waitFor("another watch", func() bool { return h.discovery.Calls() == callsBefore+2 })
 
 	// Engines leave the list, and one returns.
 	h.notifyChange(draining.EntryInPhase(platformtest.Terminated), other.EntryInPhase(platformtest.Terminated))
@@ -69,6 +70,7 @@
 // the watch goes on.
 func TestWatchReadsIndentedListInPieces(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
+	callsBefore := h.discovery.Calls()
 	h.revision = 2
 	list := platformtest.CompleteList(h.revision, h.engines[0].Entry(), h.engines[1].EntryInPhase(platformtest.Terminating))
 	var indented bytes.Buffer
@@ -84,8 +86,8 @@
 	h.revision = 3
 	h.discovery.Send(h.completeList() + "\n")
 	h.waitUntilListApplied()
-	if n := h.discovery.Calls(); n != 1 {
-		t.Errorf("%d watches", n)
+	if n := h.discovery.Calls(); n != callsBefore {
+		t.Errorf("%d calls, %d before the lists", n, callsBefore)
 	}
 }
 
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -106,7 +106,8 @@
 	}
 	go func() { h.finished <- h.server.Run() }()
 	t.Cleanup(h.stop)
-	h.waitFor("the watch to be established", func() bool { return h.discovery.Calls() > 0 })
+	h.waitOnLoop("the watch to be established", func() bool { return h.server.discovery.watch != nil })
+	h.waitFor("the calls beside the watch to be closed", func() bool { return h.discovery.OpenCalls() == 1 })
 	return h
 }
 
--- a/internal/platform/platformtest/discovery.go
+++ b/internal/platform/platformtest/discovery.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -21,15 +22,16 @@
 	listener *enginetest.Listener
 
 	mu           sync.Mutex
-	calls        []discoveryCall
+	calls        []*discoveryCall
 	firstMessage string
 	script       func(conn net.Conn, call int) (isAnswered bool)
 }
 
 // discoveryCall is a call that discovery received.
 type discoveryCall struct {
-	conn net.Conn
-	head string
+	conn     net.Conn
+	head     string
+	hasEnded bool // the router has closed its connection
 }
 
 // StartDiscovery starts a discovery service that serves until the test ends, with the first message of each watch.
@@ -46,19 +48,23 @@
 	if err != nil {
 		return
 	}
-	d.answer(conn, head)
+	call := d.answer(conn, head)
 	enginetest.AwaitClose(reader)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	call.hasEnded = true
 }
 
-// answer answers a call by the script, or with the first message.
-func (d *Discovery) answer(conn net.Conn, head string) {
+// answer records a call and answers it by the script, or with the first message.
+func (d *Discovery) answer(conn net.Conn, head string) *discoveryCall {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls = append(d.calls, discoveryCall{conn: conn, head: head})
-	if d.script != nil && d.script(conn, len(d.calls)) {
-		return
+	call := &discoveryCall{conn: conn, head: head}
+	d.calls = append(d.calls, call)
+	if d.script == nil || !d.script(conn, len(d.calls)) {
+		_, _ = io.WriteString(conn, WatchHead+Chunk(d.firstMessage+"\n")) // a router that is gone watches again
 	}
-	_, _ = io.WriteString(conn, WatchHead+Chunk(d.firstMessage+"\n")) // a router that is gone watches again
+	return call
 }
 
 // SetFirstMessage sets the first message of the watches from now on.
@@ -76,8 +82,31 @@
 	d.script = script
 }
 
-// Send sends bytes on the latest watch, as one chunk.
-func (d *Discovery) Send(text string) { d.SendOn(d.Calls(), text) }
+// Send sends bytes on the latest call that the router has not closed, as one chunk. While the router has several calls
+// open, it may read another one of them: see OpenCalls.
+func (d *Discovery) Send(text string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, call := range slices.Backward(d.calls) {
+		if !call.hasEnded {
+			_, _ = io.WriteString(call.conn, Chunk(text)) // the router may be closing it
+			return
+		}
+	}
+}
+
+// OpenCalls returns how many calls the router has not closed. A router that waits long for an answer calls again; once one
+// call is answered, it closes the others.
+func (d *Discovery) OpenCalls() (count int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, call := range d.calls {
+		if !call.hasEnded {
+			count++
+		}
+	}
+	return count
+}
 
 // SendOn sends bytes on the watch of this number, from 1, as one chunk.
 func (d *Discovery) SendOn(call int, text string) {
@@ -86,7 +115,7 @@
 	_, _ = io.WriteString(d.calls[call-1].conn, Chunk(text)) // the router may have abandoned this watch
 }
 
-// SendHeartbeats sends an empty line on the latest watch at this interval, until the test ends.
+// SendHeartbeats sends an empty line at this interval, until the test ends.
 func (d *Discovery) SendHeartbeats(t *testing.T, interval time.Duration) {
 	t.Helper()
 	ticker := time.NewTicker(interval)
@@ -101,9 +130,7 @@
 			case <-ended:
 				return
 			case <-ticker.C:
-				if d.Calls() > 0 {
-					d.Send("\n")
-				}
+				d.Send("\n")
 			}
 		}
 	}()
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -19,7 +19,7 @@
 	h.waitForAttempts(1, h.engines[1])
 	next := startHarness(t, "r1").discovery // of another harness
 	next.SetFirstMessage(h.completeList())
-	callsBefore := next.Calls()
+	callsBefore, ownCallsBefore := next.Calls(), h.discovery.Calls()
 	text, err := os.ReadFile(h.configPath)
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 
 	h.server.Reload(h.getenv)
 	time.Sleep(3 * reloadRetryDelay / 2)
-	if next.Calls() != callsBefore || h.discovery.Calls() != 1 {
+	if next.Calls() != callsBefore || h.discovery.Calls() != ownCallsBefore {
 		t.Error("a torn file was applied")
 	}
 	h.config["discovery"] = next.Address()
