--- a/internal/openaiserver/clientconn.go
+++ b/internal/openaiserver/clientconn.go
@@ -124,13 +124,13 @@
 // ClientGone implements httpserver.Handler. It cancels the operation. A panic in an earlier call
 // may have left the connection without one.
 func (c *clientConn) ClientGone() {
-	client := c.exchange
-	if client == nil {
+	served := c.exchange
+	if served == nil {
 		return
 	}
 	c.server.counters.canceled++
-	client.detach()
-	client.operation.cancel()
+	served.detach()
+	served.operation.cancel()
 }
 
 // Closing implements httpserver.Handler.
@@ -147,12 +147,12 @@
 		c.conn.Abort()
 		return
 	}
-	client := c.exchange
-	x, isExchange := client.operation.(*exchange)
-	client.operation.cancel()
-	if isExchange && x.answerStarted {
-		client.abort("the router is shutting down")
+	served := c.exchange
+	operation, isExchange := served.operation.(*exchange)
+	served.operation.cancel()
+	if isExchange && operation.answerStarted {
+		served.abort("the router is shutting down")
 		return
 	}
-	client.respond(failure(c.server.requestIDs.next(), http.StatusBadGateway, "The router is shutting down. The request may have run."))
+	served.respond(failure(c.server.requestIDs.next(), http.StatusBadGateway, "The router is shutting down. The request may have run."))
 }
--- a/internal/openaiserver/response.go
+++ b/internal/openaiserver/response.go
@@ -18,11 +18,14 @@
 	errorTypeServer         = "server_error"
 )
 
-const (
-	contentTypeJSON   = "application/json"
-	responseHeadBytes = 256 // fits nearly every head, so that building one allocates once
-	retryAfterFull    = time.Second
-)
+const contentTypeJSON = "application/json"
+
+// responseHeadBytes is the initial capacity of a response's head. Nearly every head fits, so that building one allocates
+// once.
+const responseHeadBytes = 256
+
+// retryAfterFull is the Retry-After of a rejection because of the server's own bounds.
+const retryAfterFull = time.Second
 
 // appendResponseHead returns the beginning of a response's head, without the fields that frame its
 // body.
