--- a/internal/demo/plannedrequest.go
+++ b/internal/demo/plannedrequest.go
@@ -1,22 +1,15 @@
 package demo
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"strings"
 	"time"
-
-	"martenlock/internal/openai"
 )
 
 const (
 	sessionCount       = 200                    // sessions of chat and completions
-	systemPromptCount  = 8                      // system prompts, which sessions share as prefixes
-	systemPromptTokens = 60                     // length of each after its first sentence
 	maxDisconnectDelay = 400 * time.Millisecond // longest wait of a client that disconnects early
 	minDeadlineShare   = 0.5                    // least deadline of a client, as a share of its load's
-	rerankTopN         = 2                      // documents in the answer to a rerank request
 )
 
 // plannedRequest is a request of a scenario.
@@ -91,106 +84,3 @@
 	}
 	return request
 }
-
-// path returns the path of the request's operation.
-func (r *plannedRequest) path() string {
-	switch r.load.API {
-	case openai.Chat:
-		return "/v1/chat/completions"
-	case openai.Completions:
-		return "/v1/completions"
-	case openai.Embeddings:
-		return "/v1/embeddings"
-	default:
-		return "/v1/rerank"
-	}
-}
-
-// The bodies of requests. Their fields are in alphabetical order.
-type (
-	chatMessage struct {
-		Content string `json:"content"`
-		Role    string `json:"role"`
-	}
-	chatBody struct {
-		MaxTokens      int           `json:"max_tokens"`
-		Messages       []chatMessage `json:"messages"`
-		Model          string        `json:"model"`
-		PromptCacheKey string        `json:"prompt_cache_key"`
-		Stream         bool          `json:"stream,omitempty"`
-	}
-	completionsBody struct {
-		MaxTokens int    `json:"max_tokens"`
-		Model     string `json:"model"`
-		Prompt    string `json:"prompt"`
-		Stream    bool   `json:"stream,omitempty"`
-		User      string `json:"user"`
-	}
-	embeddingsBody struct {
-		Input  []string `json:"input"`
-		Model  string   `json:"model"`
-		Stream bool     `json:"stream,omitempty"`
-	}
-	rerankBody struct {
-		Documents []string `json:"documents"`
-		Model     string   `json:"model"`
-		Query     string   `json:"query"`
-		Stream    bool     `json:"stream,omitempty"`
-		TopN      int      `json:"top_n"`
-	}
-)
-
-// body returns the JSON body of the request.
-func (r *plannedRequest) body() ([]byte, error) {
-	switch r.load.API {
-	case openai.Chat:
-		return json.Marshal(r.chatBody())
-	case openai.Completions:
-		return json.Marshal(completionsBody{
-			MaxTokens: r.load.AnswerTokens,
-			Model:     "demo-chat",
-			Prompt:    r.id + " " + textOfTokens(r.promptTokens),
-			Stream:    r.wantsStream,
-			User:      fmt.Sprint(r.session),
-		})
-	case openai.Embeddings:
-		return json.Marshal(r.embeddingsBody())
-	default:
-		return json.Marshal(r.rerankBody())
-	}
-}
-
-// chatBody returns a conversation. Other sessions share its system prompt.
-func (r *plannedRequest) chatBody() chatBody {
-	system := fmt.Sprintf("You answer for depot %d. ", r.session%systemPromptCount) + textOfTokens(systemPromptTokens)
-	user := r.id + " " + textOfTokens(r.promptTokens)
-	return chatBody{
-		MaxTokens:      r.load.AnswerTokens,
-		Messages:       []chatMessage{{Role: "system", Content: system}, {Role: "user", Content: user}},
-		Model:          "demo-chat",
-		PromptCacheKey: fmt.Sprint(r.session),
-		Stream:         r.wantsStream,
-	}
-}
-
-// embeddingsBody divides the prompt among the inputs. All inputs differ.
-func (r *plannedRequest) embeddingsBody() embeddingsBody {
-	body := embeddingsBody{Model: "demo-embed", Stream: r.wantsStream}
-	for i := range r.load.Items {
-		input := fmt.Sprintf("%s/%d %s", r.id, i, textOfTokens(r.promptTokens/r.load.Items))
-		body.Input = append(body.Input, input)
-	}
-	return body
-}
-
-// rerankBody divides the prompt among the documents.
-func (r *plannedRequest) rerankBody() rerankBody {
-	body := rerankBody{Model: "demo-rerank", Query: r.id, Stream: r.wantsStream, TopN: rerankTopN}
-	for range r.load.Items {
-		body.Documents = append(body.Documents, textOfTokens(r.promptTokens/r.load.Items+1))
-	}
-	return body
-}
-
-// textOfTokens returns a text that the fake engines count as the given number of tokens.
-func textOfTokens(tokens int) string { return strings.Repeat("ice ", tokens) }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -115,13 +115,6 @@
 	running.Wait()
 }
 
-// embeddingsBody is the body of an embeddings request.
-type embeddingsBody struct {
-	EncodingFormat string   `json:"encoding_format"`
-	Input          []string `json:"input"`
-	Model          string   `json:"model"`
-}
-
 // inputTagTokens is about the number of tokens of the tag that makes an input unique.
 const inputTagTokens = 3
 
@@ -131,28 +124,13 @@
 	for i := range list {
 		list[i] = fmt.Sprintf("%s/%d ", id, i) + strings.Repeat("ice ", max(tokens-inputTagTokens, 0))
 	}
-	body, err := json.Marshal(embeddingsBody{EncodingFormat: "base64", Input: list, Model: "m"})
+	body, err := json.Marshal(demo.EmbeddingsBody{EncodingFormat: "base64", Input: list, Model: "m"})
 	if err != nil {
 		return false
 	}
 	return l.send("/v1/embeddings", class, body, due)
 }
 
-// The body of a chat request.
-type (
-	chatMessage struct {
-		Content string `json:"content"`
-		Role    string `json:"role"`
-	}
-	chatBody struct {
-		MaxTokens      int           `json:"max_tokens"`
-		Messages       []chatMessage `json:"messages"`
-		Model          string        `json:"model"`
-		PromptCacheKey string        `json:"prompt_cache_key"`
-		Stream         bool          `json:"stream"`
-	}
-)
-
 // The sizes of chat requests.
 const (
 	chatSessions     = 100
@@ -163,9 +141,9 @@
 // sendChat sends a chat request with a streamed answer.
 func (l *load) sendChat(number int, due time.Time) bool {
 	prompt := fmt.Sprint(number) + strings.Repeat(" ice", chatPromptTokens)
-	body, err := json.Marshal(chatBody{
+	body, err := json.Marshal(demo.ChatBody{
 		MaxTokens:      chatAnswerTokens,
-		Messages:       []chatMessage{{Content: prompt, Role: "user"}},
+		Messages:       []demo.ChatMessage{{Content: prompt, Role: "user"}},
 		Model:          "m",
 		PromptCacheKey: fmt.Sprint(number % chatSessions),
 		Stream:         true,
