--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -26,7 +26,7 @@
 	}
 	c.handler = discard{}
 	c.in.reading = readActive
-	c.dropInput()
+	c.discardInput()
 	c.markPending()
 }
 
@@ -44,12 +44,12 @@
 	if !c.state.closing() {
 		return
 	}
-	isSent := c.out.unsent == 0
-	if isSent && (!c.lingers || c.in.peer == peerEOFRead) {
+	allSent := c.out.unsent == 0
+	if allSent && (!c.lingers || c.in.peer == peerEOFRead) {
 		c.release()
 		return
 	}
-	if isSent && c.state == connClosing {
+	if allSent && c.state == connClosing {
 		c.state = connAwaitingPeer
 		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // it fails only if the peer has reset the connection, which epoll reports
 	}
@@ -72,7 +72,7 @@
 // send later in this iteration.
 func (c *Conn) ShutdownAndAbort() {
 	if !c.IsClosed() {
-		_ = unix.Shutdown(c.fd, unix.SHUT_RDWR) // it fails only if the connection is not established: there is no end to see
+		_ = unix.Shutdown(c.fd, unix.SHUT_RDWR) // it fails only if the connection is not established, and then the peer has nothing to see
 	}
 	c.Abort()
 }
@@ -86,7 +86,7 @@
 // resetOnClose makes the kernel send a reset when the descriptor is closed.
 func (c *Conn) resetOnClose() {
 	if !c.IsClosed() {
-		// On a TCP socket it does not fail. If it did, the peer would see an end in place of a reset.
+		// This does not fail on a TCP socket. If it did, the peer would see an orderly close.
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 }
@@ -109,7 +109,7 @@
 	c.state = connClosed
 	c.releaseDescriptor()
 	c.out.discardAll(&c.loop.buffers)
-	c.dropInput()
+	c.discardInput()
 	if c.closeTimer != nil {
 		c.loop.StopTimer(c.closeTimer)
 	}
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -7,7 +7,7 @@
 	// accepted connections.
 	Opened(c *Conn)
 	// Data receives all bytes that have arrived and were not consumed before. It returns how many it
-	// consumes; the rest is passed again with the bytes that follow. The slice is valid during the
+	// consumes. The rest is passed again, with the bytes that follow. The slice is valid during the
 	// call only.
 	Data(c *Conn, b []byte) int
 	// EOF is called when the peer has ended its half. Output can still be written. If reading is
@@ -17,7 +17,7 @@
 	// high-water mark.
 	Writable(c *Conn)
 	// Closed is the last call. err is what closed the connection. It is not called if this side closed
-	// it, by Close, Abort or Reset.
+	// it, by a method such as Close, Abort or Reset.
 	Closed(c *Conn, err error)
 }
 
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -30,7 +30,7 @@
 	reading       readState
 	peer          peerState
 	redeliveryDue bool // unconsumed must be delivered again, after a pause
-	// deliverBeforeReset is set if bytes that arrived before a reset must be delivered first.
+	// deliverBeforeReset is set if unread bytes must be delivered before a reset is reported.
 	deliverBeforeReset bool
 	// unwatched is set while epoll does not watch the descriptor. The peer has reset the connection,
 	// and deliverBeforeReset holds its end back until Resume.
@@ -191,7 +191,7 @@
 }
 
 // deliver passes all unconsumed bytes to the handler. The handler may close the connection, which
-// returns its buffers. So the buffer is not the connection's during the call.
+// returns its buffers to the pool. So the connection does not hold this buffer during the call.
 func (c *Conn) deliver() {
 	unconsumed := c.in.unconsumed
 	c.in.unconsumed = nil
@@ -221,8 +221,8 @@
 // keepsInput reports whether the handler may still get input that it did not consume.
 func (c *Conn) keepsInput() bool { return !c.IsClosed() && !c.state.closing() }
 
-// dropInput discards the unconsumed bytes.
-func (c *Conn) dropInput() {
+// discardInput discards the unconsumed bytes.
+func (c *Conn) discardInput() {
 	c.loop.buffers.put(c.in.unconsumed)
 	c.in.unconsumed = nil
 	c.in.redeliveryDue = false
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -41,8 +41,8 @@
 	state      listenerState
 	retryTimer timerwheel.Timer // runs while the listener is starved of descriptors
 	open       int
-	// MaxOpen bounds the listener's open connections. Further ones wait in the kernel's backlog. 0
-	// sets no bound.
+	// MaxOpen bounds the listener's open connections. Further ones wait in the kernel's backlog. At 0
+	// there is no bound.
 	MaxOpen int
 }
 
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("eventloop: listen %s: %w", addr, err)
 	}
 	ln := &Listener{loop: l, fd: fd, addr: bound, accept: accept}
-	ln.retryTimer.Fire = ln.retry
+	ln.retryTimer.Fire = ln.resume
 	l.sources[fd] = ln
 	return ln, nil
 }
@@ -116,7 +116,7 @@
 	ln.loop.StopTimer(&ln.retryTimer)
 	delete(ln.loop.starved, ln)
 	delete(ln.loop.sources, ln.fd)
-	closeDescriptor(ln.fd) // now: a client must not wait in a backlog that is not accepted from
+	closeDescriptor(ln.fd) // at once, as nothing accepts from the backlog any more
 }
 
 // watch sets the events that the listener waits for. 0 pauses it.
@@ -193,8 +193,8 @@
 	ln.loop.StartTimer(&ln.retryTimer, starvedRetryDelay)
 }
 
-// retry ends the pause that starve began.
-func (ln *Listener) retry() {
+// resume ends the pause that starve began. The listener may find no descriptor again.
+func (ln *Listener) resume() {
 	delete(ln.loop.starved, ln)
 	ln.watch(unix.EPOLLIN)
 }
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -53,7 +53,7 @@
 		return
 	}
 	c.out.append(&c.loop.buffers, b)
-	c.written()
+	c.outputGrew()
 }
 
 // WriteRef buffers b without a copy. b belongs to the connection from now on and must not change.
@@ -65,11 +65,11 @@
 		c.out.segments = append(c.out.segments, segment{unsent: b})
 		c.out.unsent += len(b)
 	}
-	c.written()
+	c.outputGrew()
 }
 
-// written follows each growth of the output.
-func (c *Conn) written() {
+// outputGrew is called after each growth of the output. The output is sent at the end of the iteration.
+func (c *Conn) outputGrew() {
 	c.out.writableDue = c.out.writableDue || c.AboveHighWaterMark()
 	c.markPending()
 }
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -40,11 +40,11 @@
 	return nil
 }
 
-// wait begins an iteration: it waits for events and reads the clock. It returns the number of
-// events. previous is that of the iteration before.
-func (l *Loop) wait(events []unix.EpollEvent, previous int) (int, error) {
+// wait begins an iteration. It waits for events, reads the clock and returns the number of events.
+// previousEvents is the number of the iteration before.
+func (l *Loop) wait(events []unix.EpollEvent, previousEvents int) (int, error) {
 	n := 0
-	if previous > 1 { // on a busy loop more has most likely arrived, and a poll is cheaper than a wait
+	if previousEvents > 1 { // on a busy loop more has most likely arrived, and a poll is cheaper than a wait
 		n, _ = l.poller.poll(events)
 	}
 	if n == 0 {
@@ -165,11 +165,10 @@
 	c.flushPending()
 }
 
-// resumeStarved makes the listeners accept again that waited for a free descriptor.
+// resumeStarved makes listeners that waited for a free descriptor accept again.
 func (l *Loop) resumeStarved() {
 	for ln := range l.starved {
-		delete(l.starved, ln)
-		ln.watch(unix.EPOLLIN)
+		ln.resume()
 	}
 }
 
