--- a/internal/http1/chars.go
+++ b/internal/http1/chars.go
@@ -1,13 +1,17 @@
 package http1
 
-// equalFold reports whether ASCII text equals lower, which is in lower case, without regard to case.
+// caseBit is the bit that makes an ASCII letter lower case.
+const caseBit = 0x20
+
+// equalFold reports whether ASCII text equals lower, whatever the case of its letters. lower must be
+// in lower case.
 func equalFold(text []byte, lower string) bool {
 	if len(text) != len(lower) {
 		return false
 	}
 	for i, c := range text {
 		if 'A' <= c && c <= 'Z' {
-			c |= 0x20
+			c |= caseBit
 		}
 		if c != lower[i] {
 			return false
@@ -20,7 +24,7 @@
 
 // hexDigit returns the value of a hexadecimal digit, or -1.
 func hexDigit(c byte) int {
-	lower := c | 0x20
+	lower := c | caseBit
 	switch {
 	case isDigit(c):
 		return int(c - '0')
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -117,6 +117,8 @@
 
 // Offsets in a status line such as "HTTP/1.1 200 OK" (RFC 9112, section 4), and in an HTTP version.
 const (
+	majorVersionAt = len("HTTP/")
+	versionDotAt   = len("HTTP/1")
 	minorVersionAt = len("HTTP/1.")
 	versionEnd     = len("HTTP/1.1")
 	statusCodeAt   = len("HTTP/1.1 ")
@@ -187,9 +189,9 @@
 	if len(version) != versionEnd || !bytes.HasPrefix(version, []byte("HTTP/")) {
 		return 0, malformed("malformed HTTP version")
 	}
-	majorDigit := version[minorVersionAt-2]
+	majorDigit := version[majorVersionAt]
 	minorDigit := version[minorVersionAt]
-	if !isDigit(majorDigit) || version[minorVersionAt-1] != '.' || !isDigit(minorDigit) {
+	if !isDigit(majorDigit) || version[versionDotAt] != '.' || !isDigit(minorDigit) {
 		return 0, malformed("malformed HTTP version")
 	}
 	if majorDigit != '1' || minorDigit > '1' {
@@ -198,9 +200,9 @@
 	return int(minorDigit - '0'), nil
 }
 
-// parseField splits a header line into name and value. In a response it accepts control characters
-// in a value except CR, LF and NUL, as RFC 9110, section 5.5, allows. An engine's response must not be
-// lost to a field that nobody needs.
+// parseField splits a header line into name and value. The line must not be empty. In a response it
+// accepts control characters in a value except CR, LF and NUL, as RFC 9110, section 5.5, allows. An
+// engine's response must not be lost to a field that nobody needs.
 func parseField(line []byte, isResponse bool) (Field, *Error) {
 	if isWhitespace(line[0]) {
 		return Field{}, malformed("folded header line")
