--- a/internal/httpserver/close.go
+++ b/internal/httpserver/close.go
@@ -1,7 +1,5 @@
 package httpserver
 
-// This file closes connections.
-
 // handleTimeout closes the connection after too long a time in its state. An incomplete request
 // gets a response first.
 func (c *Conn) handleTimeout() {
@@ -66,7 +64,7 @@
 	c.markClosed()
 }
 
-// markClosed forgets a connection that was closed.
+// markClosed releases what a closed connection holds and removes it from its Conns.
 func (c *Conn) markClosed() {
 	c.state = Closed
 	c.conns.loop.StopTimer(&c.stateTimer)
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -143,7 +143,8 @@
 	c.handler.Writable()
 }
 
-// startReceiving processes the first byte of a request.
+// startReceiving is called at the first byte of a request. If FirstRequestTimeout bounds the first
+// request, the timer that Conns.Add started goes on.
 func (c *Conn) startReceiving() {
 	c.state = Receiving
 	c.conns.idle.MarkBusy(c)
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -9,8 +9,12 @@
 var crlf = []byte("\r\n")
 
 const (
-	chunkSizeBytes   = 20       // hexadecimal digits of any int, and the line's end
-	writeByReference = 16 << 10 // bytes of a body; longer ones are not copied
+	// maxChunkSizeLine is the size in bytes of the longest line that begins a chunk: the hexadecimal
+	// digits of an int64 and CRLF.
+	maxChunkSizeLine = 16 + 2
+	// maxCopiedBody is the size in bytes up to which a body is copied behind its head, so that one
+	// buffer and one system call send both. Larger bodies are sent without a copy.
+	maxCopiedBody = 16 << 10
 )
 
 // Framing is how a client learns where the body of a response ends.
@@ -48,7 +52,7 @@
 	c.conn.Write(http1.AppendContentLength(head, len(body)))
 	switch {
 	case c.isHead:
-	case len(body) > writeByReference:
+	case len(body) > maxCopiedBody:
 		c.conn.WriteRef(body)
 	default:
 		c.conn.Write(body)
@@ -88,12 +92,13 @@
 // WriteHead writes the head of a response whose body comes in pieces.
 func (c *Conn) WriteHead(head []byte) { c.conn.Write(head) }
 
-// WriteBody writes a piece of the body, and reports whether the handler must pause since the client
-// is slow to take it. Handler.Writable is called when it can continue. If the client takes nothing
-// for Options.WriteStallTimeout, the connection is aborted.
+// WriteBody writes a piece of the body, which must not be empty: an empty chunk would end the body.
+// It reports whether the handler must pause, as the client is slow to take the response.
+// Handler.Writable is called when the handler can continue. If the client takes nothing for
+// Options.WriteStallTimeout, the connection is aborted.
 func (c *Conn) WriteBody(data []byte) (mustPause bool) {
 	if c.framing == Chunked {
-		var size [chunkSizeBytes]byte
+		var size [maxChunkSizeLine]byte
 		c.conn.Write(append(strconv.AppendInt(size[:0], int64(len(data)), 16), crlf...))
 		c.conn.Write(data)
 		c.conn.Write(crlf)
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Budget counts the connections of all pools that share it and closes the longest idle one where a
+// Budget counts the connections of all pools that share it and closes the longest idle one when a
 // new one needs its place. The zero Budget is ready for use.
 type Budget struct {
 	open int
@@ -14,8 +14,8 @@
 // Open returns the number of connections, idle ones included.
 func (b *Budget) Open() int { return b.open }
 
-// ensureCapacity reports whether one more connection is within maxTotal; 0 sets no bound. It
-// closes idle connections, longest idle first, as far as that is needed.
+// ensureCapacity reports whether one more connection is within maxTotal. If necessary, it closes idle
+// connections, longest idle first. A maxTotal of 0 sets no bound.
 func (b *Budget) ensureCapacity(maxTotal int) bool {
 	for maxTotal > 0 && b.open >= maxTotal && len(b.idle) > 0 {
 		longestIdle := b.idle[0]
@@ -27,13 +27,17 @@
 	return maxTotal == 0 || b.open < maxTotal
 }
 
-// maxEntriesPerConn bounds the entries of Budget.idle, stale ones included, for each open
-// connection. It is above 1 so that stale entries are removed in bulk.
-const maxEntriesPerConn = 4
+// The bound on the entries of Budget.idle, stale ones included, is
+// maxEntriesPerConn*open + extraEntries. It is well above the number of connections, so that stale
+// entries are removed in bulk.
+const (
+	maxEntriesPerConn = 4
+	extraEntries      = 16 // so that a few connections do not cause a removal every few requests
+)
 
 // addIdle records that a connection has become idle.
 func (b *Budget) addIdle(c *Conn) {
-	if len(b.idle) > maxEntriesPerConn*(b.open+maxEntriesPerConn) {
+	if len(b.idle) > maxEntriesPerConn*b.open+extraEntries {
 		b.removeStale(c)
 	}
 	b.idle = append(b.idle, c)
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -13,7 +13,7 @@
 	CloseNotReusable // not_reusable
 	// CloseIdleTimeout is the end of Options.IdleTimeout.
 	CloseIdleTimeout // idle_timeout
-	// CloseEvicted closes the longest idle connection where a new one needed its place.
+	// CloseEvicted closes the longest idle connection when a new one needs its place.
 	CloseEvicted // evicted
 	// CloseDelisted closes an idle connection whose engine left the endpoint list or restarted.
 	CloseDelisted // delisted
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -70,8 +70,9 @@
 	return c.established && c.conn.UnsentBytes() == 0 && c.conn.UnsentAtClose() == 0
 }
 
-// SendWithin closes the connection if the request's last byte has not left this process within d;
-// the handler then gets Failed. A d of 0 or less sets no bound, and an earlier bound stays.
+// SendWithin closes the connection if the request's last byte has not left this process within d. The
+// handler then gets Failed. A d of 0 or less sets no bound. If a bound is set already, the one that
+// ends first counts.
 func (c *Conn) SendWithin(d time.Duration) {
 	if d <= 0 {
 		return
@@ -123,8 +124,8 @@
 	c.close(reason)
 }
 
-// fail closes the connection and calls Failed on its handler, if there is one. malformed is what
-// was wrong with the response, if anything.
+// fail closes the connection and calls Failed on its handler, if there is one. malformed is
+// ConnError.Malformed.
 func (c *Conn) fail(reason CloseReason, malformed string) {
 	err := ConnError{
 		Established:      c.established,
--- a/internal/upstream/handler.go
+++ b/internal/upstream/handler.go
@@ -2,8 +2,8 @@
 
 import "martenlock/internal/http1"
 
-// ResponseHandler receives the response to one request. Its last call is either Complete or Failed;
-// after Conn.Abort no call follows. Until then the Conn belongs to the caller of Pool.Start.
+// ResponseHandler receives the response to one request. Its last call is either Complete or Failed,
+// unless Conn.Abort ends the calls before. Until then the Conn belongs to the caller of Pool.Start.
 type ResponseHandler interface {
 	// Connected is called when the connection starts to send the request. The engine may execute it
 	// from now on.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -36,10 +36,10 @@
 // ConnsMade returns the number of connections started so far, failed ones included.
 func (p *Pool) ConnsMade() int { return p.connsMade }
 
-// Start sends a request over an idle or a new connection. The caller may reuse head once Start
-// and, on a new connection, ResponseHandler.Connected have returned. body belongs to the connection
-// and must not change. notIdempotent is set if the request must not be retried once it may have
-// been executed. The error wraps ErrNoConn; handler gets no call then.
+// Start sends a request over an idle or a new connection. head must not change until
+// ResponseHandler.Connected has returned or the request has ended. body belongs to the connection and
+// must not change. notIdempotent is set if the request must not be retried once it may have been
+// executed. An error wraps ErrNoConn. After an error handler gets no call.
 func (p *Pool) Start(handler ResponseHandler, head, body []byte, notIdempotent bool) (*Conn, error) {
 	c := p.takeIdle(notIdempotent)
 	if c == nil {
