--- a/internal/platform/platformtest/discovery.go
+++ b/internal/platform/platformtest/discovery.go
@@ -17,7 +17,8 @@
 // WatchHead begins the response to a watch.
 const WatchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// Discovery is the discovery service on a loopback port. It answers each call with a first message and holds it open.
+// Discovery is the discovery service on a loopback port. It answers each call with a first message and keeps the
+// call open.
 type Discovery struct {
 	listener *enginetest.Listener
 
@@ -74,8 +75,8 @@
 	d.firstMessage = message
 }
 
-// SetScript sets how the calls from now on are answered: script answers a call, which it is given with its number from 1,
-// or reports that it doesn't; then the call gets the first message.
+// SetScript sets how calls are answered from now on. script gets a call's connection and its number, counted from 1, and
+// reports whether it answered. A call that it did not answer gets the first message.
 func (d *Discovery) SetScript(script func(conn net.Conn, call int) (isAnswered bool)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,7 +155,8 @@
 	return heads
 }
 
-// Since returns the revision from which the call of this number, from 1, asks for changes; "" if it names none.
+// Since returns the revision from which the call of this number, from 1, asks for changes, or "" if it
+// names none.
 func (d *Discovery) Since(call int) string {
 	request, err := http.ReadRequest(bufio.NewReader(strings.NewReader(d.RequestHeads()[call-1])))
 	if err != nil {
@@ -172,7 +174,7 @@
 	}
 }
 
-// Close has discovery refuse new calls.
+// Close makes discovery refuse new calls.
 func (d *Discovery) Close() { d.listener.Close() }
 
 // Address returns the address on which discovery listens.
--- a/internal/platform/platformtest/engine.go
+++ b/internal/platform/platformtest/engine.go
@@ -34,15 +34,15 @@
 type Engine struct {
 	server     *enginetest.Engine
 	ID, Flavor string
-	// ListedAddress is the address in the endpoint list; the engine's own if empty.
+	// ListedAddress is the address in the endpoint list. If it is empty, the list has the engine's own.
 	ListedAddress string
 
 	mu                 sync.Mutex
 	onRequest, onClose func(*Request)
 }
 
-// Observe has onRequest called for each request before its script, and onClose when the router has ended the connection of
-// a request whose script awaits that. Either may be nil. They are called on the goroutine of the connection.
+// Observe sets functions that are called on the goroutine of a connection. onRequest is called for each request before its
+// script. onClose is called when Request.AwaitClose has seen the end of the connection. Either may be nil.
 func (e *Engine) Observe(onRequest, onClose func(*Request)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,7 +83,7 @@
 // Address returns the address on which the engine listens.
 func (e *Engine) Address() string { return e.server.Addr().String() }
 
-// Close has the engine refuse new connections.
+// Close makes the engine refuse new connections.
 func (e *Engine) Close() { e.server.Close() }
 
 // Accepted returns how many connections the engine has accepted.
@@ -115,15 +115,15 @@
 
 // Roles of engines.
 const (
-	Prefill = "prefill"
-	Decode  = "decode"
-	Mixed   = "mixed"
+	Prefill   = "prefill"
+	Decode    = "decode"
+	Colocated = "mixed" // the word in the golden transcripts
 )
 
 var roleByFlavor = map[string]string{
 	"r1": Prefill, "x9": Prefill, "intake": Prefill, "desk": Prefill,
 	"w1": Decode, "y9": Decode, "speaker": Decode, "reader-aloud": Decode,
-	"m1": Mixed,
+	"m1": Colocated,
 }
 
 // Role returns the role of the engine's flavor.
--- a/internal/platform/platformtest/protocol.go
+++ b/internal/platform/platformtest/protocol.go
@@ -56,7 +56,7 @@
 	Body       string
 }
 
-// Text returns the request's bytes. Edits are pairs of a text in them and what replaces its first occurrence.
+// Text returns the request's bytes. edits come in pairs: a text in the request, and what replaces its first occurrence.
 func (r ChatRequest) Text(tb testing.TB, edits ...string) string {
 	tb.Helper()
 	text := fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: api.internal\r\nContent-Type: application/json\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\n"+
