--- a/internal/decisionloop/exchanges.go
+++ b/internal/decisionloop/exchanges.go
@@ -34,7 +34,7 @@
 // stays must be marked again later. The caller makes sure that the module was notified of the ends.
 func (e *Exchanges[X]) RemoveEnded(isRemovable func(X) bool) {
 	for _, id := range e.ended {
-		if exchange, isHeld := e.ByID[id]; isHeld && isRemovable(exchange) {
+		if exchange, isPresent := e.ByID[id]; isPresent && isRemovable(exchange) {
 			delete(e.ByID, id)
 		}
 	}
--- a/internal/decisionloop/mailbox.go
+++ b/internal/decisionloop/mailbox.go
@@ -45,7 +45,7 @@
 	EndpointName func(id control.EndpointID) string
 
 	events         []control.Event
-	spare          []control.Event // an empty buffer that takes turns with events
+	spare          []control.Event // an empty buffer that replaces events while those are handled
 	pollScheduled  bool            // Poll runs at the end of this iteration
 	timersDisabled bool
 }
--- a/internal/enginecall/call.go
+++ b/internal/enginecall/call.go
@@ -68,7 +68,7 @@
 	ended  bool
 }
 
-// handleTimeout abandons the call.
+// handleTimeout ends a call whose response is not complete in time.
 func (c *runningCall) handleTimeout() {
 	c.finish(Result{Outcome: TimedOut, WrittenBeforeTimeout: c.conn == nil || c.conn.RequestWritten()})
 }
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -22,7 +22,7 @@
 	ResumesStreams    bool          // clients may resume a truncated stream
 }
 
-// Error is an unusable key of the settings object.
+// Error reports an unusable key of the settings object.
 type Error struct {
 	Key string // path of the key, such as "FamilyInfo.KindRole"; empty for the object as a whole
 	Err error  // an *UnknownValueError, or the error of the JSON decoder
@@ -39,7 +39,7 @@
 // Unwrap returns Err.
 func (e *Error) Unwrap() error { return e.Err }
 
-// UnknownValueError is an unknown name of an enumerated value.
+// UnknownValueError reports an unknown name of an enumerated value.
 type UnknownValueError struct {
 	Kind string // what the value stands for, such as "role"
 	Name string
