--- a/internal/openaiserver/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -22,9 +22,9 @@
 	conn       *upstream.Conn // nil until assigned and after the response has ended
 	startedAt  time.Duration
 
-	state             decisionloop.AttemptState
-	answerTimeout     timerwheel.Timer // bounds the time until the answer starts
-	streamIdleTimeout timerwheel.Timer // bounds the time between two pieces of a streamed answer
+	state           decisionloop.AttemptState
+	answerTimeout   timerwheel.Timer // bounds the time until the answer starts
+	streamIdleTimer timerwheel.Timer // bounds the time between two pieces of a streamed answer
 
 	isConnected   bool // the connection was established: the engine may execute the request
 	status        int
@@ -98,7 +98,7 @@
 	a.state = decisionloop.AttemptEnded
 	loop := a.exchange.pool.server.loop
 	loop.StopTimer(&a.answerTimeout)
-	loop.StopTimer(&a.streamIdleTimeout)
+	loop.StopTimer(&a.streamIdleTimer)
 	if a.conn != nil {
 		a.conn.Abort()
 		a.conn = nil
--- a/internal/openaiserver/attemptstream.go
+++ b/internal/openaiserver/attemptstream.go
@@ -29,7 +29,7 @@
 			requestID:   exchange.requestID,
 			length:      a.contentLength,
 		})
-		a.streamIdleTimeout.Fire = func() { a.finish(control.TimedOut, true) }
+		a.streamIdleTimer.Fire = func() { a.finish(control.TimedOut, true) }
 	}
 	buffered := a.buffered
 	a.discardBuffered()
@@ -53,7 +53,7 @@
 	mustPause := exchange.client.write(data)
 	if mustPause {
 		a.conn.Pause()
-		exchange.pool.server.loop.StopTimer(&a.streamIdleTimeout)
+		exchange.pool.server.loop.StopTimer(&a.streamIdleTimer)
 		return
 	}
 	a.restartStreamIdleTimeout()
@@ -68,5 +68,5 @@
 // restartStreamIdleTimeout bounds the time until the next piece of the answer.
 func (a *attempt) restartStreamIdleTimeout() {
 	server := a.exchange.pool.server
-	server.loop.StartTimer(&a.streamIdleTimeout, server.config.Limits.StreamIdleTimeout)
+	server.loop.StartTimer(&a.streamIdleTimer, server.config.Limits.StreamIdleTimeout)
 }
--- a/internal/openaiserver/pool.go
+++ b/internal/openaiserver/pool.go
@@ -168,7 +168,7 @@
 			State:     endpoint.State,
 			Kind:      kind,
 			Weight:    endpoint.Weight,
-			StartedAt: s.routerTime(endpoint.StartedAt),
+			StartedAt: s.controlTime(endpoint.StartedAt),
 			Zone:      s.topology.zone(endpoint.Zone),
 			Cell:      s.topology.cell(endpoint.Zone, endpoint.Cell),
 		})
--- a/internal/openaiserver/server.go
+++ b/internal/openaiserver/server.go
@@ -108,9 +108,9 @@
 // now returns the present time on the decision module's clock.
 func (s *Server) now() control.Time { return clockStart.Add(s.loop.Now()) }
 
-// routerTime converts wall-clock time to the decision module's clock. It returns 0 for a time before the clock's zero
+// controlTime converts wall-clock time to the decision module's clock. It returns 0 for a time before the clock's zero
 // and for the zero time.
-func (s *Server) routerTime(at time.Time) control.Time {
+func (s *Server) controlTime(at time.Time) control.Time {
 	if at.IsZero() {
 		return 0
 	}
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -128,7 +128,7 @@
 		return
 	}
 	c.exchange = nil
-	exchange.clientGone()
+	exchange.cancel()
 }
 
 // Closing implements httpserver.Handler.
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -237,8 +237,8 @@
 	}
 }
 
-// clientGone ends the request without an answer.
-func (e *exchange) clientGone() {
+// cancel ends the request without an answer.
+func (e *exchange) cancel() {
 	if e.client == nil {
 		return
 	}
