--- a/internal/eventloop/address.go
+++ b/internal/eventloop/address.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// sockaddr returns the address family and the form of addr that system calls take.
+// sockaddr converts addr for system calls and returns it with its address family.
 func sockaddr(addr netip.AddrPort) (int, unix.Sockaddr) {
 	if addr.Addr().Is4() || addr.Addr().Is4In6() {
 		return unix.AF_INET, &unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}
--- a/internal/eventloop/bufferpool.go
+++ b/internal/eventloop/bufferpool.go
@@ -3,23 +3,24 @@
 import "math/bits"
 
 const (
-	minBufferSize = 4 << 10 // bytes: a page; most requests and events fit
-	sizeClasses   = 13      // powers of two from 4 KiB to 16 MiB; larger buffers are not kept
+	minBufferSize = 4 << 10 // bytes
+	sizeClasses   = 13      // powers of two from 4 KiB to 16 MiB; larger buffers are not pooled
 )
 
-// bufferPool keeps free buffers, whose sizes are powers of two. It belongs to one loop and needs no
-// lock. Unlike sync.Pool it has a bound on what a burst leaves behind.
+// bufferPool keeps free buffers for reuse. Their sizes are powers of two. It belongs to one loop and
+// needs no lock. Unlike sync.Pool it bounds the memory that stays allocated after a burst.
 type bufferPool struct {
-	maxFreeBytes int // of one size class; buffers above it go to the garbage collector
+	maxFreeBytes int // bound on the free buffers of each size class; further ones are garbage collected
 	free         [sizeClasses][][]byte
 }
 
-// sizeClass returns the class of the smallest buffers that hold size bytes.
+// sizeClass returns the smallest size class whose buffers hold size bytes.
 func sizeClass(size int) int {
 	return max(bits.Len(uint(size-1))-bits.Len(uint(minBufferSize-1)), 0)
 }
 
-// get returns a buffer of at least size bytes, at its full length. The caller owns it until put.
+// get returns a buffer of at least size bytes, at its full length. The caller owns it until it passes
+// it to put.
 func (p *bufferPool) get(size int) []byte {
 	class := sizeClass(size)
 	if class >= sizeClasses {
@@ -34,8 +35,7 @@
 	return free[last]
 }
 
-// put returns a buffer to the pool. A nil buffer, or one that get did not make, is left to the
-// garbage collector.
+// put returns a buffer to the pool. It ignores nil and buffers whose size is not that of a size class.
 func (p *bufferPool) put(buffer []byte) {
 	buffer = buffer[:cap(buffer)]
 	size := len(buffer)
--- a/internal/eventloop/bufferpool_test.go
+++ b/internal/eventloop/bufferpool_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// TestBufferPoolReusesBuffersUpToItsBound: a buffer that was put is used for the next one of its size class.
-// Buffers above maxFreeBytes, and those that get did not make, are not kept.
+// TestBufferPoolReusesBuffersUpToItsBound: get returns a buffer of the same size class that was put before.
+// Buffers beyond maxFreeBytes, and those whose size is not that of a class, are not kept.
 func TestBufferPoolReusesBuffersUpToItsBound(t *testing.T) {
 	p := bufferPool{maxFreeBytes: 2 * minBufferSize}
 	small := p.get(1)
 	large := p.get(minBufferSize + 1)
 	if len(small) != minBufferSize || len(large) != 2*minBufferSize {
-		t.Fatalf("buffers of %d and %d bytes", len(small), len(large))
+		t.Fatalf("got buffers of %d and %d bytes, want %d and %d", len(small), len(large), minBufferSize, 2*minBufferSize)
 	}
 
 	p.put(small)
@@ -27,14 +27,14 @@
 	}
 }
 
-// TestBufferLargerThanAllSizeClassesIsNotKept: one request of an extreme size must not hold its memory.
+// TestBufferLargerThanAllSizeClassesIsNotKept: the memory of a very large request must not stay allocated.
 func TestBufferLargerThanAllSizeClassesIsNotKept(t *testing.T) {
 	p := bufferPool{maxFreeBytes: 1 << 30}
 	huge := p.get(minBufferSize<<(sizeClasses-1) + 1)
 	p.put(huge)
 	for class, free := range p.free {
 		if len(free) != 0 {
-			t.Errorf("class %d keeps a buffer of %d bytes", class, len(free[0]))
+			t.Errorf("size class %d keeps a buffer of %d bytes", class, len(free[0]))
 		}
 	}
 }
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -8,12 +8,12 @@
 	"martenlock/internal/timerwheel"
 )
 
-// closeTimeout bounds how long a closed connection waits for its peer to take the output, and a
-// lingering one to end its half. A live peer does both within a few round trips.
+// closeTimeout bounds how long a close waits for the peer to accept the output and, if it lingers,
+// to close its sending half.
 const closeTimeout = 2 * time.Second
 
 // Close sends the buffered output, then closes. The handler gets no further call. Output that the
-// peer does not take within closeTimeout is lost.
+// peer does not accept within closeTimeout is lost.
 func (c *Conn) Close() {
 	switch c.state {
 	case connClosed:
@@ -30,16 +30,16 @@
 	c.markPending()
 }
 
-// CloseLingering is Close for a peer that may still be sending. Its input is discarded for up to
-// closeTimeout. Without this, the reset that answers it could overtake the last bytes of our output
-// (RFC 9112, section 9.6).
+// CloseLingering is Close for a peer that may still be sending. It reads and discards input for up
+// to closeTimeout. Without this, the kernel would answer the input with a reset, which can make the
+// peer lose the end of the output (RFC 9112, section 9.6).
 func (c *Conn) CloseLingering() {
 	c.lingers = true
 	c.Close()
 }
 
-// continueClose takes the next step of a close. The connection ends when all output is sent and,
-// if it lingers, the peer has ended its half.
+// continueClose advances a close. It releases the connection once all output is sent and, if the
+// close lingers, the peer has closed its sending half.
 func (c *Conn) continueClose() {
 	if !c.state.closing() {
 		return
@@ -68,11 +68,11 @@
 	c.release()
 }
 
-// ShutdownAndAbort is Abort, and the peer sees the end before it sees anything that other connections
-// send later in this iteration.
+// ShutdownAndAbort shuts down both directions, then aborts. The peer sees the end of this connection
+// before any output that other connections send later in this iteration.
 func (c *Conn) ShutdownAndAbort() {
 	if !c.IsClosed() {
-		_ = unix.Shutdown(c.fd, unix.SHUT_RDWR) // it fails only if the connection is not established, and then the peer has nothing to see
+		_ = unix.Shutdown(c.fd, unix.SHUT_RDWR) // it fails only if no connection is established
 	}
 	c.Abort()
 }
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestCloseWhileConnectingSendsOutputFirst: a connection that is closed before it is established sends
-// its output to the peer, then ends. Its handler gets no call.
+// TestCloseWhileConnectingSendsOutputFirst: a connection on which Close is called before it is
+// established still sends its output to the peer. Its handler gets no call.
 func TestCloseWhileConnectingSendsOutputFirst(t *testing.T) {
 	l, do := start(t, Options{})
 	peer, err := net.Listen("tcp", local.String())
@@ -37,7 +37,7 @@
 	accepted.SetDeadline(time.Now().Add(10 * time.Second))
 	got, err := io.ReadAll(accepted)
 	if err != nil || string(got) != "last words" {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("peer received %q, %v; want the output written before Close", got, err)
 	}
 	do(func() {
 		if handler.opened+handler.closed != 0 {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -11,7 +11,7 @@
 
 //go:generate go tool stringer -linecomment -type=connState,readState,peerState,listenerState -output=enum_string.go
 
-// connState is the state of a connection as far as this side decides on it.
+// connState is the state of a connection on this side. See peerState for the peer's side.
 type connState uint8
 
 const (
@@ -22,9 +22,9 @@
 	connCloseOnOpen // close on open
 	// connClosing is a connection on which Close was called and that has output to send.
 	connClosing // closing
-	// connAwaitingPeer is a lingering connection that has sent all output and shut its half.
+	// connAwaitingPeer is a lingering connection that has sent all output and closed its sending half.
 	connAwaitingPeer // awaiting peer
-	// connClosed is a connection without a descriptor.
+	// connClosed is a connection whose descriptor is closed.
 	connClosed // closed
 )
 
@@ -36,8 +36,8 @@
 	return s == connCloseOnOpen || s == connClosing || s == connAwaitingPeer
 }
 
-// Conn is a TCP connection of a loop, which owns its descriptor and buffers. Its methods must be
-// called on the loop. On a closed connection they do nothing.
+// Conn is a TCP connection. Its loop owns its descriptor and buffers. Its methods must be called on
+// the loop. On a closed connection they do nothing.
 type Conn struct {
 	loop     *Loop
 	handler  Handler
@@ -54,9 +54,9 @@
 	closeTimer *timerwheel.Timer // bounds a close; nil until needed
 }
 
-// Dial starts a connection to addr. The handler gets Opened or Closed later, never during this call.
-// An error is this machine's own, such as the lack of a descriptor or a port. Errors of the network
-// and the peer go to Closed.
+// Dial starts a connection to addr. Opened or Closed of the handler is called later, never during
+// this call. Dial returns only local errors, such as the lack of a descriptor or a port. Errors of
+// the network or the peer are passed to Closed.
 func (l *Loop) Dial(addr netip.AddrPort, h Handler) (*Conn, error) {
 	family, sa := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -82,7 +82,8 @@
 
 // register adds the connection to the loop, which watches its descriptor for events.
 func (c *Conn) register(events uint32) error {
-	// The loop gathers output itself, so Nagle's algorithm would only delay it. A failure costs no more than that.
+	// The loop coalesces output itself, so Nagle's algorithm would only delay it. If the call fails, output is
+	// delayed and nothing worse happens.
 	_ = unix.SetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if err := c.loop.poller.add(c.fd, events); err != nil {
 		return err
@@ -136,9 +137,8 @@
 	c.loop.pending.conns = append(c.loop.pending.conns, c)
 }
 
-// flushPending does what the connection left to the end of the iteration: it redelivers input,
-// sends output, continues a close and updates what epoll watches for. Each step may close the
-// connection.
+// flushPending is called at the end of an iteration. It redelivers input, sends output, continues a
+// close and updates the events that epoll watches for. Each step may close the connection.
 func (c *Conn) flushPending() {
 	if c.IsClosed() || c.state.connecting() {
 		return
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -4,7 +4,7 @@
 // A program creates a Loop with New, opens listeners and connections on it, and calls Run. A
 // connection reports its events to a Handler. Handlers, timers and posted functions run on the
 // thread of Run, one at a time, and must never block. Only Loop.Post may be called from other
-// goroutines. Before Run is called, its caller may use the loop as well.
+// goroutines. Before Run is called, the goroutine that will call it may use the loop.
 //
 // Readiness is level-triggered (epoll(7)). A handler may leave bytes unconsumed, and a connection
 // whose reading is paused costs nothing until it is resumed. Output is buffered and sent once, at
@@ -21,16 +21,16 @@
 	"martenlock/internal/timerwheel"
 )
 
-// ErrOverflow closes a connection whose unsent output exceeds Options.MaxUnsentBytes. The source of
-// the output has ignored the high-water mark.
+// ErrOverflow is passed to Handler.Closed when a connection was closed because its unsent output
+// exceeded Options.MaxUnsentBytes. It means that the handler kept writing above the high-water mark.
 var ErrOverflow = errors.New("eventloop: unsent output exceeds its limit")
 
 const (
-	// scratchSize is the number of bytes that one read returns at most.
+	// scratchSize is the size in bytes of the read buffer and of the largest output buffer.
 	scratchSize = 64 << 10
-	// eventsPerIteration bounds the events of one epoll_wait, and so how long buffered output waits.
+	// eventsPerIteration bounds the events handled before buffered output is sent.
 	eventsPerIteration = 512
-	// tick is the resolution of the timing wheel. It is that of epoll_wait's time-out.
+	// tick is the resolution of timers. The time-out of epoll_wait has the same resolution.
 	tick = time.Millisecond
 )
 
@@ -46,9 +46,9 @@
 // Options bound the memory of a loop. Zero values stand for the defaults in brackets.
 type Options struct {
 	MaxUnsentBytes int // unsent bytes above which a connection is closed with ErrOverflow [8 MiB]
-	HighWaterMark  int // unsent bytes from which the source of a connection's output should pause [128 KiB]
-	LowWaterMark   int // unsent bytes at which Handler.Writable is called then [a quarter of the high-water mark]
-	MaxFreeBytes   int // bytes of free buffers of one size that are kept for reuse [4 MiB]
+	HighWaterMark  int // unsent bytes at which the writer of a connection's output should pause [128 KiB]
+	LowWaterMark   int // unsent bytes at which Handler.Writable tells it to continue [a quarter of the high-water mark]
+	MaxFreeBytes   int // bytes of free buffers of each size that are kept for reuse [4 MiB]
 	// OnPanic is called on the loop with the value of a handler's panic. The panic closes the
 	// handler's connection only. If OnPanic is nil, a panic ends the program.
 	OnPanic func(reason any)
@@ -69,13 +69,13 @@
 	}
 }
 
-// Loop runs connections, listeners and timers, and owns all their descriptors. Create it with New.
+// Loop runs connections, listeners and timers, and owns the descriptors. Create it with New.
 type Loop struct {
 	opts    Options
 	poller  poller
 	mailbox mailbox
 	sources map[int]source         // by descriptor
-	starved map[*Listener]struct{} // wait for a free descriptor
+	starved map[*Listener]struct{} // listeners that wait for a free descriptor
 	pending pendingWork
 
 	origin     time.Time
@@ -84,7 +84,7 @@
 	iterations uint64
 	stopped    bool
 
-	maxEvents int    // of one iteration
+	maxEvents int    // per iteration
 	scratch   []byte // read buffer of all connections
 	iovecs    [iovecsPerWrite]unix.Iovec
 	buffers   bufferPool
@@ -96,12 +96,12 @@
 	ready(events uint32)
 }
 
-// pendingWork is what an iteration leaves to its end.
+// pendingWork is work that is deferred to the end of the iteration.
 type pendingWork struct {
 	deferred []func()
 	conns    []*Conn // for Conn.flushPending
-	// closedDescriptors are those closed since the iteration began. The kernel may have given such a
-	// number to a new connection, which must not get an event of the old one.
+	// closedDescriptors are the descriptors closed in this iteration. The kernel may reuse the number of
+	// one for a new connection, which must not get the events of the old one.
 	closedDescriptors map[int]struct{}
 	// descriptorFreed is set if starved listeners may accept again.
 	descriptorFreed bool
@@ -145,21 +145,21 @@
 func (l *Loop) Origin() time.Time { return l.origin }
 
 // Post runs a function on the loop soon. It is the only method that other goroutines may call.
-// After Run has returned it does nothing. The number of posted functions is not bounded: a caller
-// should post one function for a state that changes, not one for each change.
+// After Run has returned it does nothing. The number of posted functions is not bounded, so a caller
+// with frequent updates should combine them into one posted function.
 func (l *Loop) Post(fn func()) { l.mailbox.put(fn) }
 
 // Defer runs a function at the end of this iteration, before output is sent.
 func (l *Loop) Defer(fn func()) { l.pending.deferred = append(l.pending.deferred, fn) }
 
-// StartTimer makes a timer fire on the loop once d has passed, at the earliest with the next tick.
-// The caller owns the timer.
+// StartTimer makes a timer fire on the loop once d has passed, at the next tick at the earliest. The
+// caller owns the timer.
 func (l *Loop) StartTimer(t *timerwheel.Timer, d time.Duration) {
 	when := l.now + max(d, 0)
 	l.wheel.Start(t, uint64((when+tick-1)/tick))
 }
 
-// StopTimer stops a timer. On a timer that does not run it has no effect.
+// StopTimer stops a timer. It has no effect if the timer is not running.
 func (l *Loop) StopTimer(t *timerwheel.Timer) { l.wheel.Stop(t) }
 
 // RunningTimers returns the number of timers that are started and have not fired.
--- a/internal/eventloop/eventlooptest/eventlooptest.go
+++ b/internal/eventloop/eventlooptest/eventlooptest.go
@@ -29,8 +29,8 @@
 	return Loop{loop}
 }
 
-// Do runs fn on the loop and returns after it. fn must not call t.FailNow or t.Fatal: it runs on another
-// goroutine.
+// Do runs fn on the loop and waits for it to return. fn must not call t.FailNow or t.Fatal, as it runs on
+// another goroutine.
 func (l Loop) Do(fn func()) {
 	done := make(chan struct{})
 	l.Post(func() {
@@ -40,8 +40,8 @@
 	<-done
 }
 
-// DoIteration runs fn on the loop and returns after the end of that iteration.
+// DoIteration runs fn on the loop and waits for the end of that iteration.
 func (l Loop) DoIteration(fn func()) {
 	l.Do(fn)
-	l.Do(func() {}) // posted after fn has returned, so it runs in a later iteration
+	l.Do(func() {}) // runs in a later iteration, as it is posted after fn has returned
 }
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -1,40 +1,41 @@
 package eventloop
 
-// Handler receives the events of a connection. It is called on the loop, and never during a call of
-// Dial. From any of its methods it may call any method of the connection, also to close it.
+// Handler receives the events of a connection. Its methods are called on the loop, and never during a
+// call of Dial. They may call any method of the connection, including those that close it.
 type Handler interface {
-	// Opened is called once on a connection of Dial, when it is established. It is not called on
-	// accepted connections.
+	// Opened is called once when a connection of Dial is established. It is not called for accepted
+	// connections.
 	Opened(c *Conn)
-	// Data receives all bytes that have arrived and were not consumed before. It returns how many it
-	// consumes. The rest is passed again, with the bytes that follow. The slice is valid during the
-	// call only.
+	// Data receives the bytes that have arrived and are not yet consumed, and returns how many of them
+	// it consumes. The rest is passed again together with later bytes. The slice is valid only during
+	// the call.
 	Data(c *Conn, b []byte) int
-	// EOF is called when the peer has ended its half. Output can still be written. If reading is
-	// paused, EOF is called while bytes are unread, and again after Resume has delivered them.
+	// EOF is called when the peer has closed its sending half. Output can still be written. If reading
+	// is paused, EOF is called at once, although bytes may be unread, and again after Resume has
+	// delivered them.
 	EOF(c *Conn)
-	// Writable is called when unsent output has fallen to the low-water mark after it had reached the
-	// high-water mark.
+	// Writable is called when unsent output has reached the high-water mark and then fallen to the
+	// low-water mark.
 	Writable(c *Conn)
-	// Closed is the last call. err is what closed the connection. It is not called if this side closed
-	// it, by a method such as Close, Abort or Reset.
+	// Closed is the last call. err is the reason. It is not called if this side closed the connection
+	// with a method such as Close, Abort or Reset.
 	Closed(c *Conn, err error)
 }
 
 // discard is the handler of a connection on which Close was called.
 type discard struct{}
 
-// Opened implements Handler. Close has scheduled what follows.
+// Opened implements Handler. The close continues at the end of the iteration.
 func (discard) Opened(*Conn) {}
 
 // Data implements Handler. It consumes and discards all input.
 func (discard) Data(_ *Conn, b []byte) int { return len(b) }
 
-// EOF implements Handler. A lingering close notices it by itself.
+// EOF implements Handler. A lingering close checks for it in continueClose.
 func (discard) EOF(*Conn) {}
 
-// Writable implements Handler. There is no source of output to resume.
+// Writable implements Handler. There is no writer to resume.
 func (discard) Writable(*Conn) {}
 
-// Closed implements Handler. The owner closed the connection and needs no notice.
+// Closed implements Handler. The owner has closed the connection itself and needs no call.
 func (discard) Closed(*Conn, error) {}
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -9,8 +9,8 @@
 // local is a loopback address whose port the kernel chooses.
 var local = netip.MustParseAddrPort("127.0.0.1:0")
 
-// start runs a loop until the test ends. The function that it returns runs another on the loop and
-// waits for its return.
+// start runs a new loop until the test ends. The returned function runs its argument on the loop and
+// waits for it to return.
 func start(t *testing.T, opts Options) (*Loop, func(func())) {
 	t.Helper()
 	l, err := New(opts)
@@ -20,7 +20,7 @@
 	return l, run(t, l)
 }
 
-// run is start for a loop that the test has made.
+// run is start for an existing loop.
 func run(t *testing.T, l *Loop) func(func()) {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -38,7 +38,6 @@
 	}
 }
 
-// listen opens a listener on the loop.
 func listen(t *testing.T, l *Loop, do func(func()), accept func(*Conn) Handler) *Listener {
 	t.Helper()
 	var ln *Listener
@@ -50,7 +49,7 @@
 	return ln
 }
 
-// dial connects a peer, which is closed when the test ends.
+// dial connects a peer to the listener. The peer is closed when the test ends.
 func dial(t *testing.T, ln *Listener) *net.TCPConn {
 	t.Helper()
 	c, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(ln.Addr()))
@@ -61,7 +60,6 @@
 	return c
 }
 
-// send sends bytes from a peer.
 func send(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := c.Write([]byte(text)); err != nil {
@@ -78,7 +76,7 @@
 	return after - before
 }
 
-// echo writes back what it gets, and pauses reading while its peer does not take the output.
+// echo writes back what it receives, and pauses reading while its peer does not read the output.
 type echo struct {
 	maxUnsent int
 	events    chan string
@@ -98,7 +96,7 @@
 }
 
 func (e *echo) EOF(c *Conn) {
-	if c.Paused() && e.maxUnsent > 0 { // bytes before the end are unread
+	if c.Paused() && e.maxUnsent > 0 { // earlier bytes are unread; EOF is called again after Resume
 		return
 	}
 	e.events <- "eof"
@@ -109,7 +107,7 @@
 
 func (e *echo) Closed(*Conn, error) { e.events <- "closed" }
 
-// onData calls a function when bytes arrive, and ignores all other events.
+// onData calls do when bytes arrive, and ignores all other events.
 type onData struct {
 	discard
 	do func(c *Conn, b []byte) int
@@ -117,7 +115,7 @@
 
 func (h onData) Data(c *Conn, b []byte) int { return h.do(c, b) }
 
-// recorder reports all events but Opened and Writable.
+// recorder reports all events except Opened and Writable.
 type recorder struct {
 	discard
 	events chan string
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -2,45 +2,46 @@
 
 import "golang.org/x/sys/unix"
 
-// readState is whether the input of a connection is read.
+// readState tells whether the input of a connection is read or paused.
 type readState uint8
 
 const (
 	readActive readState = iota // active
 	readPaused                  // paused
-	// readPausedPending is a paused connection with unread bytes. Epoll does not watch for more.
+	// readPausedPending is a paused connection with unread bytes. Epoll does not watch it for input.
 	readPausedPending // paused with input pending
 )
 
-// peerState is the state of the peer's half of a connection.
+// peerState is the state of the peer's sending half of a connection.
 type peerState uint8
 
 const (
 	peerOpen peerState = iota // open
-	// peerEOFNotified is a half that ended while reading was paused. The handler got EOF, but bytes
-	// before the end may be unread.
+	// peerEOFNotified is a half that was closed while reading was paused. EOF of the handler was called,
+	// but earlier bytes may be unread.
 	peerEOFNotified // ended
-	// peerEOFRead is a half that was read to its end.
+	// peerEOFRead is a half that was closed and read to its end.
 	peerEOFRead // read to the end
 )
 
 // input is the reading half of a connection.
 type input struct {
-	unconsumed    []byte // bytes that the handler has not consumed; pooled, nil while empty
+	unconsumed    []byte // bytes that the handler has not consumed, in a pooled buffer; nil while empty
 	reading       readState
 	peer          peerState
-	redeliveryDue bool // unconsumed must be delivered again, after a pause
+	redeliveryDue bool // unconsumed must be delivered again because reading was resumed
 	// deliverBeforeReset is set if unread bytes must be delivered before a reset is reported.
 	deliverBeforeReset bool
-	// unwatched is set while epoll does not watch the descriptor. The peer has reset the connection,
-	// and deliverBeforeReset holds its end back until Resume.
+	// unwatched is set while epoll does not watch the descriptor: the peer has reset the connection,
+	// and because of deliverBeforeReset this is reported only after Resume.
 	unwatched bool
 }
 
 func (in *input) paused() bool { return in.reading != readActive }
 
-// events returns the input events to watch for, given those watched for now. A pause is passed to
-// the kernel only when bytes have arrived, as most pauses end before that.
+// events returns the input events to watch for. watched is what epoll watches for now. A paused
+// connection stays watched for input until bytes arrive: most pauses end before that, which saves
+// system calls.
 func (in *input) events(watched uint32) uint32 {
 	var events uint32
 	switch {
@@ -56,9 +57,9 @@
 	return events
 }
 
-// NoInputPending reports whether all that the peer has sent is consumed and its half is open. It asks
-// the kernel, so it also sees what the loop has not read. Input on an idle connection belongs to no
-// request.
+// NoInputPending reports whether the peer has sent no unconsumed bytes and has not closed its sending
+// half. It asks the kernel, so bytes that the loop has not read count as well. A client should not
+// reuse an idle connection with pending input, which belongs to no request.
 func (c *Conn) NoInputPending() bool {
 	if c.IsClosed() || c.in.peer == peerEOFRead || len(c.in.unconsumed) > 0 {
 		return false
@@ -66,7 +67,7 @@
 	return peek(c.fd) == unix.EAGAIN
 }
 
-// Pause stops reading. A reset or the end of the peer's half is still reported.
+// Pause stops reading. A reset and the close of the peer's sending half are still reported.
 func (c *Conn) Pause() {
 	if c.in.reading == readActive {
 		c.in.reading = readPaused
@@ -81,7 +82,7 @@
 // Closed is called at once and the bytes are lost.
 func (c *Conn) DeliverBeforeReset() { c.in.deliverBeforeReset = true }
 
-// Resume continues reading. Bytes that the handler did not consume before are delivered first.
+// Resume continues reading. Bytes that the handler has not consumed are delivered again first.
 func (c *Conn) Resume() {
 	if !c.in.paused() {
 		return
@@ -121,7 +122,7 @@
 	}
 }
 
-// resetWhilePaused handles the end of both halves of a paused connection.
+// resetWhilePaused handles a reset, or the close of both halves, of a paused connection.
 func (c *Conn) resetWhilePaused() {
 	if c.in.deliverBeforeReset && peek(c.fd) == 0 {
 		c.loop.poller.remove(c.fd) // epoll would report the reset in each iteration
@@ -136,7 +137,8 @@
 	c.fail(unix.Errno(code))
 }
 
-// notifyEarlyEOF calls EOF, once, while bytes before the end may be unread.
+// notifyEarlyEOF calls EOF of the handler although earlier bytes may be unread. Later calls have no
+// effect.
 func (c *Conn) notifyEarlyEOF() {
 	if c.in.peer != peerOpen {
 		return
@@ -157,11 +159,12 @@
 		return
 	}
 	if events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 {
-		c.fail(unix.ECONNRESET) // both halves have ended
+		c.fail(unix.ECONNRESET) // both halves are closed
 	}
 }
 
-// read makes one system call and passes what it returns to the handler. Epoll reports the rest again.
+// read reads once and passes the bytes to the handler. If more are unread, epoll reports the
+// connection again.
 func (c *Conn) read() {
 	scratch := c.loop.scratch
 	n, errno := read(c.fd, scratch)
@@ -191,7 +194,7 @@
 }
 
 // deliver passes all unconsumed bytes to the handler. The handler may close the connection, which
-// returns its buffers to the pool. So the connection does not hold this buffer during the call.
+// returns its buffers to the pool. The connection therefore does not hold this buffer during the call.
 func (c *Conn) deliver() {
 	unconsumed := c.in.unconsumed
 	c.in.unconsumed = nil
@@ -204,7 +207,7 @@
 	}
 }
 
-// keepUnconsumed adds bytes to the unconsumed ones.
+// keepUnconsumed appends bytes to the unconsumed ones.
 func (c *Conn) keepUnconsumed(b []byte) {
 	if len(b) == 0 || !c.keepsInput() {
 		return
@@ -218,10 +221,9 @@
 	c.in.unconsumed = append(c.in.unconsumed, b...)
 }
 
-// keepsInput reports whether the handler may still get input that it did not consume.
+// keepsInput reports whether unconsumed bytes must be kept because the handler may still get them.
 func (c *Conn) keepsInput() bool { return !c.IsClosed() && !c.state.closing() }
 
-// discardInput discards the unconsumed bytes.
 func (c *Conn) discardInput() {
 	c.loop.buffers.put(c.in.unconsumed)
 	c.in.unconsumed = nil
--- a/internal/eventloop/input_test.go
+++ b/internal/eventloop/input_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// neverRead handles a connection whose reading is paused, and reports how it ends.
+// neverRead handles a connection whose reading stays paused, and reports its end.
 type neverRead struct{ echo }
 
 func (h *neverRead) Data(*Conn, []byte) int { panic("data on a paused connection") }
@@ -25,9 +25,9 @@
 	}
 }
 
-// TestEndOfPausedConnectionNoticed: a peer's close or reset is reported at once although reading is
-// paused and bytes are unread. So is the overflow of output to a peer that takes none.
-func TestEndOfPausedConnectionNoticed(t *testing.T) {
+// TestEndOfPausedConnectionReported: a peer's close or reset is reported at once although reading is
+// paused and bytes are unread. The overflow of output that the peer does not read is reported as well.
+func TestEndOfPausedConnectionReported(t *testing.T) {
 	l, do := start(t, Options{MaxUnsentBytes: 1 << 20})
 	h := &neverRead{echo{events: make(chan string, 4)}}
 	var served *Conn
@@ -61,18 +61,18 @@
 	}
 }
 
-// TestRefusedDialClosesWithError: the handler gets ECONNREFUSED if nobody listens.
+// TestRefusedDialClosesWithError: Closed gets ECONNREFUSED if nothing listens on the address.
 func TestRefusedDialClosesWithError(t *testing.T) {
 	l, do := start(t, Options{})
 	h := &neverRead{echo{events: make(chan string, 4)}}
 	do(func() {
-		free, err := l.Listen(local, func(*Conn) Handler { return nil })
+		closedListener, err := l.Listen(local, func(*Conn) Handler { return nil })
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		free.Close()
-		if _, err := l.Dial(free.Addr(), h); err != nil {
+		closedListener.Close()
+		if _, err := l.Dial(closedListener.Addr(), h); err != nil {
 			t.Error(err)
 		}
 	})
@@ -82,7 +82,7 @@
 }
 
 // TestHandlerMayCloseWhileUnconsumedBytesAreDelivered: a handler may close its connection in a call of
-// Data with bytes that it did not consume before. This once ended the whole program.
+// Data that delivers unconsumed bytes again. The close must not release the buffer that holds them.
 func TestHandlerMayCloseWhileUnconsumedBytesAreDelivered(t *testing.T) {
 	l, do := start(t, Options{})
 	for name, end := range map[string]func(*Conn){
@@ -117,18 +117,18 @@
 		send(t, c, "cd")
 
 		if got := <-data; got != "abcd" {
-			t.Errorf("%s: %q", name, got)
+			t.Errorf("%s: handler got %q, want %q", name, got, "abcd")
 		}
 		_ = c.CloseWrite() // it fails after a reset
 		c.SetDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: read of the peer returned %v, want the end of the connection", name, err)
 		}
 	}
 }
 
 // TestBytesBeforeResetDeliveredAfterPause: with DeliverBeforeReset, bytes that a peer sent before its
-// reset are delivered after Resume, and Closed follows. The loop does not spin meanwhile.
+// reset are delivered after Resume, and then Closed is called. The loop does not spin during the pause.
 func TestBytesBeforeResetDeliveredAfterPause(t *testing.T) {
 	l, do := start(t, Options{})
 	r := &recorder{events: make(chan string, 8)}
@@ -147,7 +147,7 @@
 				t.Fatalf("event %q, want %q", got, want)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("no event %q", want)
+			t.Fatalf("timed out waiting for event %q", want)
 		}
 	}
 	c := dial(t, ln)
@@ -160,7 +160,7 @@
 
 	iterations := countIterations(l, do, func() { time.Sleep(20 * time.Millisecond) })
 	if iterations > 10 {
-		t.Errorf("%d iterations in 20 ms", iterations)
+		t.Errorf("loop made %d iterations in 20 ms, want at most 10", iterations)
 	}
 
 	do(func() { served.Resume() })
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// backlog is how many connections may wait in the kernel, which caps it at net.core.somaxconn.
+	// backlog is the number of connections that may wait to be accepted. The kernel caps it at
+	// net.core.somaxconn.
 	backlog = 4096
-	// acceptsPerEvent bounds the connections accepted at once, so that a flood of new ones does not
-	// delay the open ones.
+	// acceptsPerEvent bounds the connections accepted in one iteration, so that a flood of new ones does
+	// not delay the open ones.
 	acceptsPerEvent = 64
-	// starvedRetryDelay is the pause of a listener that found no free descriptor. It resumes earlier if
-	// the loop closes a descriptor. Descriptors that others close are noticed after this delay.
+	// starvedRetryDelay is how long a listener pauses when no descriptor is free. It resumes earlier if
+	// the loop closes a descriptor. The delay covers descriptors that are closed outside the loop.
 	starvedRetryDelay = 100 * time.Millisecond
 )
 
-// listenerState is whether a listener accepts connections.
+// listenerState tells whether a listener accepts connections.
 type listenerState uint8
 
 const (
 	listenerAccepting listenerState = iota // accepting
-	// listenerAtMax is a listener with Listener.MaxOpen open connections.
+	// listenerAtMax is a listener that does not accept because MaxOpen connections are open.
 	listenerAtMax  // at max
 	listenerClosed // closed
 )
@@ -40,9 +41,9 @@
 	accept     func(*Conn) Handler
 	state      listenerState
 	retryTimer timerwheel.Timer // runs while the listener is starved of descriptors
-	open       int
-	// MaxOpen bounds the listener's open connections. Further ones wait in the kernel's backlog. At 0
-	// there is no bound.
+	open       int              // connections
+	// MaxOpen bounds the listener's open connections. Further ones wait in the kernel's backlog. 0 means
+	// no bound.
 	MaxOpen int
 }
 
@@ -101,13 +102,13 @@
 // Open returns the number of open connections that the listener has accepted.
 func (ln *Listener) Open() int { return ln.open }
 
-// Close stops accepting. Open connections stay open. Those in the backlog are accepted first, as the
-// kernel would reset them.
+// Close accepts the connections in the backlog, which the kernel would reset otherwise, and then stops
+// accepting. Open connections stay open.
 func (ln *Listener) Close() {
 	if ln.state == listenerClosed {
 		return
 	}
-	for range backlog { // no more can wait, and accept may fail without end
+	for range backlog { // no more can wait; an unbounded loop would not end if accept kept failing
 		if !ln.acceptOne() {
 			break
 		}
@@ -116,13 +117,13 @@
 	ln.loop.StopTimer(&ln.retryTimer)
 	delete(ln.loop.starved, ln)
 	delete(ln.loop.sources, ln.fd)
-	closeDescriptor(ln.fd) // at once, as nothing accepts from the backlog any more
+	closeDescriptor(ln.fd)
 }
 
-// watch sets the events that the listener waits for. 0 pauses it.
+// watch sets the events that epoll watches for. 0 pauses the listener.
 func (ln *Listener) watch(events uint32) {
 	if ln.state != listenerClosed {
-		_ = ln.loop.poller.modify(ln.fd, events) // an open descriptor that is watched can be modified
+		_ = ln.loop.poller.modify(ln.fd, events) // it does not fail on an open descriptor that epoll watches
 	}
 }
 
@@ -142,7 +143,7 @@
 
 func (ln *Listener) atMax() bool { return ln.MaxOpen > 0 && ln.open >= ln.MaxOpen }
 
-// acceptOne accepts a connection, if there is one, and reports whether there may be another.
+// acceptOne accepts a connection if one is waiting, and reports whether another one may be waiting.
 func (ln *Listener) acceptOne() bool {
 	if ln.atMax() {
 		return false
@@ -172,8 +173,8 @@
 	}
 }
 
-// isTransient reports whether accept may succeed if it is called again at once. That is so after EINTR
-// and after network errors that were pending on one connection, which Linux reports here (accept(2)).
+// isTransient reports whether accept may succeed if it is called again at once. This holds for EINTR
+// and for a pending network error of one new connection, which Linux returns from accept (accept(2)).
 func isTransient(err error) bool {
 	errno, _ := errors.AsType[unix.Errno](err)
 	switch errno {
@@ -185,22 +186,23 @@
 	}
 }
 
-// starve pauses a listener that found no free descriptor. The connection stays in the backlog, where
-// epoll would report it in each iteration.
+// starve pauses a listener because no descriptor is free. The connection stays in the backlog. Without
+// the pause, epoll would report it in each iteration.
 func (ln *Listener) starve() {
 	ln.watch(0)
 	ln.loop.starved[ln] = struct{}{}
 	ln.loop.StartTimer(&ln.retryTimer, starvedRetryDelay)
 }
 
-// resume ends the pause that starve began. The listener may find no descriptor again.
+// resume ends the pause that starve began. If there is still no free descriptor, the next accept
+// pauses the listener again.
 func (ln *Listener) resume() {
 	delete(ln.loop.starved, ln)
 	ln.watch(unix.EPOLLIN)
 }
 
-// admit makes an accepted descriptor a connection. It closes the descriptor if epoll rejects it or the
-// connection gets no handler.
+// admit creates the connection of an accepted descriptor. It closes the descriptor if epoll rejects it
+// or the accept function returns no handler.
 func (ln *Listener) admit(fd int) {
 	c := &Conn{loop: ln.loop, fd: fd, listener: ln}
 	if c.register(unix.EPOLLIN|unix.EPOLLRDHUP) != nil {
@@ -214,7 +216,7 @@
 	}
 }
 
-// connClosed is called when a connection of the listener has closed.
+// connClosed must be called when a connection of the listener has closed.
 func (ln *Listener) connClosed() {
 	ln.open--
 	if ln.state == listenerAtMax {
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestAcceptResumesAfterDescriptorsRunOut: while accept fails with EMFILE a client waits in the backlog
-// and the loop does not spin. The client is served once descriptors are free.
+// TestAcceptResumesAfterDescriptorsRunOut: while accept fails with EMFILE, a client waits in the backlog
+// and the loop does not spin. The client is served once a descriptor is free.
 func TestAcceptResumesAfterDescriptorsRunOut(t *testing.T) {
 	l, do := start(t, Options{})
 	ln := listen(t, l, do, func(*Conn) Handler { return newEcho() })
@@ -29,7 +29,7 @@
 
 	iterations := countIterations(l, do, func() { time.Sleep(2 * starvedRetryDelay) })
 	if iterations > 20 {
-		t.Errorf("%d iterations while no descriptor was free", iterations)
+		t.Errorf("loop made %d iterations while no descriptor was free, want at most 20", iterations)
 	}
 
 	for _, f := range taken[1:] {
@@ -41,7 +41,7 @@
 	}
 }
 
-// takeAllDescriptors lowers the process's limit of descriptors for the test and opens files up to it.
+// takeAllDescriptors lowers the process's descriptor limit until the test ends and opens files up to it.
 func takeAllDescriptors(t *testing.T) []*os.File {
 	t.Helper()
 	var limit unix.Rlimit
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestConnectionsAboveMaxOpenWait: above Listener.MaxOpen connections wait in the backlog for one to
-// close.
+// TestConnectionsAboveMaxOpenWait: connections above Listener.MaxOpen wait in the backlog until one
+// closes.
 func TestConnectionsAboveMaxOpenWait(t *testing.T) {
 	l, do := start(t, Options{})
 	e := newEcho()
@@ -93,29 +93,29 @@
 	}
 }
 
-// TestAcceptErrorsOfOneConnectionDoNotStopAccepting follows accept(2): errors of the network belong to one
-// connection, and lack of resources pauses the listener.
+// TestAcceptErrorsOfOneConnectionDoNotStopAccepting: per accept(2), a network error concerns one
+// connection only. A lack of resources pauses the listener.
 func TestAcceptErrorsOfOneConnectionDoNotStopAccepting(t *testing.T) {
 	for _, errno := range []unix.Errno{
 		unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
 		unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ECONNABORTED, unix.EINTR, unix.ETIMEDOUT,
 	} {
 		if !isTransient(errno) || isResourceShortage(errno) {
-			t.Errorf("%v stops accepting", errno)
+			t.Errorf("%v is not a transient error", errno)
 		}
 	}
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM} {
 		if !isResourceShortage(errno) || isTransient(errno) {
-			t.Errorf("%v does not pause the listener", errno)
+			t.Errorf("%v is not a resource shortage", errno)
 		}
 	}
 	if isTransient(unix.EAGAIN) || isTransient(errors.New("x")) {
-		t.Error("an empty backlog counts as a transient error")
+		t.Error("EAGAIN or an unknown error is a transient error")
 	}
 }
 
 // TestUnwatchableConnectionGetsNoHandler: a descriptor that epoll rejects, here a directory, is closed
-// before accept is called. A handler would get no call of Closed.
+// without a call of the accept function, as Closed of the handler would never be called.
 func TestUnwatchableConnectionGetsNoHandler(t *testing.T) {
 	l, do := start(t, Options{})
 	accepted := 0
--- a/internal/eventloop/mailbox.go
+++ b/internal/eventloop/mailbox.go
@@ -34,8 +34,8 @@
 	m.signalled = m.signal()
 }
 
-// signal makes the eventfd readable and reports whether it is. After a failure the next put tries
-// again.
+// signal makes the eventfd readable and reports whether it succeeded. After a failure the next put
+// tries again.
 func (m *mailbox) signal() bool {
 	for {
 		_, err := unix.Write(m.eventfd, []byte{1, 0, 0, 0, 0, 0, 0, 0})
@@ -51,7 +51,7 @@
 // takeAll returns the functions added so far and makes the eventfd unreadable.
 func (m *mailbox) takeAll() []func() {
 	var counter [8]byte
-	_, _ = unix.Read(m.eventfd, counter[:]) // if it fails, the loop wakes once more than needed
+	_, _ = unix.Read(m.eventfd, counter[:]) // a failure only causes a needless wake-up
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	functions := m.functions
--- a/internal/eventloop/mailbox_test.go
+++ b/internal/eventloop/mailbox_test.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestFailedWakeUpRetriedByNextPost: a function that was posted while the loop could not be woken runs with the next
-// one. Without the retry no later post would wake the loop.
+// TestFailedWakeUpRetriedByNextPost: if waking the loop fails, the next post tries again. Without the retry no later
+// post would wake the loop.
 func TestFailedWakeUpRetriedByNextPost(t *testing.T) {
 	eventfd, err := openEventfd()
 	if err != nil {
@@ -22,15 +22,15 @@
 	m := mailbox{eventfd: unwritable}
 	m.put(func() {})
 	if m.signalled {
-		t.Error("a wake-up that failed counts as one")
+		t.Error("signalled is set after a failed wake-up")
 	}
 
 	m.eventfd = eventfd
 	defer m.close()
 	m.put(func() {})
 	expectReadable(t, eventfd)
-	if len(m.takeAll()) != 2 {
-		t.Error("a function was lost")
+	if functions := m.takeAll(); len(functions) != 2 {
+		t.Errorf("takeAll returned %d functions, want 2", len(functions))
 	}
 }
 
@@ -39,6 +39,6 @@
 	t.Helper()
 	ready, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
 	if err != nil || ready != 1 {
-		t.Errorf("not readable: %d, %v", ready, err)
+		t.Errorf("descriptor is not readable: poll returned %d, %v", ready, err)
 	}
 }
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -6,14 +6,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// iovecsPerWrite bounds the segments of one writev. Each iovec takes time to set up, and few
-// connections have more segments.
+// iovecsPerWrite bounds the segments that one writev call sends.
 const iovecsPerWrite = 16
 
 // output is the writing half of a connection.
 type output struct {
-	segments      []segment // unsent bytes in order
-	unsent        int       // bytes of all segments
+	segments      []segment // in the order of sending
+	unsent        int       // bytes in all segments
 	unsentAtClose int       // bytes that were unsent when the connection closed
 	writableDue   bool      // the high-water mark was reached, and Writable has not been called since
 }
@@ -21,8 +20,8 @@
 // segment is a piece of unsent output.
 type segment struct {
 	unsent []byte
-	buffer []byte // pooled, holds unsent; nil if the bytes are those of a WriteRef
-	filled int    // bytes of buffer used so far, sent ones included
+	buffer []byte // pooled buffer of the bytes; nil if they were passed to WriteRef
+	filled int    // bytes of buffer in use, including sent ones
 }
 
 // hasSpace reports whether the segment's buffer can take more bytes.
@@ -36,15 +35,15 @@
 	return n
 }
 
-// UnsentBytes returns the number of bytes written that the kernel has not accepted.
+// UnsentBytes returns the number of written bytes that the kernel has not accepted.
 func (c *Conn) UnsentBytes() int { return c.out.unsent }
 
 // UnsentAtClose returns how many bytes were unsent when the connection closed. On an open connection
 // it returns 0.
 func (c *Conn) UnsentAtClose() int { return c.out.unsentAtClose }
 
-// AboveHighWaterMark reports whether unsent output has reached the high-water mark. Its source
-// should pause then until Handler.Writable is called.
+// AboveHighWaterMark reports whether unsent output has reached the high-water mark. If so, its writer
+// should pause until Handler.Writable is called.
 func (c *Conn) AboveHighWaterMark() bool { return c.out.unsent >= c.loop.opts.HighWaterMark }
 
 // Write buffers a copy of b, which is sent at the end of the iteration.
@@ -56,7 +55,8 @@
 	c.outputGrew()
 }
 
-// WriteRef buffers b without a copy. b belongs to the connection from now on and must not change.
+// WriteRef is Write without a copy. The connection takes ownership of b, which must not change any
+// more.
 func (c *Conn) WriteRef(b []byte) {
 	if c.IsClosed() {
 		return
@@ -68,13 +68,14 @@
 	c.outputGrew()
 }
 
-// outputGrew is called after each growth of the output. The output is sent at the end of the iteration.
+// outputGrew must be called after bytes were added to the output. It schedules their sending for the
+// end of the iteration.
 func (c *Conn) outputGrew() {
 	c.out.writableDue = c.out.writableDue || c.AboveHighWaterMark()
 	c.markPending()
 }
 
-// append copies b to the last segment's buffer and to new ones.
+// append copies b to the free space of the last segment and the rest to new segments.
 func (o *output) append(buffers *bufferPool, b []byte) {
 	for len(b) > 0 {
 		last := len(o.segments) - 1
@@ -90,8 +91,8 @@
 }
 
 // flush sends as much output as the kernel accepts. It closes the connection if that fails, or if
-// more than Options.MaxUnsentBytes remain. Bytes of a WriteRef may exceed that limit while they are
-// the last ones: they take no memory of the loop.
+// more than Options.MaxUnsentBytes remain. The limit does not apply while the last segment is from
+// WriteRef, whose bytes take no buffers of the loop.
 func (c *Conn) flush() {
 	if errno := c.send(); errno != 0 {
 		c.fail(errno)
@@ -140,25 +141,25 @@
 	return n, errno
 }
 
-// removeSent removes the first n bytes and releases the segments that are sent whole.
+// removeSent removes the first n bytes and releases the segments that are completely sent.
 func (o *output) removeSent(buffers *bufferPool, n int) {
 	o.unsent -= n
-	done := 0
+	completed := 0
 	for n > 0 {
-		s := &o.segments[done]
+		s := &o.segments[completed]
 		sent := min(n, len(s.unsent))
 		s.unsent = s.unsent[sent:]
 		n -= sent
 		if len(s.unsent) == 0 {
 			buffers.put(s.buffer)
 			*s = segment{}
-			done++
+			completed++
 		}
 	}
-	if done == 0 {
+	if completed == 0 {
 		return
 	}
-	o.segments = append(o.segments[:0], o.segments[done:]...)
+	o.segments = append(o.segments[:0], o.segments[completed:]...)
 	if len(o.segments) == 0 {
 		o.segments = nil
 	}
@@ -174,7 +175,8 @@
 	o.unsent = 0
 }
 
-// notifyWritable calls Writable once output has fallen from the high-water to the low-water mark.
+// notifyWritable calls Writable of the handler if unsent output has reached the high-water mark and
+// has then fallen to the low-water mark.
 func (c *Conn) notifyWritable() {
 	if c.out.writableDue && c.out.unsent <= c.loop.opts.LowWaterMark {
 		c.out.writableDue = false
--- a/internal/eventloop/output_test.go
+++ b/internal/eventloop/output_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestBufferedOutputBoundedForSlowPeer echoes 8 MiB to a peer that starts to read late. What is
-// buffered stays bounded, and every byte comes back in order.
+// TestBufferedOutputBoundedForSlowPeer echoes 8 MiB to a peer that starts to read late. The buffered
+// output stays bounded, and all bytes come back in order.
 func TestBufferedOutputBoundedForSlowPeer(t *testing.T) {
 	const highWaterMark = 64 << 10
 	l, do := start(t, Options{HighWaterMark: highWaterMark})
@@ -20,10 +20,10 @@
 	}
 
 	go func() {
-		_, _ = c.Write(sent) // a failure shows in what comes back
+		_, _ = c.Write(sent) // after a failure, the bytes that come back differ
 		_ = c.CloseWrite()
 	}()
-	time.Sleep(50 * time.Millisecond) // fills the buffers; the verdict does not depend on it
+	time.Sleep(50 * time.Millisecond) // lets the buffers fill; the assertions do not depend on it
 	got, err := io.ReadAll(c)
 
 	if err != nil || !bytes.Equal(got, sent) {
@@ -34,7 +34,7 @@
 	}
 	do(func() {
 		if e.maxUnsent > highWaterMark+scratchSize {
-			t.Errorf("buffered %d bytes, more than the high-water mark and one read", e.maxUnsent)
+			t.Errorf("buffered %d bytes, want at most the high-water mark and one read", e.maxUnsent)
 		}
 	})
 }
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -22,13 +22,13 @@
 	return unix.EpollCtl(p.fd, unix.EPOLL_CTL_MOD, fd, &event)
 }
 
-// remove stops watching a descriptor. The call fails only if the descriptor is not watched, which
-// is then what the caller wants.
+// remove stops watching a descriptor. The error is ignored, as the system call fails only if the
+// descriptor is not watched.
 func (p poller) remove(fd int) {
 	_ = unix.EpollCtl(p.fd, unix.EPOLL_CTL_DEL, fd, nil)
 }
 
-// wait blocks until there are events or timeout milliseconds have passed. -1 sets no bound.
+// wait blocks until there are events or timeout milliseconds have passed. -1 means no time-out.
 func (p poller) wait(events []unix.EpollEvent, timeout int) (int, error) {
 	return unix.EpollWait(p.fd, events, timeout)
 }
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -9,13 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxTimerDelay is how many iterations timers may wait while each iteration has as many events as it
-// can take. Bytes that arrived before a timer was due should be read before it fires, but a flood of
-// events must not stop all timers.
+// maxTimerDelay is the number of iterations by which timers are delayed while each iteration has the
+// maximum number of events. Bytes that arrived before a timer was due should be read before it fires,
+// but a flood of events must not delay timers indefinitely.
 const maxTimerDelay = 8
 
-// Run runs the loop on the calling goroutine, locked to its thread, until Stop. Before it returns it
-// closes every descriptor of the loop. Handlers get no call for that. The error is that of epoll_wait.
+// Run runs the loop on the calling goroutine, which it locks to its thread, until Stop is called. It
+// then closes all descriptors of the loop without calling handlers. It returns an error only if
+// epoll_wait fails.
 func (l *Loop) Run() error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -41,10 +42,10 @@
 }
 
 // wait begins an iteration. It waits for events, reads the clock and returns the number of events.
-// previousEvents is the number of the iteration before.
+// previousEvents is that number of the previous iteration.
 func (l *Loop) wait(events []unix.EpollEvent, previousEvents int) (int, error) {
 	n := 0
-	if previousEvents > 1 { // on a busy loop more has most likely arrived, and a poll is cheaper than a wait
+	if previousEvents > 1 { // the loop is busy: more events have probably arrived, and poll is cheaper than wait
 		n, _ = l.poller.poll(events)
 	}
 	if n == 0 {
@@ -58,8 +59,8 @@
 	l.iterations++
 	if n < len(events) && l.timersDue() {
 		// This thread may have been delayed after epoll_wait returned. Events that arrived meanwhile are
-		// handled before the timers that are due. Without this, a late loop would time out peers that
-		// were in time.
+		// handled before the timers that are due. Otherwise a delayed loop would time out peers whose
+		// bytes arrived in time.
 		if current, ok := l.poller.poll(events); ok {
 			n = current
 		}
@@ -67,7 +68,7 @@
 	return max(n, 0), nil
 }
 
-// waitTimeout returns how long epoll_wait may block, in milliseconds. -1 sets no bound.
+// waitTimeout returns how long epoll_wait may block, in milliseconds. -1 means no time-out.
 func (l *Loop) waitTimeout() int {
 	next, ok := l.wheel.NextDeadline()
 	if !ok {
@@ -115,8 +116,8 @@
 	s.ready(events)
 }
 
-// recoverFrom closes the connection whose handler has panicked. It must be the deferred function
-// itself, as recover works nowhere else.
+// recoverFrom closes the connection whose handler has panicked. It must be deferred directly, as
+// recover has no effect elsewhere.
 func (l *Loop) recoverFrom(s source) {
 	reason := recover()
 	if reason == nil {
@@ -135,8 +136,8 @@
 	c.fail(fmt.Errorf("eventloop: handler panicked: %v", reason))
 }
 
-// finishIteration runs the deferred functions and flushes the pending connections. Either may add
-// to both, so it repeats until none are left.
+// finishIteration runs the deferred functions and flushes the pending connections. Either can add
+// more of both, so it repeats until none are left.
 func (l *Loop) finishIteration() {
 	for len(l.pending.deferred) > 0 || len(l.pending.conns) > 0 {
 		deferred := l.pending.deferred
@@ -157,7 +158,7 @@
 	}
 }
 
-// flushConn is Conn.flushPending and recovers from a panic of the handler.
+// flushConn calls Conn.flushPending and recovers from a panic of the handler.
 func (l *Loop) flushConn(c *Conn) {
 	if l.opts.OnPanic != nil {
 		defer l.recoverFrom(c)
@@ -165,7 +166,7 @@
 	c.flushPending()
 }
 
-// resumeStarved makes listeners that waited for a free descriptor accept again.
+// resumeStarved resumes the listeners that wait for a free descriptor.
 func (l *Loop) resumeStarved() {
 	for ln := range l.starved {
 		ln.resume()
--- a/internal/eventloop/run_test.go
+++ b/internal/eventloop/run_test.go
@@ -13,7 +13,7 @@
 	"martenlock/internal/timerwheel"
 )
 
-// TestStartedTimerFiresAndStoppedDoesNot: a timer fires once its delay is over, and not after StopTimer.
+// TestStartedTimerFiresAndStoppedDoesNot: a timer fires once its delay has passed, but not after StopTimer.
 func TestStartedTimerFiresAndStoppedDoesNot(t *testing.T) {
 	l, do := start(t, Options{})
 	fired := make(chan time.Duration, 2)
@@ -28,11 +28,11 @@
 		l.StopTimer(&stopped)
 	})
 	if at := <-fired; at-startedAt < 20*time.Millisecond {
-		t.Errorf("fired after %v", at-startedAt)
+		t.Errorf("timer fired after %v, want at least 20 ms", at-startedAt)
 	}
 }
 
-// panicsOnData panics on its first bytes and reports how its connection closes.
+// panicsOnData panics in Data and reports the error with which its connection closes.
 type panicsOnData struct {
 	discard
 	closed chan error
@@ -41,8 +41,8 @@
 func (h *panicsOnData) Data(*Conn, []byte) int    { panic("a fault") }
 func (h *panicsOnData) Closed(_ *Conn, err error) { h.closed <- err }
 
-// TestHandlerPanicClosesOnlyItsConnection: a handler's panic goes to OnPanic and harms no other
-// connection.
+// TestHandlerPanicClosesOnlyItsConnection: a handler's panic is passed to OnPanic and does not affect
+// other connections.
 func TestHandlerPanicClosesOnlyItsConnection(t *testing.T) {
 	reported := make(chan any, 4)
 	l, do := start(t, Options{OnPanic: func(reason any) { reported <- reason }})
@@ -65,19 +65,19 @@
 			t.Errorf("connection %d: %q, %v", i, got, err)
 		} else if panics {
 			if reason := <-reported; reason != "a fault" {
-				t.Error(reason)
+				t.Errorf("OnPanic got %v, want the value of the panic", reason)
 			}
 			if err := <-closed; err == nil {
-				t.Error("closed without an error")
+				t.Error("Closed got no error")
 			}
 		}
 		c.Close()
 	}
 }
 
-// TestLateLoopReadsBeforeTimersFire: a loop that was delayed reads what arrived meanwhile before it
-// fires the timers that became due, also if that takes several iterations. Otherwise it would time
-// out peers that were in time.
+// TestLateLoopReadsBeforeTimersFire: a delayed loop reads all bytes that arrived meanwhile before it
+// fires the timers that became due, even if that takes several iterations. Otherwise it would time
+// out peers whose bytes arrived in time.
 func TestLateLoopReadsBeforeTimersFire(t *testing.T) {
 	l, err := New(Options{})
 	if err != nil {
@@ -112,24 +112,24 @@
 	})
 
 	for i := range peers {
-		if first := <-order; first != "data" {
-			t.Errorf("%s after the bytes of %d of %d peers", first, i, peers)
+		if event := <-order; event != "data" {
+			t.Errorf("got event %q after the data of %d of %d peers", event, i, peers)
 		}
 	}
 }
 
 // TestEventNotDeliveredToReusedDescriptor: if a connection is closed in the iteration in which it has
-// an event, and another gets its descriptor, the other does not get that event. The descriptor is
-// free at once.
+// an event, a new connection that reuses its descriptor does not get that event. The descriptor can be
+// reused at once.
 func TestEventNotDeliveredToReusedDescriptor(t *testing.T) {
 	l, do := start(t, Options{})
-	unanswered := addressWithFullBacklog(t)
-	successor := &eventCounter{}
+	unresponsive := addressWithFullBacklog(t)
+	replacement := &eventCounter{}
 	var served []*Conn
 	var dialed *Conn
 	reused := false
-	// replaceOther aborts the other connection and dials one that gets its descriptor. Nothing may be
-	// reported of that one, as its address answers nobody.
+	// replaceOther aborts the other connection and dials a new one, which reuses its descriptor. The new
+	// one must get no event, as its address does not respond.
 	replaceOther := func(c *Conn, b []byte) int {
 		for _, other := range served {
 			if other == c || dialed != nil {
@@ -138,7 +138,7 @@
 			fd := other.fd
 			other.Abort()
 			var err error
-			if dialed, err = l.Dial(unanswered, successor); err != nil {
+			if dialed, err = l.Dial(unresponsive, replacement); err != nil {
 				t.Error(err)
 				continue
 			}
@@ -166,16 +166,17 @@
 
 	do(func() {
 		if !reused {
-			t.Error("the descriptor was not free at once")
+			t.Error("the new connection did not reuse the descriptor")
 		}
-		if successor.opened+successor.closed != 0 {
-			t.Errorf("another's event called Opened %d times, Closed %d times", successor.opened, successor.closed)
+		if replacement.opened+replacement.closed != 0 {
+			t.Errorf("on the new connection Opened was called %d times, Closed %d times; want no call", replacement.opened, replacement.closed)
 		}
 	})
 }
 
-// addressWithFullBacklog returns an address at which no connection is established. The descriptors
-// used for it are above those that the test's connections get.
+// addressWithFullBacklog returns the address of a listener whose backlog is full, so that a new
+// connection to it is not established. It uses high descriptors, which the test's own connections do
+// not get.
 func addressWithFullBacklog(t *testing.T) netip.AddrPort {
 	t.Helper()
 	fd := highSocket(t, 0)
