--- a/internal/timerwheel/benchmark_test.go
+++ b/internal/timerwheel/benchmark_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// timerHeap is what the wheel is compared with: a binary heap ordered by tick.
+// timerHeap is a binary heap of timers ordered by tick, for comparison with the wheel.
 type timerHeap []*heapTimer
 
 type heapTimer struct {
@@ -22,7 +22,7 @@
 func (h *timerHeap) Push(value any) {
 	pushed, ok := value.(*heapTimer)
 	if !ok {
-		panic(fmt.Sprintf("%T in the heap", value))
+		panic(fmt.Sprintf("timerHeap: pushed a %T, want *heapTimer", value))
 	}
 	pushed.index = len(*h)
 	*h = append(*h, pushed)
@@ -34,11 +34,10 @@
 	return t
 }
 
-// runningTimers is the number of timers of the benchmarks.
 const runningTimers = 100_000
 
-// BenchmarkWheel restarts one of runningTimers timers and advances by a tick every 32 restarts, as a proxy does
-// whose time-outs rarely fire.
+// BenchmarkWheel restarts random timers and advances by a tick every 32 restarts. This is the load of a proxy whose
+// time-outs rarely fire.
 func BenchmarkWheel(b *testing.B) {
 	w := &Wheel{}
 	timers := make([]Timer, runningTimers)
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,7 +1,7 @@
 // Package timerwheel is a hierarchical timing wheel: six levels of 64 slots, where one slot of a level
 // spans the whole level below it (Varghese and Lauck, "Hashed and hierarchical timing wheels", SOSP
 // 1987, scheme 7). Starting and stopping a timer take constant time and allocate nothing, however many
-// timers run.
+// timers are running.
 //
 // A Wheel reads no clock. Its owner passes the time to Advance, in ticks of any length, and may sleep
 // until NextDeadline. A Wheel and its timers are not safe for concurrent use.
@@ -10,24 +10,24 @@
 import "math/bits"
 
 const (
-	slotBits      = 6 // a level's slots fit the bits of a word
+	slotBits      = 6 // 64 slots per level, one for each bit of a uint64
 	slotsPerLevel = 1 << slotBits
 	slotMask      = slotsPerLevel - 1
 	levels        = 6
-	// Span is the farthest distance of a timer in ticks. A timer that is farther ahead is kept at this
-	// distance and inserted again when the wheel reaches it.
+	// Span is the largest distance in ticks that a wheel covers. A timer that is farther ahead is inserted
+	// at this distance, and inserted again when the wheel gets there.
 	Span = 1<<(slotBits*levels) - 1
 )
 
-// noLevel is the level of a timer that Advance has taken from its slot.
+// noLevel is the level of a timer that Advance has removed from its slot.
 const noLevel = -1
 
 // Timer is a timer of a Wheel. Its owner must not move or copy it while it runs. The zero Timer is
 // stopped.
 type Timer struct {
-	next, previous *Timer // in its slot
+	next, previous *Timer // in the list of the slot
 	when           uint64 // tick
-	level          int8   // noLevel while Advance works on the timer
+	level          int8   // noLevel after Advance has removed the timer from its slot
 	slot           int8
 	running        bool
 	// Fire is called by Advance after the timer has stopped. It may start and stop this and other
@@ -47,14 +47,14 @@
 	count    int                           // running timers
 	occupied [levels]uint64                // one bit for each slot that has a timer
 	heads    [levels][slotsPerLevel]*Timer // doubly linked lists
-	expired  []*Timer                      // the slot that Advance works on; reused for its memory
+	expired  []*Timer                      // timers of the slot that Advance processes; kept to reuse its memory
 }
 
 // Len returns the number of running timers.
 func (w *Wheel) Len() int { return w.count }
 
-// Now returns the current tick of the wheel. Within Advance it is the tick of the slot that fires, and
-// otherwise the latest tick that Advance was called with.
+// Now returns the current tick of the wheel. During Advance it is the tick at which the current slot
+// starts, and otherwise the latest tick that Advance was called with.
 func (w *Wheel) Now() uint64 { return w.now }
 
 // Start sets a timer to fire at a tick. If the timer is running, the tick replaces the earlier one. A
@@ -70,8 +70,8 @@
 // insert puts a running timer into the slot of its tick.
 func (w *Wheel) insert(t *Timer) {
 	tick := min(max(t.when, w.now+1), w.now+Span)
-	// The level is that of the highest bit in which tick and now differ. Above the top level, which wraps
-	// around, it is the top level.
+	// The level is that of the highest bit in which tick and now differ. A bit above the top level also
+	// gives the top level, whose slots wrap around.
 	highestBit := bits.Len64((w.now^tick)|slotMask) - 1
 	level := min(highestBit/slotBits, levels-1)
 	slot := tick >> (level * slotBits) & slotMask
@@ -87,7 +87,7 @@
 	w.occupied[level] |= 1 << slot
 }
 
-// Stop stops a timer, so that it does not fire. It has no effect for a stopped timer.
+// Stop stops a timer, so that it does not fire. It has no effect on a stopped timer.
 func (w *Wheel) Stop(t *Timer) {
 	if !t.running {
 		return
@@ -130,8 +130,8 @@
 		}
 		shift := level * slotBits
 		current := int(w.now >> shift & slotMask)
-		// The search starts after the current slot. Only the top level uses that one, for timers a whole
-		// revolution ahead, which come last.
+		// The search starts after the current slot, which therefore comes last. Only in the top level can
+		// the current slot have timers, and these are a whole revolution ahead.
 		ahead := 1 + bits.TrailingZeros64(bits.RotateLeft64(w.occupied[level], -current-1))
 		return occupiedSlot{
 			level: level,
@@ -143,15 +143,16 @@
 }
 
 // NextDeadline returns a tick before which no timer fires. It returns false if no timer is running. The
-// first timer may fire later than that tick, since only the slot of distant timers is known.
+// first timer may fire later than that tick, which is the start of its slot: in the higher levels a slot
+// spans many ticks.
 func (w *Wheel) NextDeadline() (uint64, bool) {
 	first, ok := w.firstSlot()
 	return first.start, ok
 }
 
-// Advance moves the wheel to a tick, fires all timers up to it, slot by slot in order of time, and
-// returns how many fired. A timer that Fire starts for a past tick fires in the next call, so that
-// this one ends.
+// Advance moves the wheel to a tick, fires all timers up to that tick, slot by slot in order of time,
+// and returns how many fired. A timer that Fire starts for a past tick fires only in the next call.
+// Otherwise a timer that always starts itself again would keep Advance from returning.
 func (w *Wheel) Advance(now uint64) (fired int) {
 	for {
 		first, ok := w.firstSlot()
@@ -181,13 +182,13 @@
 	}
 }
 
-// fireExpired fires the timers of w.expired that are due, inserts the others again, and returns how many
-// fired.
+// fireExpired fires the timers of w.expired that are due and inserts the others again. It returns how
+// many fired.
 func (w *Wheel) fireExpired() (fired int) {
 	for i, t := range w.expired {
 		w.expired[i] = nil
 		switch {
-		case !t.running || t.level != noLevel: // an earlier timer has stopped it or started it again
+		case !t.running || t.level != noLevel: // a timer that fired before has stopped it or started it again
 		case t.when > w.now:
 			w.insert(t)
 		default:
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -9,11 +9,10 @@
 	_ "martenlock/internal/proptest"
 )
 
-// modelTimers is the number of timers of the model.
 const modelTimers = 24
 
-// model drives a wheel with random starts, stops and steps of time. Every fourth timer starts itself again when it
-// fires, and the one after it stops its neighbour.
+// model performs random operations on a wheel and tracks which timers must fire. Of every four timers, the first
+// starts itself again when it fires, and the second stops the third.
 type model struct {
 	t      *rapid.T
 	wheel  Wheel
@@ -34,16 +33,16 @@
 func (m *model) fire(i int) {
 	when, ok := m.due[i]
 	if !ok {
-		m.t.Fatalf("timer %d fired though it was stopped or had fired", i)
+		m.t.Fatalf("timer %d fired although it was stopped or had fired already", i)
 	}
 	if when > m.wheel.Now() {
-		m.t.Fatalf("timer %d for tick %d fired at %d", i, when, m.wheel.Now())
+		m.t.Fatalf("timer %d for tick %d fired early, at tick %d", i, when, m.wheel.Now())
 	}
 	delete(m.due, i)
 	switch i % 4 {
 	case 0:
 		m.start(i, m.wheel.Now()+70)
-	case 1: // the neighbour may be due in this very slot
+	case 1: // the stopped timer may be due in the same slot
 		m.stop(i + 1)
 	}
 }
@@ -62,9 +61,9 @@
 func (m *model) advance() {
 	step := rapid.SampledFrom([]uint64{0, 1, 5, 64, 4000, 262144, 1 << 24, 1 << 36}).Draw(m.t, "step")
 	if next, ok := m.wheel.NextDeadline(); ok && next <= m.now {
-		m.t.Fatalf("at %d the next deadline is %d", m.now, next)
+		m.t.Fatalf("next deadline is tick %d, which is not after the current tick %d", next, m.now)
 	}
-	if step > 1<<20 { // a timer that starts itself again would fire for very long
+	if step > 1<<20 { // timers that start themselves again would fire too many times
 		for i := 0; i < modelTimers; i += 4 {
 			m.stop(i)
 		}
@@ -73,13 +72,13 @@
 	m.wheel.Advance(m.now)
 	for i, when := range m.due {
 		if when <= m.now {
-			m.t.Fatalf("timer %d for %d has not fired at %d", i, when, m.now)
+			m.t.Fatalf("timer %d for tick %d has not fired at tick %d", i, when, m.now)
 		}
 	}
 }
 
-// TestTimersFireOnceAtTheirTick: every timer fires once, in the first step that reaches its tick and never before,
-// as a plain map of the running timers does.
+// TestTimersFireOnceAtTheirTick compares the wheel with a map of the running timers: each timer fires once, in the
+// first call of Advance that reaches its tick.
 func TestTimersFireOnceAtTheirTick(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -95,14 +94,14 @@
 				m.advance()
 			}
 			if m.wheel.Len() != len(m.due) {
-				t.Fatalf("%d timers, want %d", m.wheel.Len(), len(m.due))
+				t.Fatalf("%d running timers, want %d", m.wheel.Len(), len(m.due))
 			}
 		}
 	})
 }
 
 // TestFarthestTimerDoesNotDelayEarlierOne: a timer at the distance Span is in the current slot of the top
-// level. An earlier timer in a later slot of that level still fires first.
+// level, a whole revolution ahead. An earlier timer in another slot of that level must still fire first.
 func TestFarthestTimerDoesNotDelayEarlierOne(t *testing.T) {
 	const topSlotTicks = 1 << (slotBits * (levels - 1))
 	var w Wheel
@@ -114,21 +113,21 @@
 	w.Start(&far, 1+Span)
 
 	if next, ok := w.NextDeadline(); !ok || next != 2*topSlotTicks {
-		t.Errorf("next at %d, %v; want %d", next, ok, 2*topSlotTicks)
+		t.Errorf("next deadline %d, %v; want %d", next, ok, 2*topSlotTicks)
 	}
 
 	w.Advance(2 * topSlotTicks)
 	if !slices.Equal(fired, []string{"near"}) {
-		t.Errorf("fired %v at the near timer's tick", fired)
+		t.Errorf("fired %v at the near timer's tick, want near only", fired)
 	}
 
 	w.Advance(Span)
 	if !slices.Equal(fired, []string{"near"}) {
-		t.Errorf("fired %v before the far timer's tick", fired)
+		t.Errorf("fired %v before the far timer's tick, want near only", fired)
 	}
 
 	w.Advance(1 + Span)
 	if !slices.Equal(fired, []string{"near", "far"}) {
-		t.Errorf("fired %v in the end", fired)
+		t.Errorf("fired %v at the far timer's tick, want near and far", fired)
 	}
 }
