--- a/internal/http1/chars.go
+++ b/internal/http1/chars.go
@@ -3,8 +3,8 @@
 // caseBit is the bit that makes an ASCII letter lower case.
 const caseBit = 0x20
 
-// equalFold reports whether ASCII text equals lower, whatever the case of its letters. lower must be
-// in lower case.
+// equalFold reports whether ASCII text equals lower if the case of its letters is ignored. lower must
+// be in lower case.
 func equalFold(text []byte, lower string) bool {
 	if len(text) != len(lower) {
 		return false
@@ -42,7 +42,7 @@
 	return table
 }()
 
-// isToken reports whether text is a token.
+// isToken reports whether text is a token, which has at least one character.
 func isToken(text []byte) bool {
 	for _, c := range text {
 		if !tokenChars[c] {
@@ -52,7 +52,7 @@
 	return len(text) > 0
 }
 
-// deleteChar is the control character DEL, above all printable ASCII.
+// deleteChar is the control character DEL, the only one above the printable ASCII characters.
 const deleteChar = 0x7f
 
 // hasControl reports whether text contains a control character other than the tab.
@@ -65,8 +65,8 @@
 	return false
 }
 
-// trimWhitespace returns text without the spaces and tabs around it, or nil if nothing remains. Unlike
-// bytes.Trim it builds no set of characters.
+// trimWhitespace returns text without leading and trailing spaces and tabs, or nil if nothing remains.
+// Unlike bytes.Trim it does not build a set of characters for each call.
 func trimWhitespace(text []byte) []byte {
 	for len(text) > 0 && isWhitespace(text[0]) {
 		text = text[1:]
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// maxChunkDigits is how many hexadecimal digits a chunk size may have: more could overflow the
-// 63 bits of an int64.
+// maxChunkDigits bounds the hexadecimal digits of a chunk size. More could overflow the 63 bits of an
+// int64.
 const maxChunkDigits = 15
 
 // readChunkSize consumes the line that begins a chunk. The last chunk has size 0, and the trailer
@@ -49,7 +49,7 @@
 		}
 		size = size<<4 | int64(digit)
 	}
-	extension := bytes.TrimLeft(line[digits:], " \t") // whitespace may precede an extension and nothing else
+	extension := bytes.TrimLeft(line[digits:], " \t") // whitespace is allowed only before an extension
 	strayBytes := len(extension) > 0 && extension[0] != ';'
 	strayWhitespace := len(extension) == 0 && digits < len(line)
 	if digits == 0 || strayBytes || strayWhitespace || hasControl(extension) {
@@ -71,8 +71,8 @@
 	return element{consumed: len(crlf)}, nil
 }
 
-// readTrailerLine consumes a line of the trailer. Fields are checked and discarded. An empty line ends
-// the message.
+// readTrailerLine consumes a line of the trailer. It checks and discards fields. An empty line ends the
+// message.
 func (p *Parser) readTrailerLine(b []byte) (element, *Error) {
 	line, n, err := p.readLine(b, p.limits.Headers-p.trailerSize, http.StatusRequestHeaderFieldsTooLarge)
 	if err != nil || n == 0 {
@@ -89,8 +89,8 @@
 	return element{consumed: n}, nil
 }
 
-// readLine returns the next line without its CRLF, and its size with it. The size is 0 while the line
-// is incomplete. A line longer than limit bytes is an error with the given status.
+// readLine returns the next line without its CRLF, and its size in bytes including the CRLF. The size
+// is 0 while the line is incomplete. A line longer than limit bytes is an error with the given status.
 func (p *Parser) readLine(b []byte, limit, status int) (line []byte, size int, err *Error) {
 	newline := bytes.IndexByte(b[min(p.scanned, len(b)):], '\n')
 	if newline < 0 {
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -5,12 +5,12 @@
 	"net/http"
 )
 
-// unknownLength is Head.ContentLength without a Content-Length field.
+// unknownLength is the value of Head.ContentLength if there is no Content-Length field.
 const unknownLength = -1
 
-// parseFraming interprets the fields that concern the connection and decides where the message ends
-// (RFC 9112, section 6). After an interim response the parser stays in stateHead, as another head
-// follows.
+// parseFraming interprets the fields on the connection and the framing, and determines where the
+// message ends (RFC 9112, section 6). After an interim response the parser stays in stateHead, as
+// another head follows.
 func (p *Parser) parseFraming() *Error {
 	h := &p.Head
 	h.KeepAlive = h.MinorVersion == 1
@@ -36,8 +36,8 @@
 	return p.beginContent()
 }
 
-// parseFramingField interprets a field that decides the framing or whether the connection is kept. It
-// ignores others.
+// parseFramingField interprets a field that affects the framing or the connection. It ignores other
+// fields.
 func (p *Parser) parseFramingField(field *Field) *Error {
 	h := &p.Head
 	switch {
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// setContentLength interprets a Content-Length field. A second one is an error, even if it is equal.
+// setContentLength interprets a Content-Length field. A second one is an error, even if its value is
+// the same.
 func (h *Head) setContentLength(value []byte) *Error {
 	if h.ContentLength != unknownLength {
 		return malformed("two content lengths")
@@ -72,11 +73,11 @@
 	return nil
 }
 
-// maxParsedLength bounds a length before the next digit is added. Ten times it fits an int64.
-// Limits.Body is the tighter bound.
+// maxParsedLength is the largest length to which parseLength appends another digit. The result fits
+// an int64. Limits.Body bounds the length itself.
 const maxParsedLength = 1 << 58
 
-// parseLength parses a length of digits only: it accepts no sign and no list.
+// parseLength parses a length. It accepts digits only, so neither a sign nor a list.
 func parseLength(value []byte) (int64, bool) {
 	length := int64(0)
 	for _, c := range value {
@@ -100,8 +101,8 @@
 	}
 }
 
-// checkFraming rejects a head whose fields contradict each other, or a request without exactly one
-// Host field.
+// checkFraming rejects a head whose fields contradict each other, and a request without exactly one
+// Host field. HTTP/1.0 requests may omit that field.
 func (p *Parser) checkFraming(hosts int) *Error {
 	h := &p.Head
 	switch {
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// beginContent sets the state for the content that follows the head.
+// beginContent sets the parser's state for the content after the head.
 func (p *Parser) beginContent() *Error {
 	h := &p.Head
 	switch {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -7,7 +7,7 @@
 
 var crlf = []byte("\r\n")
 
-// readHead consumes the head once the empty line that ends it has arrived.
+// readHead consumes the head once it has arrived completely.
 func (p *Parser) readHead(b []byte) (element, *Error) {
 	if p.scanned == 0 && !p.isResponse && bytes.HasPrefix(b, crlf) {
 		return element{consumed: len(crlf)}, nil // a request may follow an empty line (RFC 9112, section 2.2)
@@ -27,11 +27,11 @@
 	return element{consumed: size, kind: HeadDone}, nil
 }
 
-// isInterim reports whether the head is that of an interim response. The final one follows it.
+// isInterim reports whether the head is that of an interim response, which the final one follows.
 func (p *Parser) isInterim() bool { return p.isResponse && p.Head.Status < firstFinalStatus }
 
-// scanHead returns the size of the head with the empty line that ends it, or 0 while that is missing.
-// It searches each byte once over all calls.
+// scanHead returns the size of the head including the empty line that ends it, or 0 while that line is
+// missing. It searches each byte only once, even over several calls.
 func (p *Parser) scanHead(b []byte) (int, *Error) {
 	for {
 		newline := bytes.IndexByte(b[p.scanned:], '\n')
@@ -45,15 +45,15 @@
 		if newline == 1 {
 			return 0, malformed("empty start line")
 		}
-		ended := b[newline-2] == '\n'
-		if !ended && p.scanned == 0 && newline-1 > p.limits.Line {
+		isEmptyLine := b[newline-2] == '\n'
+		if !isEmptyLine && p.scanned == 0 && newline-1 > p.limits.Line {
 			return 0, p.startLineTooLong()
 		}
 		p.scanned = newline + 1
 		if p.scanned > p.limits.Headers {
 			return 0, headersTooLarge("header fields are larger than the limit")
 		}
-		if ended {
+		if isEmptyLine {
 			return p.scanned, nil
 		}
 	}
@@ -78,7 +78,8 @@
 	return &Error{Status: http.StatusRequestURITooLong, Reason: "request line is longer than the limit"}
 }
 
-// parseHead parses the start line and the fields, each with its CRLF, then interprets the framing.
+// parseHead parses the start line and the field lines, then determines the framing. Each line must end
+// in CRLF.
 func (p *Parser) parseHead(lines []byte) *Error {
 	fields := p.Head.Fields[:0]
 	p.Head = Head{}
@@ -102,7 +103,7 @@
 	return p.parseFraming()
 }
 
-// cutLine splits lines, all of which end in CRLF, after the first one.
+// cutLine splits off the first line, without its CRLF. All lines must end in CRLF.
 func cutLine(lines []byte) (line, rest []byte) {
 	newline := bytes.IndexByte(lines, '\n')
 	return lines[:newline-1], lines[newline+1:]
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// isStatusLine reports whether line has the form of a status line, whatever its status code is. The
-// space after the code may be missing if the reason phrase is.
+// isStatusLine reports whether line has the form of a status line. It does not check the status code.
+// If the reason phrase is missing, the space before it may be missing as well.
 func isStatusLine(line []byte) bool {
 	if len(line) < statusCodeEnd || !bytes.HasPrefix(line, []byte("HTTP/1.")) {
 		return false
@@ -200,9 +201,9 @@
 	return int(minorDigit - '0'), nil
 }
 
-// parseField splits a header line into name and value. The line must not be empty. In a response it
-// accepts control characters in a value except CR, LF and NUL, as RFC 9110, section 5.5, allows. An
-// engine's response must not be lost to a field that nobody needs.
+// parseField splits a header line into name and value. The line must not be empty. In the value of a
+// response's field it accepts control characters except CR, LF and NUL, as RFC 9110, section 5.5,
+// allows. An engine's response should not be rejected because of a field that is not needed.
 func parseField(line []byte, isResponse bool) (Field, *Error) {
 	if isWhitespace(line[0]) {
 		return Field{}, malformed("folded header line")
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,12 +1,12 @@
-// Package http1 parses and writes HTTP/1.1 messages (RFC 9112) on both sides of a proxy. It does no
-// I/O. The caller passes input to a Parser, and the Append functions write into a buffer of the
+// Package http1 parses and writes HTTP/1.1 messages (RFC 9112) for servers and clients. It does no
+// I/O. The caller passes input to a Parser, and the Append functions append to a buffer of the
 // caller.
 //
-// The parser is stricter than the RFC asks, since a message that two parsers interpret differently
-// can smuggle a request. A line must end in CRLF, a message has one length, and a colon follows each
-// field name directly.
+// The parser is stricter than the RFC requires, since a message that two parsers interpret differently
+// allows request smuggling. A line must end in CRLF, a message must have only one length, and a colon
+// must follow each field name directly.
 //
-// Nothing here locks. A Parser belongs to one goroutine.
+// A Parser is not safe for concurrent use.
 package http1
 
 import (
@@ -14,8 +14,8 @@
 	"net/http"
 )
 
-// Limits bound what a parser accepts. All must be set. Parsers share the value and read it at each
-// call, so it must not change while one of them is used.
+// Limits bound what a parser accepts. All must be set. Parsers read the shared value in each call, so
+// it must not change while a parser uses it.
 type Limits struct {
 	Line    int   // bytes of the start line
 	Headers int   // bytes of the start line and all fields together, and of a trailer
@@ -23,17 +23,17 @@
 	Body    int64 // bytes of content, without the framing of chunks
 }
 
-// Error is why a parser rejects a message. The connection cannot be used any more, as the end of the
-// message is unknown.
+// Error is the reason why a parser rejects a message. The connection cannot be used any more, as the
+// end of the message is unknown.
 type Error struct {
-	Status int    // status code of a server's answer
-	Reason string // a constant text, without bytes of the message
+	Status int    // status code that a server should respond with
+	Reason string // a constant text that contains no bytes of the message
 }
 
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%s (%d)", e.Reason, e.Status) }
 
-// malformed returns an error for a message that breaks the syntax.
+// malformed returns an error for a message with invalid syntax.
 func malformed(reason string) *Error {
 	return &Error{Status: http.StatusBadRequest, Reason: reason}
 }
@@ -50,7 +50,7 @@
 type Field struct{ Name, Value []byte }
 
 // Head is the start line and the fields of a message. Its slices are part of the parser's input and
-// valid until the caller changes that.
+// valid until the caller overwrites it.
 type Head struct {
 	Method, Target []byte // of a request
 	Status         int    // of a response
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -6,11 +6,11 @@
 type Kind uint8
 
 const (
-	// NeedMore means that nothing is found until more bytes arrive.
+	// NeedMore means that the parser needs more bytes to continue.
 	NeedMore Kind = iota // More
 	// HeadDone means that Parser.Head is set.
 	HeadDone
-	// Data means that a piece of the content was found.
+	// Data means that a part of the content was found.
 	Data
 	// End means that the message is complete. The next one may follow.
 	End
@@ -31,46 +31,47 @@
 	stateTrailer  // trailer
 	// stateUntilClose is content that ends with the connection.
 	stateUntilClose // until close
-	// stateEnd is a complete message whose End was not yet returned.
+	// stateEnd is a complete message for which Next has not yet returned End.
 	stateEnd // end
 )
 
-// Parser parses one message after another. Create it with NewRequests or NewResponses. It copies no
-// input, and reuses the memory of Head.Fields for the next message.
+// Parser parses one message after another. Create it with NewRequests or NewResponses. It does not
+// copy its input, and reuses the memory of Head.Fields for the next message.
 type Parser struct {
 	// Head is the head of the current message, valid once Next has returned HeadDone. Its slices are
-	// part of the input of that call and valid until the caller changes it.
+	// part of the input of that call and valid until the caller overwrites it.
 	Head Head
 
 	limits      *Limits
-	isResponse  bool // parses responses, else requests
+	isResponse  bool // parses responses rather than requests
 	state       state
-	scanned     int   // bytes of the incomplete head or line that were searched for its end
-	remaining   int64 // bytes of the content or the chunk that are still to come
+	scanned     int   // bytes of the incomplete head or line that were already searched for its end
+	remaining   int64 // bytes of the content or the chunk that are not yet consumed
 	contentSize int64 // bytes of content so far
 	trailerSize int   // bytes of the trailer so far
 }
 
-// element is what one step of the parser found. The zero element stands for nothing consumed and
-// nothing found. An element of kind Data consists of content only.
+// element is what the parser consumed in one step. The zero element means that nothing was consumed. An
+// element of kind Data consists of content only.
 type element struct {
-	consumed int
-	kind     Kind // NeedMore for an element that the caller need not know of
+	consumed int  // bytes
+	kind     Kind // NeedMore for an element that Next does not report
 }
 
 // NewRequests returns a parser of requests, for a server.
 func NewRequests(limits *Limits) *Parser { return &Parser{limits: limits} }
 
 // NewResponses returns a parser of responses, for a client. It does not know the methods of the
-// requests: no response may be to HEAD or CONNECT (RFC 9112, section 6.3, rules 1 and 2).
+// requests, so it must not be used for responses to HEAD or CONNECT (RFC 9112, section 6.3, rules 1
+// and 2).
 func NewResponses(limits *Limits) *Parser { return &Parser{limits: limits, isResponse: true} }
 
 // Idle reports whether the parser is between two messages.
 func (p *Parser) Idle() bool { return p.state == stateHead && p.scanned == 0 }
 
-// Next parses b, which begins with the first byte not consumed before. It returns how many bytes it
-// consumed and what it found in them. data is a slice of b and set for Data only. The caller owns b.
-// After an error the parser must not be used again.
+// Next parses b, which begins with the first byte not consumed by earlier calls. It returns how many
+// bytes it consumed and what it found. data is a slice of b and only set if kind is Data. The caller
+// owns b. After an error the parser must not be used again.
 func (p *Parser) Next(b []byte) (consumed int, kind Kind, data []byte, err *Error) {
 	for {
 		rest := b[consumed:]
@@ -85,8 +86,8 @@
 	}
 }
 
-// EndOfInput reports whether the end of the connection completes the current message. That is so for
-// a response without a length. Next returns End then.
+// EndOfInput tells the parser that the connection has ended. It reports whether that completes the
+// current message, as it does for a response without a length. If so, Next then returns End.
 func (p *Parser) EndOfInput() bool {
 	complete := p.state == stateUntilClose
 	if complete {
@@ -95,8 +96,7 @@
 	return complete
 }
 
-// readElement consumes one element of the message. If it consumes nothing and finds nothing, it needs
-// more bytes.
+// readElement consumes one element of the message. It returns the zero element if it needs more bytes.
 func (p *Parser) readElement(b []byte) (element, *Error) {
 	switch p.state {
 	case stateHead:
@@ -126,13 +126,13 @@
 	panic("http1: unknown state " + p.state.String())
 }
 
-// endMessage returns the end of the message. The head of the next one follows.
+// endMessage returns the element of kind End and prepares the parser for the next head.
 func (p *Parser) endMessage() element {
 	p.state = stateHead
 	return element{kind: End}
 }
 
-// readContent consumes content of a known length or of a chunk.
+// readContent consumes content of a known length, or of a chunk.
 func (p *Parser) readContent(b []byte) element {
 	n := int(min(int64(len(b)), p.remaining))
 	if n == 0 {
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -8,22 +8,22 @@
 
 var limits = Limits{Line: 200, Headers: 600, Fields: 8, Body: 1000}
 
-// message is what a parser found of one message.
+// message is a parsed message.
 type message struct {
-	line, body string
+	line, body string // line is made of Method, Target and Status
 	chunked    bool
 	keepAlive  bool
 }
 
-// parseAll parses all messages of in, which arrives in pieces of a given size.
-func parseAll(p *Parser, in []byte, piece int) ([]message, *Error) {
+// parseAll parses all messages of in, which is passed to the parser in pieces of pieceSize bytes.
+func parseAll(p *Parser, in []byte, pieceSize int) ([]message, *Error) {
 	var messages []message
 	var current message
 	from := 0
-	for to := min(piece, len(in)); ; to = min(to+piece, len(in)) {
+	for to := min(pieceSize, len(in)); ; to = min(to+pieceSize, len(in)) {
 		for needMore := false; !needMore; {
-			window := append([]byte(nil), in[from:to]...) // a fresh copy: the parser must not depend on older bytes
-			consumed, kind, data, err := p.Next(window)
+			unconsumed := append([]byte(nil), in[from:to]...) // a copy, as the parser must not depend on earlier slices
+			consumed, kind, data, err := p.Next(unconsumed)
 			from += consumed
 			if err != nil {
 				return messages, err
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestRequestsParsedOrRejectedAlikeInPiecesOfAnySize: what a parser accepts, and the status with which it
-// rejects the rest, does not depend on how the input is split.
-func TestRequestsParsedOrRejectedAlikeInPiecesOfAnySize(t *testing.T) {
+// TestRequestParsingDoesNotDependOnSplit: whether a request is accepted, and the status with which it is
+// rejected, does not depend on how the input is split.
+func TestRequestParsingDoesNotDependOnSplit(t *testing.T) {
 	const host = "Host: a\r\n"
 	post := func(rest string) string { return "POST /p HTTP/1.1\r\n" + host + rest }
 	for _, c := range []struct {
@@ -101,29 +101,29 @@
 		{"long content", post("Content-Length: 1001\r\n\r\n"), 413, ""},
 		{"long chunks", post("Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("64\r\n"+strings.Repeat("x", 100)+"\r\n", 11)), 413, ""},
 	} {
-		for _, piece := range []int{1, 2, 7, 1 << 20} {
-			got, err := parseAll(NewRequests(&limits), []byte(c.in), piece)
+		for _, pieceSize := range []int{1, 2, 7, 1 << 20} {
+			got, err := parseAll(NewRequests(&limits), []byte(c.in), pieceSize)
 			bodies := ""
 			for _, m := range got {
 				bodies += m.body + "|"
 			}
 			if err == nil && c.status != 0 || err != nil && err.Status != c.status || c.status == 0 && bodies != c.bodies {
-				t.Errorf("%s in pieces of %d: error %v, bodies %q; want %d, %q", c.name, piece, err, bodies, c.status, c.bodies)
+				t.Errorf("%s in pieces of %d bytes: error %v, bodies %q; want status %d, bodies %q", c.name, pieceSize, err, bodies, c.status, c.bodies)
 			}
 		}
 	}
 }
 
-// TestResponsesParsedOrRejectedAlikeInPiecesOfAnySize is the same for responses, of which some have no length
-// of their own.
-func TestResponsesParsedOrRejectedAlikeInPiecesOfAnySize(t *testing.T) {
+// TestResponseParsingDoesNotDependOnSplit does the same for responses, some of which end with the
+// connection.
+func TestResponseParsingDoesNotDependOnSplit(t *testing.T) {
 	in := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi" +
 		"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\nHTTP/1.0 503 Busy\r\n\r\ntill the end"
 	want := []message{{"  200", "hi", false, true}, {"  204", "", false, true}, {"  200", "a", true, true}, {"  503", "till the end", false, false}}
-	for _, piece := range []int{1, 3, 1 << 20} {
-		got, err := parseAll(NewResponses(&limits), []byte(in), piece)
+	for _, pieceSize := range []int{1, 3, 1 << 20} {
+		got, err := parseAll(NewResponses(&limits), []byte(in), pieceSize)
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("in pieces of %d: %v, %v; want %v", piece, got, err, want)
+			t.Errorf("in pieces of %d bytes: got %v, %v; want %v", pieceSize, got, err, want)
 		}
 	}
 	for _, in := range []string{
@@ -131,23 +131,23 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 	} {
 		if got, err := parseAll(NewResponses(&limits), []byte(in), 5); err == nil {
-			t.Errorf("%q parsed as %v", in, got)
+			t.Errorf("%q was parsed as %v, want an error", in, got)
 		}
 	}
 }
 
-// TestControlCharactersInFieldRejectRequestNotResponse: in a response only NUL and a bare CR are
-// rejected.
-func TestControlCharactersInFieldRejectRequestNotResponse(t *testing.T) {
+// TestResponseFieldMayContainControlCharacters: in a response's field only NUL and a bare CR are rejected,
+// in a request's field all control characters.
+func TestResponseFieldMayContainControlCharacters(t *testing.T) {
 	limits := &Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1000}
-	for value, inResponse := range map[string]bool{"a\x01b\x7f": true, "a\x00b": false, "a\rb": false, "ab": true} {
+	for value, isValidInResponse := range map[string]bool{"a\x01b\x7f": true, "a\x00b": false, "a\rb": false, "ab": true} {
 		_, _, _, err := NewResponses(limits).Next([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX: " + value + "\r\n\r\n"))
-		if (err == nil) != inResponse {
-			t.Errorf("response with %q: %v", value, err)
+		if (err == nil) != isValidInResponse {
+			t.Errorf("response with field value %q: error %v, want valid %v", value, err, isValidInResponse)
 		}
 		_, _, _, err = NewRequests(limits).Next([]byte("GET / HTTP/1.1\r\nHost: x\r\nX: " + value + "\r\n\r\n"))
 		if (err == nil) != (value == "ab") {
-			t.Errorf("request with %q: %v", value, err)
+			t.Errorf("request with field value %q: error %v, want valid %v", value, err, value == "ab")
 		}
 	}
 }
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -2,14 +2,14 @@
 
 import "net/http"
 
-// Bounds of status codes, RFC 9110 section 15.
+// Bounds of status codes (RFC 9110, section 15).
 const (
 	minStatusCode    = 100
-	firstFinalStatus = 200 // codes below it are of interim responses
+	firstFinalStatus = 200 // lower codes are those of interim responses
 )
 
 // StatusText returns the reason phrase of RFC 9110 for the status codes that this program sends, and
-// "Status" for others. The phrases of net/http are partly those of older RFCs.
+// "Status" for others. Some phrases of net/http are those of older RFCs.
 func StatusText(status int) string {
 	switch status {
 	case http.StatusContinue:
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,10 +2,11 @@
 
 import "strconv"
 
-// The Append functions append to a buffer of the caller and return it as append does. They keep
-// neither it nor their arguments. They check nothing: names and values must not contain CR or LF.
+// The Append functions append to a buffer of the caller and return the extended buffer, like append.
+// They keep no reference to it or to the other arguments. They do not validate arguments: names and
+// values must not contain CR or LF.
 
-// AppendRequest appends the start line of a request. The caller appends the fields and the empty line
+// AppendRequest appends the request line of a request. The caller appends the fields and the empty line
 // that ends the head.
 func AppendRequest(b []byte, method, target string) []byte {
 	b = append(b, method...)
@@ -39,7 +40,7 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// AppendChunk appends a chunk. If data is empty it appends nothing, as an empty chunk would end the
+// AppendChunk appends a chunk. If data is empty, it appends nothing, as an empty chunk would end the
 // content.
 func AppendChunk(b, data []byte) []byte {
 	if len(data) == 0 {
@@ -51,5 +52,5 @@
 	return append(b, "\r\n"...)
 }
 
-// LastChunk ends chunked content without a trailer.
+// LastChunk ends chunked content that has no trailer.
 const LastChunk = "0\r\n\r\n"
--- a/internal/http1/write_test.go
+++ b/internal/http1/write_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestAppendFunctionsWriteExactBytes pins the bytes of a request and of a chunked response.
+// TestAppendFunctionsWriteExactBytes compares the bytes of a request and of a chunked response.
 func TestAppendFunctionsWriteExactBytes(t *testing.T) {
 	request := AppendRequest([]byte("before;"), http.MethodPost, "/v1/embeddings")
 	request = AppendField(request, "Host", "a")
@@ -14,7 +14,7 @@
 	response = AppendField(response, "Transfer-Encoding", []byte("chunked"))
 	response = append(response, "\r\n"...)
 	response = AppendChunk(response, []byte("0123456789abcdef"))
-	response = AppendChunk(response, nil) // would end the content
+	response = AppendChunk(response, nil) // must append nothing: an empty chunk would end the content
 	response = append(response, LastChunk...)
 
 	wantRequest := "before;POST /v1/embeddings HTTP/1.1\r\nHost: a\r\nContent-Length: 12\r\n\r\n"
@@ -27,29 +27,29 @@
 	}
 }
 
-// TestStatusTextFollowsRFC9110: the phrases are those of net/http, but for two that RFC 9110 has renamed. Codes
-// that this program does not send have no phrase of their own.
+// TestStatusTextFollowsRFC9110: the phrases are those of net/http except for two that RFC 9110 has renamed. Codes
+// that this program does not send get "Status".
 func TestStatusTextFollowsRFC9110(t *testing.T) {
 	renamed := map[int]string{
 		http.StatusRequestEntityTooLarge: "Content Too Large",
 		http.StatusRequestURITooLong:     "URI Too Long",
 	}
-	known := 0
+	codes := 0
 	for status := minStatusCode; status < 600; status++ {
 		got := StatusText(status)
 		if got == "Status" {
 			continue
 		}
-		known++
+		codes++
 		want := http.StatusText(status)
 		if phrase, isRenamed := renamed[status]; isRenamed {
 			want = phrase
 		}
 		if got != want {
-			t.Errorf("%d: %q, want %q", status, got, want)
+			t.Errorf("StatusText(%d) is %q, want %q", status, got, want)
 		}
 	}
-	if known != 18 {
-		t.Errorf("%d codes have a phrase, want 18", known)
+	if codes != 18 {
+		t.Errorf("%d status codes have a phrase, want 18", codes)
 	}
 }
