--- a/internal/httpserver/close.go
+++ b/internal/httpserver/close.go
@@ -1,7 +1,7 @@
 package httpserver
 
-// handleTimeout closes the connection after too long a time in its state. An incomplete request
-// gets a response first.
+// handleTimeout is called when stateTimer fires. It closes the connection. If a request is
+// incomplete, the handler responds to it first.
 func (c *Conn) handleTimeout() {
 	switch c.state {
 	case Serving:
@@ -24,8 +24,8 @@
 	}
 }
 
-// Close closes the connection after the output. If a response may still be on its way, what
-// arrives meanwhile is read and discarded: closing over unread bytes causes a reset, which would
+// Close closes the connection once the output is sent. If a response may not have reached the
+// client yet, the close lingers: closing a socket with unread input sends a reset, which can
 // destroy the response.
 func (c *Conn) Close() {
 	if c.isDeliveringResponse() {
@@ -45,26 +45,27 @@
 	return c.conns.loop.Now()-c.lastAnswerAt < deliveryTime || c.conn.UnsentBytes() > 0
 }
 
-// CloseLingering closes the connection after the output, for a client that may still be sending.
+// CloseLingering closes the connection once the output is sent, for a client that may still be
+// sending. Its input is discarded.
 func (c *Conn) CloseLingering() {
 	c.conn.CloseLingering()
 	c.markClosed()
 }
 
-// Abort closes the connection at once and discards the output.
+// Abort closes the connection at once and discards unsent output.
 func (c *Conn) Abort() {
 	c.conn.Abort()
 	c.markClosed()
 }
 
-// Reset closes the connection at once with a TCP reset, which a client does not take for the end
-// of a response.
+// Reset closes the connection at once with a TCP reset, so that the client does not take the close
+// for the end of a response.
 func (c *Conn) Reset() {
 	c.conn.Reset()
 	c.markClosed()
 }
 
-// markClosed releases what a closed connection holds and removes it from its Conns.
+// markClosed releases the timer and the body of a closed connection and removes it from its Conns.
 func (c *Conn) markClosed() {
 	c.state = Closed
 	c.conns.loop.StopTimer(&c.stateTimer)
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -18,7 +18,7 @@
 	Idle State = iota // idle
 	// Receiving connections have a request that is arriving.
 	Receiving // receiving
-	// Serving connections have a request that the handler answers later. Further ones wait unread.
+	// Serving connections have a request that the handler answers later. Further requests are not read.
 	Serving // serving
 	// Closed connections are neither read nor written.
 	Closed // closed
@@ -27,8 +27,8 @@
 // isReading reports whether bytes from the client are parsed.
 func (s State) isReading() bool { return s == Idle || s == Receiving }
 
-// Conn is a client's connection. It implements eventloop.Handler. Conns.Add makes it ready for
-// use.
+// Conn is the connection of a client. It implements eventloop.Handler. It is initialized by
+// Conns.Add.
 type Conn struct {
 	conns   *Conns
 	handler Handler
@@ -36,18 +36,19 @@
 	parser  *http1.Parser
 
 	state      State
-	stateTimer timerwheel.Timer // bounds the time in the state; while serving, the time without progress of the client
+	stateTimer timerwheel.Timer // bounds the time in the state; while serving, the time for which a response is paused
 
-	// The current request, and its response. The fields outlive the request until the next head.
-	body         []byte // counted by Conns.memory
+	// The current request and its response. All except body keep their values until the head of the
+	// next request.
+	body         []byte // its size is reserved in Conns.memory
 	minorVersion int    // of HTTP/1
-	isHead       bool   // the response has no body
+	isHead       bool   // the request's method is HEAD, so the response has no body
 	keepAlive    bool   // the connection stays open after the response
 	framing      Framing
 
 	acceptedAt   time.Duration
-	hasAnswered  bool          // a response was finished
-	lastAnswerAt time.Duration // the end of the latest response
+	hasAnswered  bool          // at least one response was finished
+	lastAnswerAt time.Duration // when the latest response was finished
 }
 
 // Handler returns the connection's handler.
@@ -59,7 +60,7 @@
 // AcceptedAt returns when the connection was accepted, on the loop's clock.
 func (c *Conn) AcceptedAt() time.Duration { return c.acceptedAt }
 
-// HasAnswered reports whether a request was answered on this connection.
+// HasAnswered reports whether a response was finished on this connection.
 func (c *Conn) HasAnswered() bool { return c.hasAnswered }
 
 // IsBetweenRequests reports whether the client's next byte begins a new request. Otherwise it
@@ -70,17 +71,18 @@
 // request's response is finished.
 func (c *Conn) Body() []byte { return c.body }
 
-// TakeBody is Body for a caller that keeps the bytes. The caller releases them in Memory.
+// TakeBody returns the body and passes its ownership to the caller, which must release its bytes
+// with Memory.Release.
 func (c *Conn) TakeBody() []byte {
 	body := c.body
 	c.body = nil
 	return body
 }
 
-// StartServing makes the connection wait until the handler answers the current request.
+// StartServing makes the connection wait until the handler has answered the current request.
 func (c *Conn) StartServing() { c.state = Serving }
 
-// SendContinue sends 100 Continue to a client that waits for it before it sends a body.
+// SendContinue sends 100 Continue if the client waits for it before it sends the body.
 func (c *Conn) SendContinue(head *http1.Head) {
 	if head.ExpectContinue && (head.ContentLength > 0 || head.Chunked) {
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
@@ -90,7 +92,8 @@
 // Opened implements eventloop.Handler. Accepted connections are already established.
 func (c *Conn) Opened(*eventloop.Conn) {}
 
-// Data implements eventloop.Handler. It parses up to the end of one request.
+// Data implements eventloop.Handler. It stops parsing at the end of a request that the handler does
+// not answer at once, and leaves the rest unread.
 func (c *Conn) Data(_ *eventloop.Conn, data []byte) int {
 	consumed := 0
 	for c.state.isReading() {
@@ -122,19 +125,19 @@
 	return consumed
 }
 
-// EOF implements eventloop.Handler. A client that ends its sending half counts as gone.
+// EOF implements eventloop.Handler. A client that closes its sending half counts as gone.
 func (c *Conn) EOF(*eventloop.Conn) {
 	c.abandonRequest()
 	c.Close()
 }
 
-// Closed implements eventloop.Handler. A request that is being served loses its client.
+// Closed implements eventloop.Handler. It notifies the handler if a request is being served.
 func (c *Conn) Closed(*eventloop.Conn, error) {
 	c.abandonRequest()
 	c.markClosed()
 }
 
-// Writable implements eventloop.Handler. It resumes the response.
+// Writable implements eventloop.Handler. It lets the handler continue the response.
 func (c *Conn) Writable(*eventloop.Conn) {
 	if c.state != Serving {
 		return
@@ -143,8 +146,8 @@
 	c.handler.Writable()
 }
 
-// startReceiving is called at the first byte of a request. If FirstRequestTimeout bounds the first
-// request, the timer that Conns.Add started goes on.
+// startReceiving is called at the first byte of a request. If this is the first request and
+// FirstRequestTimeout is set, the timer that Conns.Add started keeps running.
 func (c *Conn) startReceiving() {
 	c.state = Receiving
 	c.conns.idle.MarkBusy(c)
@@ -154,7 +157,8 @@
 	}
 }
 
-// receiveHead keeps what framing needs of a request's head.
+// receiveHead stores the properties of a request's head that the response depends on, and passes
+// the head to the handler.
 func (c *Conn) receiveHead(head *http1.Head) {
 	c.keepAlive = head.KeepAlive && !c.conns.stopsKeepAlive
 	c.minorVersion = head.MinorVersion
@@ -163,7 +167,8 @@
 	c.handler.HeadReceived(head)
 }
 
-// receiveBody adds to the request's body, or aborts the request if there is no memory for it.
+// receiveBody appends data to the request's body, or aborts the request if there is no memory for
+// it.
 func (c *Conn) receiveBody(data []byte) {
 	if !c.conns.reserveBody(c, len(data)) {
 		c.handler.RequestAborted(OutOfMemory)
@@ -172,7 +177,7 @@
 	c.body = append(c.body, data...)
 }
 
-// discardBody releases the current request's body.
+// discardBody releases the current request's body and its reserved memory.
 func (c *Conn) discardBody() {
 	c.conns.memory.Release(len(c.body))
 	c.body = nil
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -18,7 +18,7 @@
 	)
 	for name, c := range map[string]struct {
 		version, field string
-		announces      bool
+		announces      bool // Options.AnnouncesKeepAlive
 		wantField      string
 		wantOpen       bool
 	}{
@@ -56,7 +56,7 @@
 
 	s.loop.DoIteration(func() {
 		if len(h.calls) != 1 {
-			t.Errorf("received %q before the first response", h.calls)
+			t.Errorf("handler got %q before the first response, want the first request only", h.calls)
 		}
 		h.respond(http.StatusOK, "first")
 	})
@@ -65,7 +65,7 @@
 	client.expectResponse(http.StatusOK, "/last")
 }
 
-func TestClientThatEndsItsSideIsGone(t *testing.T) {
+func TestClientThatClosesItsSendingHalfIsGone(t *testing.T) {
 	s := startServer(t, longTimeouts())
 	client, h := s.dial()
 	client.sendAndServe(h, get("/later"))
@@ -77,12 +77,12 @@
 	client.expectEnd()
 	s.loop.Do(func() {
 		if !h.has("client gone") || h.conn.State() != httpserver.Closed || s.conns.Len() != 0 {
-			t.Errorf("%q, %v, %d connections", h.calls, h.conn.State(), s.conns.Len())
+			t.Errorf("handler got %q, state %v, %d open connections; want client gone, closed, 0", h.calls, h.conn.State(), s.conns.Len())
 		}
 	})
 }
 
-func TestMalformedRequestIsTheLastOne(t *testing.T) {
+func TestConnectionClosesAfterMalformedRequest(t *testing.T) {
 	s := startServer(t, longTimeouts())
 	client, _ := s.dial()
 
@@ -90,7 +90,7 @@
 
 	client.expectResponse(http.StatusOK, "/a")
 	if answer := client.receive(http.MethodGet); answer.status != http.StatusBadRequest || !answer.closes {
-		t.Errorf("%+v", answer)
+		t.Errorf("got %+v, want status 400 with Connection: close", answer)
 	}
 	client.expectEnd()
 }
@@ -102,18 +102,18 @@
 	client.send(postHead("/echo", "4\r\nExpect: 100-continue"))
 
 	if answer := client.receive(http.MethodPost); answer.status != http.StatusContinue {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("got %+v, want status 100", answer)
 	}
 	client.send("body")
 	client.expectResponse(http.StatusOK, "body")
 }
 
-func TestTimeoutsOfRequests(t *testing.T) {
+func TestRequestTimeouts(t *testing.T) {
 	const short = 50 * time.Millisecond
 	for name, c := range map[string]struct {
 		set   func(*httpserver.Options)
 		sends string
-		want  string // the handler's call
+		want  string // the handler's last call
 	}{
 		"idle from the accept": {
 			set:  func(o *httpserver.Options) { o.IdleTimeout = short },
@@ -158,7 +158,7 @@
 			s.waitFor("the connection is closed", func() bool { return h.conn.State() == httpserver.Closed })
 			s.loop.Do(func() {
 				if last := h.calls[len(h.calls)-1]; last != c.want {
-					t.Errorf("%q, want %q last", h.calls, c.want)
+					t.Errorf("handler got %q, want %q as the last call", h.calls, c.want)
 				}
 			})
 			if strings.HasPrefix(c.sends, "GET") {
@@ -181,17 +181,17 @@
 	client.expectResponse(http.StatusOK, "/a")
 
 	client.send("GET /b HTTP/1.1\r\n")
-	time.Sleep(options.FirstRequestTimeout + 100*time.Millisecond) // beyond the first request's time
+	time.Sleep(options.FirstRequestTimeout + 100*time.Millisecond) // longer than a first request may take
 	client.send("Host: x\r\n\r\n")
 
 	client.expectResponse(http.StatusOK, "/b")
 }
 
-// longBody is more than the sockets' buffers take if the client doesn't read.
+// longBody doesn't fit into the buffers of the sockets while a client of dialSmallBuffer doesn't read.
 var longBody = strings.Repeat("snow on the roof ", 16<<10)
 
-// dialSmallBuffer is dial for a client whose system takes a quarter of longBody, or less, before
-// the client reads.
+// dialSmallBuffer is dial for a client with a small receive buffer, which holds at most a quarter of
+// longBody.
 func (s *server) dialSmallBuffer() (*client, *testHandler) {
 	s.t.Helper()
 	client, h := s.dial()
@@ -201,10 +201,10 @@
 	return client, h
 }
 
-func TestCloseOverUnreadBytesDeliversTheResponse(t *testing.T) {
+func TestCloseWithUnreadInputDeliversTheResponse(t *testing.T) {
 	for name, closeConn := range map[string]func(*httpserver.Conn){
-		"Close in the delivery time": (*httpserver.Conn).Close,
-		"CloseLingering":             (*httpserver.Conn).CloseLingering,
+		"Close during ResponseDeliveryTime": (*httpserver.Conn).Close,
+		"CloseLingering":                    (*httpserver.Conn).CloseLingering,
 	} {
 		t.Run(name, func(t *testing.T) {
 			options := longTimeouts()
@@ -213,7 +213,7 @@
 			client, h := s.dialSmallBuffer()
 			client.sendAndServe(h, get("/later"))
 
-			s.loop.Do(func() { // within one iteration, so that the client's bytes lie unread
+			s.loop.Do(func() { // within one iteration, so that the second request is unread at the close
 				client.send(get("/never"))
 				h.respond(http.StatusOK, longBody)
 				closeConn(&h.conn)
@@ -223,14 +223,14 @@
 			client.expectEnd()
 			s.loop.Do(func() {
 				if len(h.calls) != 1 {
-					t.Errorf("%q after the close", h.calls[1:])
+					t.Errorf("handler got %q after the close, want no call", h.calls[1:])
 				}
 			})
 		})
 	}
 }
 
-func TestClientThatTakesNothingIsAborted(t *testing.T) {
+func TestConnectionOfStalledClientIsAborted(t *testing.T) {
 	options := longTimeouts()
 	options.WriteStallTimeout = 50 * time.Millisecond
 	s := startServer(t, options)
@@ -243,31 +243,31 @@
 	s.waitFor("the connection is closed", func() bool { return h.conn.State() == httpserver.Closed })
 	s.loop.Do(func() {
 		if calls := strings.Join(h.calls, ", "); !strings.HasSuffix(calls, ", write_stalled, client gone") {
-			t.Error(calls)
+			t.Errorf("handler got %s, want write_stalled and client gone as the last calls", calls)
 		}
 	})
 }
 
-// writeUntilFull writes pieces until the client's side and the system take no more, for a client
-// that does not read.
+// writeUntilFull writes to a client that does not read until the buffers of the sockets are full and
+// more than longBody is unsent.
 func writeUntilFull(s *server, h *testHandler) {
 	s.t.Helper()
 	for range 1000 {
-		isStuck := false
+		isFull := false
 		s.loop.DoIteration(func() {
-			isStuck = h.conn.State() != httpserver.Serving || h.conn.UnsentBytes() > len(longBody)
-			if !isStuck {
+			isFull = h.conn.State() != httpserver.Serving || h.conn.UnsentBytes() > len(longBody)
+			if !isFull {
 				h.conn.WriteBody([]byte(longBody))
 			}
 		})
-		if isStuck {
+		if isFull {
 			return
 		}
 	}
-	s.t.Fatal("the client's system takes everything")
+	s.t.Fatal("the buffers of the sockets did not fill up")
 }
 
-func TestClientThatReadsAgainIsWritable(t *testing.T) {
+func TestWritableIsCalledWhenClientReadsAgain(t *testing.T) {
 	options := longTimeouts()
 	options.WriteStallTimeout = 5 * time.Second
 	s := startServer(t, options)
@@ -276,22 +276,22 @@
 	s.loop.Do(h.startBody)
 	writeUntilFull(s, h)
 
-	go client.reader.WriteTo(discardAll{}) //nolint:errcheck // the test's end closes the connection
+	go client.reader.WriteTo(discardAll{}) //nolint:errcheck // the connection is closed when the test ends
 
-	s.waitFor("the response can go on", func() bool { return h.has("writable") })
+	s.waitFor("the response can continue", func() bool { return h.has("writable") })
 	s.loop.Do(func() {
 		if h.conn.State() != httpserver.Serving {
-			t.Errorf("%v, %q", h.conn.State(), h.calls)
+			t.Errorf("state %v after the calls %q, want serving", h.conn.State(), h.calls)
 		}
 	})
 }
 
-// discardAll is io.Discard without ReadFrom, so that the reader's own buffer is used.
+// discardAll is io.Discard without ReadFrom, so that bufio.Reader uses its own buffer.
 type discardAll struct{}
 
 func (discardAll) Write(b []byte) (int, error) { return len(b), nil }
 
-func TestAbortAndResetAreNoEndOfAResponse(t *testing.T) {
+func TestClientSeesAbortAndResetAsError(t *testing.T) {
 	for name, closeConn := range map[string]func(*httpserver.Conn){
 		"Abort": (*httpserver.Conn).Abort,
 		"Reset": (*httpserver.Conn).Reset,
@@ -307,14 +307,14 @@
 
 			response, err := http.ReadResponse(bufio.NewReader(client), nil)
 			if err != nil {
-				return // the reset has overtaken the head
+				return // the reset arrived before the head was read
 			}
 			defer response.Body.Close()
 			for buffer := make([]byte, 64<<10); err == nil; {
 				_, err = response.Body.Read(buffer)
 			}
 			if !isReset(err) {
-				t.Errorf("the client reads %v, want a reset", err)
+				t.Errorf("client's read returned %v, want a reset", err)
 			}
 		})
 	}
--- a/internal/httpserver/conns.go
+++ b/internal/httpserver/conns.go
@@ -9,12 +9,12 @@
 	"martenlock/internal/http1"
 )
 
-// Conns holds a server's listener and the open connections that it accepted. NewConns returns one
-// that is ready for use.
+// Conns holds a server's listener and the open connections that it accepted. Create it with
+// NewConns.
 type Conns struct {
 	// Listener is set by the server before it adds connections.
 	Listener *eventloop.Listener
-	// Options may be replaced at any time. Timers that run keep their time.
+	// Options may be replaced at any time. Running timers are not changed.
 	Options Options
 
 	loop           *eventloop.Loop
@@ -29,8 +29,8 @@
 	return &Conns{loop: loop, memory: memory, open: map[*Conn]struct{}{}}
 }
 
-// Add initializes c as the connection of a handler. c is idle, and the eventloop.Handler of the
-// accepted connection.
+// Add initializes c for an accepted connection and the handler of its requests. The caller must
+// make c the eventloop.Handler of the accepted connection.
 func (cs *Conns) Add(c *Conn, accepted *eventloop.Conn, handler Handler) {
 	*c = Conn{
 		conns:      cs,
@@ -49,21 +49,20 @@
 	cs.loop.StartTimer(&c.stateTimer, timeout)
 }
 
-// remove removes a closed connection.
 func (cs *Conns) remove(c *Conn) {
 	delete(cs.open, c)
 	cs.idle.Remove(c)
 }
 
-// Len returns the number of open connections. Those that are closed but still linger don't count.
+// Len returns the number of open connections. Connections that linger after a close don't count.
 func (cs *Conns) Len() int { return len(cs.open) }
 
 // All returns the open connections in no particular order. The caller may close them while it
 // iterates.
 func (cs *Conns) All() iter.Seq[*Conn] { return maps.Keys(cs.open) }
 
-// EvictIdle closes the connection that has been idle for longest, and reports whether one was
-// idle.
+// EvictIdle closes the connection that has been idle for longest. It reports whether there was an
+// idle connection.
 func (cs *Conns) EvictIdle() bool {
 	c, found := cs.idle.LongestIdle()
 	if !found {
@@ -74,18 +73,18 @@
 	return true
 }
 
-// StopKeepAlive makes each response whose head is not yet written the last one of its connection.
+// StopKeepAlive makes every response whose head is not yet written the last one of its connection.
 func (cs *Conns) StopKeepAlive() { cs.stopsKeepAlive = true }
 
 // CloseAfterResponses makes the current response of each connection its last one, even if its head
-// has promised otherwise.
+// was written without "Connection: close".
 func (cs *Conns) CloseAfterResponses() {
 	for c := range cs.open {
 		c.keepAlive = false
 	}
 }
 
-// CloseIdle closes the idle connections of a server that shuts down.
+// CloseIdle closes the idle connections when the server shuts down.
 func (cs *Conns) CloseIdle() {
 	for c := range cs.open {
 		if c.state == Idle {
@@ -96,7 +95,8 @@
 }
 
 // reserveBody reserves memory for more bytes of a connection's body, and reports whether they fit.
-// With Options.EvictsUploads it first evicts larger incomplete bodies of other connections.
+// With Options.EvictsUploads, it evicts larger incomplete bodies of other connections to make them
+// fit.
 func (cs *Conns) reserveBody(c *Conn, bytes int) bool {
 	for !cs.memory.Reserve(bytes) {
 		if !cs.Options.EvictsUploads {
@@ -111,8 +111,8 @@
 	return true
 }
 
-// largestUpload returns the connection whose incomplete body is to be evicted first, or nil if
-// there is none.
+// largestUpload returns the connection whose incomplete body must be evicted first, or nil if there
+// is none.
 func (cs *Conns) largestUpload() *Conn {
 	var largest *Conn
 	for c := range cs.open {
@@ -126,7 +126,7 @@
 	return largest
 }
 
-// partialRequest is the received part of the current request, as evictions compare it.
+// partialRequest returns the properties of an incomplete request by which evictions are ordered.
 func (c *Conn) partialRequest() connlimit.PartialRequest {
 	return connlimit.PartialRequest{BufferedBytes: len(c.body), AcceptedAt: c.acceptedAt}
 }
--- a/internal/httpserver/conns_test.go
+++ b/internal/httpserver/conns_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLongestIdleConnectionIsEvictedFirst(t *testing.T) {
-	// given: the first has answered since, the second waits for its answer, the fourth is receiving
+	// given: four connections; the first became idle last, the second is serving and the fourth receiving
 	s := startServer(t, longTimeouts())
 	answered, answeredHandler := s.dial()
 	serving, servingHandler := s.dial()
@@ -32,11 +32,12 @@
 	// then
 	for i, want := range []*testHandler{thirdHandler, answeredHandler} {
 		if !evict() {
-			t.Fatalf("eviction %d found none", i)
+			t.Fatalf("eviction %d found no idle connection", i)
 		}
 		s.loop.Do(func() {
 			if !want.has("evicted") || want.conn.State() != httpserver.Closed || s.conns.Len() != 3-i {
-				t.Errorf("eviction %d: %q, %v, %d open", i, want.calls, want.conn.State(), s.conns.Len())
+				t.Errorf("eviction %d: handler got %q, state %v, %d open connections; want evicted, closed, %d",
+					i, want.calls, want.conn.State(), s.conns.Len(), 3-i)
 			}
 		})
 	}
@@ -65,7 +66,7 @@
 		clients, handlers = append(clients, c), append(handlers, h)
 	}
 
-	// The larger one goes first, then of two equal ones the older.
+	// The largest upload is evicted first. Of two equal ones, the older connection is evicted.
 	first, _ := s.dial()
 	body := strings.Repeat("y", 400)
 	first.send(postHead("/echo", "400"), body)
@@ -82,12 +83,12 @@
 
 	s.loop.Do(func() {
 		if handlers[2].conn.State() != httpserver.Receiving || handlers[2].has("upload evicted") {
-			t.Errorf("the third: %v, %q", handlers[2].conn.State(), handlers[2].calls)
+			t.Errorf("third upload: state %v, handler got %q; want receiving", handlers[2].conn.State(), handlers[2].calls)
 		}
 	})
 }
 
-func TestLargestUploadItselfIsAborted(t *testing.T) {
+func TestLargestUploadThatNeedsMemoryIsAborted(t *testing.T) {
 	options := longTimeouts()
 	options.EvictsUploads = true
 	s := startServer(t, options)
@@ -131,12 +132,12 @@
 	client.send(postHead("/echo", "1048577"))
 
 	if answer := client.receive(http.MethodPost); answer.status != http.StatusRequestEntityTooLarge || !answer.closes {
-		t.Errorf("%+v", answer)
+		t.Errorf("got %+v, want status 413 with Connection: close", answer)
 	}
 	client.expectEnd()
 }
 
-func TestTakenBodyIsTheCallersToRelease(t *testing.T) {
+func TestTakenBodyStaysReserved(t *testing.T) {
 	s := startServer(t, longTimeouts())
 	client, h := s.dial()
 	client.sendAndServe(h, postHead("/later", "4"), "body")
@@ -150,7 +151,7 @@
 	client.expectResponse(http.StatusOK, "done")
 	s.loop.Do(func() {
 		if string(taken) != "body" || s.memory.used != len(taken) {
-			t.Errorf("%q taken, %d bytes reserved", taken, s.memory.used)
+			t.Errorf("TakeBody returned %q, %d bytes reserved; want %q, 4", taken, s.memory.used, "body")
 		}
 	})
 }
@@ -166,12 +167,12 @@
 	})
 
 	if answer := client.expectResponse(http.StatusOK, "last"); !answer.closes {
-		t.Errorf("%+v", answer)
+		t.Errorf("got %+v, want Connection: close", answer)
 	}
 	client.expectEnd()
 }
 
-func TestBegunResponseIsTheLastOneOnlyByCloseAfterResponses(t *testing.T) {
+func TestOnlyCloseAfterResponsesAffectsStartedResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		stop     func(*httpserver.Conns)
 		wantOpen bool
@@ -190,7 +191,7 @@
 				h.conn.WriteBody([]byte("body"))
 				h.conn.EndBody()
 				if isOpen := h.conn.State() == httpserver.Idle; isOpen != c.wantOpen {
-					t.Errorf("%v after the response", h.conn.State())
+					t.Errorf("state %v after the response, want open %v", h.conn.State(), c.wantOpen)
 				}
 			})
 
@@ -210,7 +211,7 @@
 	idle.expectEnd()
 	s.loop.DoIteration(func() {
 		if !idleHandler.has("shutdown") || s.conns.Len() != 1 {
-			t.Errorf("%q, %d open", idleHandler.calls, s.conns.Len())
+			t.Errorf("idle connection's handler got %q, %d open connections; want shutdown, 1", idleHandler.calls, s.conns.Len())
 		}
 		servingHandler.respond(http.StatusOK, "answer")
 	})
--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -1,28 +1,28 @@
-// Package httpserver serves HTTP/1.1 connections of clients on an event loop. It knows connections,
-// not what requests mean. A Conn receives one request at a time, passes it to its Handler, frames
-// the response, and then closes the connection or waits for the next request. A Conns holds the
-// open connections of a listener and evicts idle ones.
+// Package httpserver serves HTTP/1.1 connections of clients on an event loop. It does not interpret
+// requests. A Conn receives one request at a time, passes it to its Handler, frames the response,
+// and then closes the connection or waits for the next request. A Conns holds the open connections
+// of a listener and evicts idle ones.
 //
 // A connection is Idle until the first byte of a request, Receiving until the request is complete,
-// and Serving if the Handler answers later. Pipelined requests wait unread meanwhile. A client that
-// ends its sending half counts as gone, as it does for net/http and HAProxy's abortonclose: an
-// answer to nobody would cost an engine. A reset connection would destroy a response on its way, so
-// closes after a response linger.
+// and Serving if the Handler answers later. Pipelined requests are not read meanwhile. A client that
+// closes its sending half counts as gone, as with net/http and HAProxy's abortonclose: otherwise
+// engines would compute responses that nobody reads. A reset can destroy a response that the client
+// has not read yet, so a close after a response lingers.
 //
 // All methods must be called on the event loop.
 //
 // # Differences between the servers
 //
-// Packages platform and openaiserver share this package. They differ in:
+// Packages platform and openaiserver use this package. They differ in:
 //
 //   - First request: platform bounds it by Options.FirstRequestTimeout, from the accept.
 //     openaiserver has the idle time-out from the accept and RequestTimeout from the first byte.
 //   - Close of an idle connection: platform lingers within Options.ResponseDeliveryTime of the
-//     latest response. openaiserver closes plainly.
-//   - Body without memory: platform evicts the largest incomplete body (Options.EvictsUploads).
+//     latest response. openaiserver does not linger.
+//   - Body that exceeds the memory: platform evicts the largest incomplete body (Options.EvictsUploads).
 //     openaiserver aborts the request whose body arrives.
 //   - HTTP/1.0 keep-alive: openaiserver announces it (Options.AnnouncesKeepAlive). platform keeps
-//     the connection open and says nothing.
+//     the connection open without announcing it.
 //   - Limit on connections: on platform, a connection above the limit evicts an idle one or is
 //     rejected. In openaiserver, the last connection within the limit evicts an idle one, and
 //     further ones wait in the backlog.
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -4,28 +4,28 @@
 
 //go:generate go tool stringer -linecomment -type=State,Framing,AbortReason,CloseReason -output=enum_string.go
 
-// Handler processes the requests of one connection. To give a last response, it calls
-// Conn.CloseAfterResponse before the response.
+// Handler processes the requests of one connection. To make a response the last one of the
+// connection, it calls Conn.CloseAfterResponse before it writes the response.
 type Handler interface {
-	// HeadReceived is called with the head of a request, which is valid during the call. The
-	// handler may reject the request at once, with a last response.
+	// HeadReceived is called with the head of a request, which is valid only during the call. The
+	// handler may reject the request at once. Its response must be the last one.
 	HeadReceived(head *http1.Head)
-	// RequestReceived is called when a request is complete. The handler answers it, or calls
-	// Conn.StartServing and answers later.
+	// RequestReceived is called when a request is complete. The handler answers it at once, or
+	// calls Conn.StartServing and answers later.
 	RequestReceived()
-	// RequestMalformed is called when the client's bytes are not a request. The handler must give
-	// a last response.
+	// RequestMalformed is called when the client's bytes are not a valid request. The handler must
+	// respond, and this response must be the last one.
 	RequestMalformed(err *http1.Error)
-	// RequestAborted is called when a request that is arriving is cut off. The handler must give a
-	// last response.
+	// RequestAborted is called when the rest of an incomplete request will not be received. The
+	// handler must respond, and this response must be the last one.
 	RequestAborted(reason AbortReason)
-	// Writable is called while serving. The client has taken enough of the response, so that a
-	// handler that paused after Conn.WriteBody can continue.
+	// Writable is called while serving, when a handler that paused after Conn.WriteBody can
+	// continue because the client has read enough of the response.
 	Writable()
-	// ClientGone is called while serving. The client has left or takes nothing of its response.
-	// The connection closes after the call.
+	// ClientGone is called while serving, when the client has closed the connection or does not
+	// read the response. The connection is closed after the call.
 	ClientGone()
-	// Closing is called before this package closes the connection for one of its own reasons.
+	// Closing is called before this package closes the connection for one of the given reasons.
 	Closing(reason CloseReason)
 }
 
@@ -36,20 +36,20 @@
 const (
 	// RequestTimedOut requests did not arrive in time.
 	RequestTimedOut AbortReason = iota // request timed out
-	// OutOfMemory requests have a body for which Memory has no space.
+	// OutOfMemory requests have a body that does not fit into Memory.
 	OutOfMemory // out of memory
-	// UploadEvicted requests had the largest incomplete body when another one needed memory.
+	// UploadEvicted requests had the largest incomplete body when another request needed memory.
 	UploadEvicted // upload evicted
 )
 
 // CloseReason is why this package closes a connection.
 type CloseReason uint8
 
-// The reasons, in the words of the log.
+// The reasons. Their texts are used in the log.
 const (
-	// IdleTimeout connections waited too long for a request.
+	// IdleTimeout connections got no request in time.
 	IdleTimeout CloseReason = iota // idle_timeout
-	// WriteStalled connections have a client that takes nothing of its response.
+	// WriteStalled connections have a client that does not read its response.
 	WriteStalled // write_stalled
 	// Evicted connections were idle for longest when Conns.EvictIdle was called.
 	Evicted // evicted
--- a/internal/httpserver/harness_test.go
+++ b/internal/httpserver/harness_test.go
@@ -17,19 +17,19 @@
 	"martenlock/internal/httpserver"
 )
 
-// testTimeout bounds each wait of a test.
+// testTimeout bounds each wait in a test.
 const testTimeout = 10 * time.Second
 
-// server is a listener whose requests are answered by their paths: see testHandler.RequestReceived.
-// Its fields belong to the loop.
+// server answers requests according to their paths, see testHandler.RequestReceived. Its fields must
+// be used on the loop.
 type server struct {
 	t        *testing.T
 	loop     eventlooptest.Loop
 	conns    *httpserver.Conns
 	memory   *boundedMemory
-	handlers []*testHandler // in the order of the accepts
+	handlers []*testHandler // in the order of accepting
 
-	newHandler func(*testHandler) httpserver.Handler // replaces a connection's handler; nil to keep it
+	newHandler func(*testHandler) httpserver.Handler // wraps the handler of a new connection; may be nil
 }
 
 // boundedMemory implements httpserver.Memory.
@@ -45,7 +45,7 @@
 
 func (m *boundedMemory) Release(bytes int) { m.used -= bytes }
 
-// longTimeouts are options whose time-outs no test reaches.
+// longTimeouts returns options with time-outs that no test reaches.
 func longTimeouts() httpserver.Options {
 	return httpserver.Options{
 		Parsing:           &http1.Limits{Line: 1 << 10, Headers: 4 << 10, Fields: 16, Body: 1 << 20},
@@ -85,7 +85,7 @@
 	return &h.conn
 }
 
-// dial connects a client, and returns it with its handler.
+// dial connects a client and returns it with the handler of its connection.
 func (s *server) dial() (*client, *testHandler) {
 	s.t.Helper()
 	accepted := 0
@@ -102,7 +102,7 @@
 	return &client{t: s.t, server: s, TCPConn: conn, reader: bufio.NewReader(conn)}, h
 }
 
-// waitFor waits for a condition, which is evaluated on the loop.
+// waitFor waits until a condition holds, which is evaluated on the loop.
 func (s *server) waitFor(what string, condition func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -134,8 +134,8 @@
 	h.conn.SendContinue(head)
 }
 
-// RequestReceived implements httpserver.Handler. /later is answered by the test; /echo with the
-// request's body; any other path with itself.
+// RequestReceived implements httpserver.Handler. It leaves /later to the test, answers /echo with the
+// request's body, and any other path with the path.
 func (h *testHandler) RequestReceived() {
 	h.record("request " + h.path)
 	switch h.path {
@@ -175,18 +175,18 @@
 	return h.conn.AppendConnectionField(http1.AppendStatus(nil, status))
 }
 
-// respond answers with a whole response.
+// respond writes a complete response.
 func (h *testHandler) respond(status int, text string) {
 	h.conn.WriteTextResponse(h.head(status), text)
 }
 
-// respondLast answers with the connection's last response.
+// respondLast writes a complete response that is the last one of the connection.
 func (h *testHandler) respondLast(status int, text string) {
 	h.conn.CloseAfterResponse()
 	h.respond(status, text)
 }
 
-// startBody begins a response of unknown length.
+// startBody writes the head of a response of unknown length.
 func (h *testHandler) startBody() {
 	framing := h.conn.SelectFraming(false)
 	head := h.head(http.StatusOK)
@@ -212,11 +212,12 @@
 	}
 }
 
-// sendAndServe writes requests of which the first is for /later, and waits until that is served.
+// sendAndServe writes requests, the first of which must be for /later, and waits until that one is being
+// served.
 func (c *client) sendAndServe(h *testHandler, texts ...string) {
 	c.t.Helper()
 	c.send(texts...)
-	c.server.waitFor("the request is served", func() bool { return h.conn.State() == httpserver.Serving })
+	c.server.waitFor("the request is being served", func() bool { return h.conn.State() == httpserver.Serving })
 }
 
 // response is a response as its client reads it.
@@ -225,10 +226,10 @@
 	body       string
 	isComplete bool
 	head       http.Header
-	closes     bool // the head says so
+	closes     bool // the head has "Connection: close", or the body ends with the connection
 }
 
-// receive reads the response to a request of a method.
+// receive reads the response to a request with the given method.
 func (c *client) receive(method string) response {
 	c.t.Helper()
 	r, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -239,7 +240,7 @@
 	return response{status: r.StatusCode, body: string(body), isComplete: err == nil, head: r.Header, closes: r.Close}
 }
 
-// expectResponse reads a response and compares it.
+// expectResponse reads a response and checks its status and body.
 func (c *client) expectResponse(status int, body string) response {
 	c.t.Helper()
 	r := c.receive(http.MethodGet)
@@ -249,7 +250,7 @@
 	return r
 }
 
-// expectBytes reads as many bytes as it wants, and compares them.
+// expectBytes reads len(want) bytes and compares them with want.
 func (c *client) expectBytes(want string) {
 	c.t.Helper()
 	got := make([]byte, len(want))
@@ -258,7 +259,7 @@
 	}
 }
 
-// expectEnd waits until the server has closed the connection, without more bytes.
+// expectEnd waits until the server closes the connection, and fails the test if more bytes arrive before.
 func (c *client) expectEnd() {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.reader)
@@ -270,7 +271,8 @@
 // get returns a request without a body.
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
-// postHead returns the head of a request with a body.
+// postHead returns the head of a request with a body. lengthOrMore is the value of Content-Length,
+// optionally followed by further field lines.
 func postHead(path, lengthOrMore string) string {
 	return "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + lengthOrMore + "\r\n\r\n"
 }
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -9,28 +9,28 @@
 var crlf = []byte("\r\n")
 
 const (
-	// maxChunkSizeLine is the size in bytes of the longest line that begins a chunk: the hexadecimal
+	// maxChunkSizeLine is the maximum size in bytes of the line that begins a chunk: the hexadecimal
 	// digits of an int64 and CRLF.
 	maxChunkSizeLine = 16 + 2
-	// maxCopiedBody is the size in bytes up to which a body is copied behind its head, so that one
-	// buffer and one system call send both. Larger bodies are sent without a copy.
+	// maxCopiedBody is the size in bytes up to which a body is copied into the output buffer of the
+	// head. Larger bodies are sent without a copy.
 	maxCopiedBody = 16 << 10
 )
 
-// Framing is how a client learns where the body of a response ends.
+// Framing is how the end of a response's body is marked.
 type Framing uint8
 
 // The framings.
 const (
-	// ByLength bodies have the length in the head.
+	// ByLength bodies have a Content-Length field in the head.
 	ByLength Framing = iota // by length
 	// Chunked bodies end with the last chunk.
 	Chunked // chunked
-	// UntilClose bodies end with the connection.
+	// UntilClose bodies end when the connection is closed.
 	UntilClose // until close
 )
 
-// CloseAfterResponse makes the current response the last one of the connection.
+// CloseAfterResponse makes the connection close after the current response.
 func (c *Conn) CloseAfterResponse() { c.keepAlive = false }
 
 // AppendConnectionField appends the Connection field to the response's head, if it needs one.
@@ -46,8 +46,8 @@
 }
 
 // WriteResponse writes a complete response and finishes it. head is the response's head without
-// Content-Length and the empty line. The caller must not change the body any more. A client that
-// sent HEAD gets the head only.
+// Content-Length and the empty line. The caller must not change body after the call. In response to
+// HEAD only the head is sent.
 func (c *Conn) WriteResponse(head, body []byte) {
 	c.conn.Write(http1.AppendContentLength(head, len(body)))
 	switch {
@@ -70,9 +70,9 @@
 	c.FinishResponse()
 }
 
-// SelectFraming selects and returns the framing of a response that comes in pieces. A body without
-// a length is chunked for clients of HTTP/1.1, and ends with the connection for older ones. It must
-// be called before AppendConnectionField.
+// SelectFraming selects and returns the framing of a response that is written in parts. A body
+// without a length is chunked for clients of HTTP/1.1, and ends with the connection for clients of
+// HTTP/1.0. It must be called before AppendConnectionField.
 func (c *Conn) SelectFraming(hasLength bool) Framing {
 	switch {
 	case hasLength:
@@ -89,13 +89,13 @@
 // Framing returns the framing that was selected for the response.
 func (c *Conn) Framing() Framing { return c.framing }
 
-// WriteHead writes the head of a response whose body comes in pieces.
+// WriteHead writes the head of a response whose body is written in parts.
 func (c *Conn) WriteHead(head []byte) { c.conn.Write(head) }
 
-// WriteBody writes a piece of the body, which must not be empty: an empty chunk would end the body.
-// It reports whether the handler must pause, as the client is slow to take the response.
-// Handler.Writable is called when the handler can continue. If the client takes nothing for
-// Options.WriteStallTimeout, the connection is aborted.
+// WriteBody writes a part of the body. data must not be empty, as an empty chunk would end the body.
+// It reports whether the handler must pause because the client reads too slowly. Handler.Writable is
+// called when the handler can continue. If it has not been called within Options.WriteStallTimeout,
+// the connection is aborted.
 func (c *Conn) WriteBody(data []byte) (mustPause bool) {
 	if c.framing == Chunked {
 		var size [maxChunkSizeLine]byte
@@ -120,7 +120,8 @@
 	c.FinishResponse()
 }
 
-// FinishResponse makes the connection ready for the next request, or closes it.
+// FinishResponse ends the current response. It makes the connection ready for the next request, or
+// closes it if this response was the last one.
 func (c *Conn) FinishResponse() {
 	c.discardBody()
 	c.hasAnswered = true
@@ -138,5 +139,5 @@
 	c.conn.Resume()
 }
 
-// UnsentBytes returns the number of bytes of output that the client has not taken.
+// UnsentBytes returns the number of bytes of output that the kernel has not accepted.
 func (c *Conn) UnsentBytes() int { return c.conn.UnsentBytes() }
--- a/internal/httpserver/response_test.go
+++ b/internal/httpserver/response_test.go
@@ -18,13 +18,13 @@
 
 		answer := client.receive(http.MethodHead)
 		if answer.status != http.StatusOK || answer.head.Get("Content-Length") != "5" {
-			t.Errorf("%s: %+v", path, answer)
+			t.Errorf("%s: got %+v, want status 200 and Content-Length 5", path, answer)
 		}
 		client.expectResponse(http.StatusOK, "/next")
 	}
 }
 
-func TestLongBodyIsWrittenWhole(t *testing.T) {
+func TestLongBodyIsWrittenCompletely(t *testing.T) {
 	s := startServer(t, longTimeouts())
 	client, _ := s.dial()
 
@@ -34,12 +34,12 @@
 	client.expectResponse(http.StatusOK, "/next")
 	s.loop.Do(func() {
 		if s.memory.used != 0 {
-			t.Errorf("%d bytes still reserved", s.memory.used)
+			t.Errorf("%d bytes still reserved after the response, want 0", s.memory.used)
 		}
 	})
 }
 
-func TestBodyInPiecesIsFramedByVersion(t *testing.T) {
+func TestFramingOfBodyInPartsDependsOnVersion(t *testing.T) {
 	for name, c := range map[string]struct {
 		request string
 		want    string
@@ -85,7 +85,7 @@
 
 	s.loop.DoIteration(func() {
 		if framing := h.conn.SelectFraming(true); framing != httpserver.ByLength {
-			t.Errorf("framing %v", framing)
+			t.Errorf("framing %v, want by length", framing)
 		}
 		h.conn.WriteHead(append(h.head(http.StatusOK), "Content-Length: 6\r\n\r\n"...))
 		h.conn.WriteBody([]byte("one"))
@@ -96,12 +96,12 @@
 	client.expectResponse(http.StatusOK, "onetwo")
 }
 
-// TestRequestAndChunkAllocateNothing feeds the connection directly, so that only its own work
-// counts.
+// TestRequestAndChunkAllocateNothing calls the connection directly, so that only its own allocations
+// count.
 func TestRequestAndChunkAllocateNothing(t *testing.T) {
 	s := startServer(t, longTimeouts())
 	s.loop.Do(func() {
-		s.newHandler = func(h *testHandler) httpserver.Handler { return &quietHandler{testHandler: h} }
+		s.newHandler = func(h *testHandler) httpserver.Handler { return &noAllocHandler{testHandler: h} }
 	})
 	_, h := s.dial()
 	const runs = 50
@@ -118,18 +118,18 @@
 	})
 
 	if perRequest != 0 || perChunk != 0 {
-		t.Errorf("%v allocations a request, %v a chunk", perRequest, perChunk)
+		t.Errorf("%v allocations per request, %v per chunk; want 0", perRequest, perChunk)
 	}
 }
 
-// quietHandler answers each request without allocations of its own.
-type quietHandler struct {
+// noAllocHandler answers each request without allocations of its own.
+type noAllocHandler struct {
 	*testHandler
 	head [256]byte
 }
 
-func (*quietHandler) HeadReceived(*http1.Head) {}
+func (*noAllocHandler) HeadReceived(*http1.Head) {}
 
-func (h *quietHandler) RequestReceived() {
+func (h *noAllocHandler) RequestReceived() {
 	h.conn.WriteTextResponse(http1.AppendStatus(h.head[:0], http.StatusOK), "ok")
 }
