--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -83,7 +83,7 @@
 // register adds the connection to the loop, which watches its descriptor for events.
 func (c *Conn) register(events uint32) error {
 	// The loop coalesces output itself, so Nagle's algorithm would only delay it. If the call fails, output is
-	// delayed and nothing worse happens.
+	// only delayed.
 	_ = unix.SetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if err := c.loop.poller.add(c.fd, events); err != nil {
 		return err
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -21,8 +21,8 @@
 	"martenlock/internal/timerwheel"
 )
 
-// ErrOverflow is passed to Handler.Closed when a connection was closed because its unsent output
-// exceeded Options.MaxUnsentBytes. It means that the handler kept writing above the high-water mark.
+// ErrOverflow is passed to Handler.Closed if a connection is closed because its unsent output exceeds
+// Options.MaxUnsentBytes. It means that the handler kept writing above the high-water mark.
 var ErrOverflow = errors.New("eventloop: unsent output exceeds its limit")
 
 const (
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -42,7 +42,7 @@
 }
 
 // wait begins an iteration. It waits for events, reads the clock and returns the number of events.
-// previousEvents is that number of the previous iteration.
+// previousEvents is the number of events of the previous iteration.
 func (l *Loop) wait(events []unix.EpollEvent, previousEvents int) (int, error) {
 	n := 0
 	if previousEvents > 1 { // the loop is busy: more events have probably arrived, and poll is cheaper than wait
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -6,8 +6,8 @@
 // They keep no reference to it or to the other arguments. They do not validate arguments: names and
 // values must not contain CR or LF.
 
-// AppendRequest appends the request line of a request. The caller appends the fields and the empty line
-// that ends the head.
+// AppendRequest appends the request line. The caller appends the fields and the empty line that ends
+// the head.
 func AppendRequest(b []byte, method, target string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -15,8 +15,8 @@
 	return append(b, " HTTP/1.1\r\n"...)
 }
 
-// AppendStatus appends the status line of a response. The caller appends the fields and the empty line
-// that ends the head.
+// AppendStatus appends the status line. The caller appends the fields and the empty line that ends the
+// head.
 func AppendStatus(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -58,7 +58,7 @@
 func (w *Wheel) Now() uint64 { return w.now }
 
 // Start sets a timer to fire at a tick. If the timer is running, the tick replaces the earlier one. A
-// timer for a past tick fires at the next Advance.
+// timer for the current or a past tick fires at the next tick.
 func (w *Wheel) Start(t *Timer, when uint64) {
 	w.Stop(t)
 	t.when = when
@@ -151,8 +151,8 @@
 }
 
 // Advance moves the wheel to a tick, fires all timers up to that tick, slot by slot in order of time,
-// and returns how many fired. A timer that Fire starts for a past tick fires only in the next call.
-// Otherwise a timer that always starts itself again would keep Advance from returning.
+// and returns how many fired. A timer that Fire starts for the current or a past tick fires one tick
+// later. Otherwise a timer that always starts itself again would keep Advance from returning.
 func (w *Wheel) Advance(now uint64) (fired int) {
 	for {
 		first, ok := w.firstSlot()
