--- a/internal/bench/backend.go
+++ b/internal/bench/backend.go
@@ -33,7 +33,7 @@
 		return "", err
 	}
 	listener, err := loop.Listen(netip.MustParseAddrPort(anyLoopbackPort), func(*eventloop.Conn) eventloop.Handler {
-		return &backendConn{parser: http1.NewRequests(&requestLimits)}
+		return &backendConn{parser: http1.NewRequestParser(&requestLimits)}
 	})
 	if err != nil {
 		return "", err
--- a/internal/fakeengine/conn.go
+++ b/internal/fakeengine/conn.go
@@ -36,7 +36,7 @@
 
 // accept returns the handler of a new connection.
 func (e *Engine) accept(socket *eventloop.Conn) eventloop.Handler {
-	c := &conn{engine: e, socket: socket, parser: http1.NewRequests(&httpLimits)}
+	c := &conn{engine: e, socket: socket, parser: http1.NewRequestParser(&httpLimits)}
 	e.conns[c] = struct{}{}
 	return c
 }
@@ -117,7 +117,7 @@
 	if c.unreadID != "" {
 		return
 	}
-	parser := http1.NewRequests(&httpLimits)
+	parser := http1.NewRequestParser(&httpLimits)
 	_, kind, _, err := parser.Next(data)
 	if err != nil || kind != http1.HeadDone || string(parser.Head.Method) != http.MethodPost {
 		return
--- a/internal/http1/example_test.go
+++ b/internal/http1/example_test.go
@@ -8,7 +8,7 @@
 
 // A parser reports the head, the content and the end of a message one after another.
 func ExampleParser() {
-	parser := http1.NewRequests(&http1.Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1000})
+	parser := http1.NewRequestParser(&http1.Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1000})
 	input := []byte("POST /v1/embeddings HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi")
 	for {
 		consumed, kind, data, err := parser.Next(input)
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -17,8 +17,8 @@
 	f.Add([]byte("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n"), 2)
 	f.Fuzz(func(t *testing.T, in []byte, pieceSize int) {
 		pieceSize = max(pieceSize&0xff, 1)
-		got, err := parseAll(NewRequests(&limits), in, len(in)+1)
-		inPieces, inPiecesErr := parseAll(NewRequests(&limits), in, pieceSize)
+		got, err := parseAll(NewRequestParser(&limits), in, len(in)+1)
+		inPieces, inPiecesErr := parseAll(NewRequestParser(&limits), in, pieceSize)
 		if fmt.Sprint(got) != fmt.Sprint(inPieces) || (err == nil) != (inPiecesErr == nil) {
 			t.Fatalf("whole: %v %v\nin pieces of %d: %v %v", got, err, pieceSize, inPieces, inPiecesErr)
 		}
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -35,7 +35,7 @@
 	stateEnd // end
 )
 
-// Parser parses one message after another. Create it with NewRequests or NewResponses. It does not
+// Parser parses one message after another. Create it with NewRequestParser or NewResponses. It does not
 // copy its input, and reuses the memory of Head.Fields for the next message.
 type Parser struct {
 	// Head is the head of the current message, valid once Next has returned HeadDone. Its slices are
@@ -58,8 +58,8 @@
 	kind     Kind // NeedMore for an element that Next does not report
 }
 
-// NewRequests returns a parser of requests, for a server.
-func NewRequests(limits *Limits) *Parser { return &Parser{limits: limits} }
+// NewRequestParser returns a parser of requests, for a server.
+func NewRequestParser(limits *Limits) *Parser { return &Parser{limits: limits} }
 
 // NewResponses returns a parser of responses, for a client. It does not know the methods of the
 // requests, so it must not be used for responses to HEAD or CONNECT (RFC 9112, section 6.3, rules 1
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -102,7 +102,7 @@
 		{"long chunks", post("Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("64\r\n"+strings.Repeat("x", 100)+"\r\n", 11)), 413, ""},
 	} {
 		for _, pieceSize := range []int{1, 2, 7, 1 << 20} {
-			got, err := parseAll(NewRequests(&limits), []byte(c.in), pieceSize)
+			got, err := parseAll(NewRequestParser(&limits), []byte(c.in), pieceSize)
 			bodies := ""
 			for _, m := range got {
 				bodies += m.body + "|"
@@ -145,7 +145,7 @@
 		if (err == nil) != isValidInResponse {
 			t.Errorf("response with field value %q: error %v, want valid %v", value, err, isValidInResponse)
 		}
-		_, _, _, err = NewRequests(limits).Next([]byte("GET / HTTP/1.1\r\nHost: x\r\nX: " + value + "\r\n\r\n"))
+		_, _, _, err = NewRequestParser(limits).Next([]byte("GET / HTTP/1.1\r\nHost: x\r\nX: " + value + "\r\n\r\n"))
 		if (err == nil) != (value == "ab") {
 			t.Errorf("request with field value %q: error %v, want valid %v", value, err, value == "ab")
 		}
--- a/internal/httpserver/conns.go
+++ b/internal/httpserver/conns.go
@@ -36,7 +36,7 @@
 		conns:      cs,
 		handler:    handler,
 		conn:       accepted,
-		parser:     http1.NewRequests(cs.Options.Parsing),
+		parser:     http1.NewRequestParser(cs.Options.Parsing),
 		acceptedAt: cs.loop.Now(),
 	}
 	c.stateTimer.Fire = c.handleTimeout
--- a/internal/platform/clientrequest_test.go
+++ b/internal/platform/clientrequest_test.go
@@ -88,7 +88,7 @@
 	cfg := Config{}
 	cfg.Settings.ClassNames = []string{"ask", "note"}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		p := http1.NewRequests(&requestLimits)
+		p := http1.NewRequestParser(&requestLimits)
 		if _, kind, _, err := p.Next(b); err != nil || kind != http1.HeadDone {
 			return
 		}
