--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, conn.Close()) }()
-	parser := http1.NewResponses(&responseLimits)
+	parser := http1.NewResponseParser(&responseLimits)
 	buffer := make([]byte, readBufferBytes)
 	for time.Now().Before(end) {
 		if options.interval > 0 {
--- a/internal/fakeengine/kvfetch.go
+++ b/internal/fakeengine/kvfetch.go
@@ -43,7 +43,7 @@
 		j.failKVMissing(kvFetchFailed)
 		return
 	}
-	f := &kvFetch{job: j, parser: http1.NewResponses(&httpLimits)}
+	f := &kvFetch{job: j, parser: http1.NewResponseParser(&httpLimits)}
 	f.socket, err = j.engine.cluster.loop.Dial(address, f)
 	if err != nil {
 		j.failKVMissing(err.Error())
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -35,7 +35,7 @@
 	stateEnd // end
 )
 
-// Parser parses one message after another. Create it with NewRequestParser or NewResponses. It does not
+// Parser parses one message after another. Create it with NewRequestParser or NewResponseParser. It does not
 // copy its input, and reuses the memory of Head.Fields for the next message.
 type Parser struct {
 	// Head is the head of the current message, valid once Next has returned HeadDone. Its slices are
@@ -61,10 +61,10 @@
 // NewRequestParser returns a parser of requests, for a server.
 func NewRequestParser(limits *Limits) *Parser { return &Parser{limits: limits} }
 
-// NewResponses returns a parser of responses, for a client. It does not know the methods of the
+// NewResponseParser returns a parser of responses, for a client. It does not know the methods of the
 // requests, so it must not be used for responses to HEAD or CONNECT (RFC 9112, section 6.3, rules 1
 // and 2).
-func NewResponses(limits *Limits) *Parser { return &Parser{limits: limits, isResponse: true} }
+func NewResponseParser(limits *Limits) *Parser { return &Parser{limits: limits, isResponse: true} }
 
 // Idle reports whether the parser is between two messages.
 func (p *Parser) Idle() bool { return p.state == stateHead && p.scanned == 0 }
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -121,7 +121,7 @@
 		"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\nHTTP/1.0 503 Busy\r\n\r\ntill the end"
 	want := []message{{"  200", "hi", false, true}, {"  204", "", false, true}, {"  200", "a", true, true}, {"  503", "till the end", false, false}}
 	for _, pieceSize := range []int{1, 3, 1 << 20} {
-		got, err := parseAll(NewResponses(&limits), []byte(in), pieceSize)
+		got, err := parseAll(NewResponseParser(&limits), []byte(in), pieceSize)
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("in pieces of %d bytes: got %v, %v; want %v", pieceSize, got, err, want)
 		}
@@ -130,7 +130,7 @@
 		"HTTP/1.1 20 OK\r\n\r\n", "HTTP/2 200 OK\r\n\r\n", "HTTP/1.1 101 Go\r\n\r\n", "\r\nHTTP/1.1 200 OK\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 	} {
-		if got, err := parseAll(NewResponses(&limits), []byte(in), 5); err == nil {
+		if got, err := parseAll(NewResponseParser(&limits), []byte(in), 5); err == nil {
 			t.Errorf("%q was parsed as %v, want an error", in, got)
 		}
 	}
@@ -141,7 +141,7 @@
 func TestResponseFieldMayContainControlCharacters(t *testing.T) {
 	limits := &Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1000}
 	for value, isValidInResponse := range map[string]bool{"a\x01b\x7f": true, "a\x00b": false, "a\rb": false, "ab": true} {
-		_, _, _, err := NewResponses(limits).Next([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX: " + value + "\r\n\r\n"))
+		_, _, _, err := NewResponseParser(limits).Next([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX: " + value + "\r\n\r\n"))
 		if (err == nil) != isValidInResponse {
 			t.Errorf("response with field value %q: error %v, want valid %v", value, err, isValidInResponse)
 		}
--- a/internal/platform/firstevent_test.go
+++ b/internal/platform/firstevent_test.go
@@ -33,7 +33,7 @@
 	f.Add([]byte(platformtest.StreamHead + "5\r\ndata:\r\n3\r\n{}\n\r\n1\r\n\n\r\n0\r\n\r\n"))
 	limits := &http1.Limits{Line: 8 << 10, Headers: 16 << 10, Fields: 64, Body: 1 << 20}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		p := http1.NewResponses(limits)
+		p := http1.NewResponseParser(limits)
 		var buffered []byte
 		for len(b) > 0 {
 			used, kind, data, err := p.Next(b)
--- a/internal/platform/watchcall.go
+++ b/internal/platform/watchcall.go
@@ -32,7 +32,7 @@
 func newWatchCall(client *discoveryClient) *watchCall {
 	return &watchCall{
 		client:   client,
-		parser:   http1.NewResponses(&watchLimits),
+		parser:   http1.NewResponseParser(&watchLimits),
 		messages: jsonStream{maxObjectBytes: client.maxMessageBytes},
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -89,7 +89,7 @@
 	if len(p.conns) >= p.Options.MaxPerEngine || !p.Budget.ensureCapacity(p.Options.MaxTotal) {
 		return nil, ErrNoConn
 	}
-	c := &Conn{pool: p, parser: http1.NewResponses(&p.Options.Limits)}
+	c := &Conn{pool: p, parser: http1.NewResponseParser(&p.Options.Limits)}
 	c.timer.Fire = c.expire
 	conn, err := p.Loop.Dial(p.Addr, c)
 	if err != nil {
