--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -14,33 +14,33 @@
 // attempt is one forwarding of a request to one engine. It implements upstream.ResponseHandler
 // and upstream.HeadBuilder for its connection. Its methods run on the loop.
 //
-// This file holds the life of an attempt, attemptresponse.go the handling of the engine's response,
-// and attempttimers.go the timers.
+// This file starts and ends attempts, attemptresponse.go handles the engine's response, and
+// attempttimers.go holds the timers.
 type attempt struct {
 	exchange   *exchange
 	number     control.AttemptNumber // among the exchange's attempts, from 0
 	endpoint   *endpoint             // nil if the endpoint is not known
 	endpointID control.EndpointID
 	role       control.Role
-	conn       *upstream.Conn // nil until assigned and after the response has ended
-	startedAt  time.Duration
-	deadline   time.Duration    // of the first event
-	deferred   *control.Forward // the action to start with once the KV release is confirmed; nil if not deferred
+	conn       *upstream.Conn   // nil until the attempt starts and after the response has ended
+	startedAt  time.Duration    // on the loop's clock
+	deadline   time.Duration    // of the first event, on the loop's clock
+	deferred   *control.Forward // the action that waits for a KV release to be confirmed; nil if not deferred
 
 	state           decisionloop.AttemptState
-	firstEventTimer timerwheel.Timer // runs from the beginning, also while the attempt is deferred
-	streamIdleTimer timerwheel.Timer // runs between two pieces of the stream
+	firstEventTimer timerwheel.Timer // runs until the first event, also while the attempt is deferred
+	streamIdleTimer timerwheel.Timer // runs until the next piece of the stream
 
 	status       int    // of the response; 0 before its head
 	rejected     bool   // the engine marked the request as not executed
-	buffered     []byte // the response's body up to the first event, or all that is kept of an error's body
+	buffered     []byte // the body up to the first event of a stream, or the beginning of any other body
 	cachedTokens uint32 // tokens of the prompt that a prefill found in the engine's KV cache
 	kvMissing    bool   // the engine has no KV state of this request
 
 	connError upstream.ConnError // zero unless the connection failed
 }
 
-// requestHeadBytes fits nearly every request's head, so that building one allocates once.
+// requestHeadBytes is the initial capacity for a request's head. Nearly every head fits.
 const requestHeadBytes = 320
 
 // start forwards the request to the engine. The attempt ends as NotSent if no connection can be
@@ -63,14 +63,14 @@
 }
 
 // deferUntilReleased makes the attempt wait until the pending KV release of its request is
-// confirmed. The attempt ends as NotSent if that takes longer than its time-out.
+// confirmed. The attempt ends as NotSent if its time-out passes first.
 func (a *attempt) deferUntilReleased(action control.Forward) {
 	a.deferred = &action
 	a.startReleaseTimer(action.Timeout)
 }
 
-// startDeferred starts the attempt if it was deferred. It ends as NotSent if its engine is no longer
-// listed as ready, or if no time is left.
+// startDeferred starts the attempt if it is deferred. The attempt ends as NotSent if its engine is no
+// longer listed as ready, or if its deadline has passed.
 func (a *attempt) startDeferred() {
 	if a.deferred == nil || a.state == decisionloop.AttemptEnded {
 		return
@@ -88,8 +88,8 @@
 	a.start(action)
 }
 
-// RequestHead implements upstream.HeadBuilder. It is called when the connection is established, so
-// that the time budget in the head is what is left then.
+// RequestHead implements upstream.HeadBuilder. It is called once the connection is established, and
+// the time budget in the head is the time left at that moment.
 func (a *attempt) RequestHead() []byte {
 	e := a.exchange
 	head := http1.AppendRequest(make([]byte, 0, requestHeadBytes), http.MethodPost, e.meta.target)
@@ -103,7 +103,7 @@
 }
 
 // finish ends the attempt and reports its outcome to the decision module; later calls have no
-// effect. If isFinal is set the request ends too and the client receives the rest of its answer.
+// effect. If isFinal is set, the request ends too, with the result of this attempt.
 func (a *attempt) finish(result control.Result, isFinal bool) {
 	if a.state == decisionloop.AttemptEnded {
 		return
@@ -114,7 +114,8 @@
 	a.stopTimers()
 	mayStillExecute := a.closeConn()
 	a.discardBuffered()
-	// The end of a connection that had been idle says nothing about the engine.
+	// An engine may close a connection that is idle, so the loss of a reused one does not show that
+	// the engine is unresponsive.
 	if !streamStarted && isUnresponsive(result) && !a.connError.ReusedConnection {
 		a.recordUnresponsive()
 	}
@@ -135,7 +136,7 @@
 	}
 }
 
-// outcome returns the event that reports the attempt's end to the decision module.
+// outcome returns the event that tells the decision module of the attempt's end.
 func (a *attempt) outcome(result control.Result, isFinal bool) control.Outcome {
 	return control.Outcome{
 		ID:               a.exchange.id,
@@ -155,8 +156,8 @@
 	return a.connError.RequestWritten || a.conn != nil && a.conn.RequestWritten()
 }
 
-// closeConn aborts the connection if it is still in use. It reports whether the engine may go on
-// executing the request, since it was this process that ended the connection.
+// closeConn aborts the connection if it is still in use. It reports whether this router ended the
+// connection and the engine may still be executing the request.
 func (a *attempt) closeConn() (mayStillExecute bool) {
 	if a.conn == nil {
 		return a.connError.Malformed != ""
@@ -167,13 +168,13 @@
 	return mayStillExecute
 }
 
-// isUnresponsive reports whether an attempt with this result had no response from its engine.
+// isUnresponsive reports whether an attempt with this result received no response from its engine.
 func isUnresponsive(result control.Result) bool {
 	return result == control.TimedOut || result == control.ConnectFailed || result == control.Reset
 }
 
-// recordUnresponsive records that the engine did not respond to this attempt. KV releases are
-// then sent to other engines first.
+// recordUnresponsive records that the engine did not respond to this attempt. The scheduler of KV
+// releases then calls other engines first.
 func (a *attempt) recordUnresponsive() {
 	s := a.exchange.server
 	sentAt := clockStart.Add(a.startedAt)
--- a/internal/platform/attemptresponse.go
+++ b/internal/platform/attemptresponse.go
@@ -9,16 +9,15 @@
 	"martenlock/internal/upstream"
 )
 
-// maxBufferedAnswerBytes bounds what is buffered of one response: all of it up to the first event,
-// or the beginning of an error's body.
+// maxBufferedAnswerBytes bounds attempt.buffered.
 const maxBufferedAnswerBytes = 32 << 10
 
-// Connected implements upstream.ResponseHandler. Only a request that was written completely counts
-// as possibly executed, so the beginning of its sending does not matter.
+// Connected implements upstream.ResponseHandler. It does nothing: a request counts as possibly
+// executed only once it is written completely.
 func (a *attempt) Connected() {}
 
-// Head implements upstream.ResponseHandler. Status 200 is valid for streams only, and not from a
-// prefill engine.
+// Head implements upstream.ResponseHandler. It ends the attempt if a response with status 200 is not
+// chunked or is from a prefill engine.
 func (a *attempt) Head(head *http1.Head) {
 	a.status = head.Status
 	a.rejected = string(head.Get("x-rejected")) == "1"
@@ -27,15 +26,15 @@
 	}
 }
 
-// Data implements upstream.ResponseHandler. It buffers the response until the first event is
-// complete and forwards the stream from then on.
+// Data implements upstream.ResponseHandler. It buffers a stream until its first event is complete
+// and forwards it from then on.
 func (a *attempt) Data(data []byte) {
 	s := a.exchange.server
 	switch {
 	case a.state == decisionloop.AttemptEnded:
 	case a.state == decisionloop.AttemptStreaming:
 		a.forwardEvents(data)
-	case a.status != http.StatusOK: // the part of such a body that is used is short
+	case a.status != http.StatusOK: // only the beginning of such a body is used
 		fits := min(len(data), maxBufferedAnswerBytes-len(a.buffered))
 		a.buffered = append(a.buffered, data[:fits]...)
 	case len(a.buffered)+len(data) > maxBufferedAnswerBytes || s.bufferedBytes+len(data) > s.limits.maxBufferedBytes:
@@ -59,8 +58,8 @@
 	}
 }
 
-// startStream begins the client's answer with the events of this attempt. No other attempt
-// follows.
+// startStream starts the client's answer with the events received so far. The request is not
+// retried after that.
 func (a *attempt) startStream() {
 	e := a.exchange
 	s := e.server
@@ -77,8 +76,8 @@
 	a.forwardEvents(events)
 }
 
-// forwardEvents writes a piece of the stream to the client. If the client reads too slowly, the
-// engine's connection is paused until resume is called. The engine may be silent meanwhile.
+// forwardEvents writes a piece of the stream to the client. If the client reads too slowly, it pauses
+// the engine's connection and stops the idle timer until resume is called.
 func (a *attempt) forwardEvents(data []byte) {
 	client := a.exchange.client
 	if client == nil || len(data) == 0 {
@@ -93,13 +92,13 @@
 	a.restartStreamIdleTimer()
 }
 
-// resume reads the stream again after forwardEvents has paused it.
+// resume continues a stream that forwardEvents has paused.
 func (a *attempt) resume() {
 	a.conn.Resume()
 	a.restartStreamIdleTimer()
 }
 
-// discardBuffered frees what is buffered of the response.
+// discardBuffered frees the buffered part of the response.
 func (a *attempt) discardBuffered() {
 	if a.status == http.StatusOK { // other bodies are not part of bufferedBytes
 		a.exchange.server.bufferedBytes -= len(a.buffered)
@@ -107,8 +106,8 @@
 	a.buffered = nil
 }
 
-// Complete implements upstream.ResponseHandler. It ends the attempt with what the complete response
-// means.
+// Complete implements upstream.ResponseHandler. It ends the attempt with the result of the complete
+// response.
 func (a *attempt) Complete() {
 	s := a.exchange.server
 	a.conn = nil
@@ -124,7 +123,7 @@
 	}
 }
 
-// finishByStatus ends an attempt whose complete response is not a stream.
+// finishByStatus ends an attempt with a complete response that is not a stream.
 func (a *attempt) finishByStatus() {
 	outcome := classifyResponse(a.role, a.status, a.rejected)
 	if outcome.result == control.PrefillDone {
--- a/internal/platform/attempttimers.go
+++ b/internal/platform/attempttimers.go
@@ -13,7 +13,7 @@
 	a.exchange.server.loop.StartTimer(&a.firstEventTimer, timeout)
 }
 
-// handleReleaseTimeout ends an attempt that was deferred for all of its time.
+// handleReleaseTimeout ends a deferred attempt whose KV release was not confirmed in time.
 func (a *attempt) handleReleaseTimeout() { a.finish(control.NotSent, false) }
 
 // startFirstEventTimer bounds the time until the first event is complete.
@@ -22,8 +22,8 @@
 	a.exchange.server.loop.StartTimer(&a.firstEventTimer, timeout)
 }
 
-// handleFirstEventTimeout ends an attempt without a complete first event. A request that has not
-// left this process completely cannot have been executed.
+// handleFirstEventTimeout ends an attempt without a complete first event. A request that was not
+// written completely cannot have been executed, so its attempt ends as ConnectFailed.
 func (a *attempt) handleFirstEventTimeout() {
 	if a.conn != nil && !a.conn.RequestWritten() {
 		a.finish(control.ConnectFailed, false)
@@ -45,7 +45,6 @@
 	a.finish(control.Reset, true)
 }
 
-// stopTimers stops all timers of the attempt.
 func (a *attempt) stopTimers() {
 	a.exchange.server.loop.StopTimer(&a.firstEventTimer)
 	a.exchange.server.loop.StopTimer(&a.streamIdleTimer)
--- a/internal/platform/cachedtokens.go
+++ b/internal/platform/cachedtokens.go
@@ -7,7 +7,7 @@
 )
 
 // parseCachedTokens returns how many tokens of the prompt a prefill found in the engine's KV cache. It
-// returns 0 if the response does not have a valid number of them.
+// returns 0 if the response has no valid count.
 func parseCachedTokens(body []byte) uint32 {
 	if !gjson.ValidBytes(body) {
 		return 0
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -9,7 +9,7 @@
 	"martenlock/internal/httpserver"
 )
 
-// clientConn interprets the requests of a client's connection. It implements httpserver.Handler.
+// clientConn handles the requests of one client connection. It implements httpserver.Handler.
 type clientConn struct {
 	server   *Server
 	conn     httpserver.Conn
@@ -17,27 +17,27 @@
 	exchange *exchange // of the request being served; nil if there is none
 }
 
-// incomingRequest is the current request's head as far as the server uses it. Its fields outlive
-// the request until the next head, except meta.
+// incomingRequest holds the parts of the current request's head that the server uses. They stay set
+// until the next head arrives, except meta, which is cleared with the answer.
 type incomingRequest struct {
 	meta  *requestMeta // nil if the request is not for an engine
 	path  string
 	isGet bool // GET or HEAD
 }
 
-// Bounds of requests, and of responses of engines. Heads in use are well below 1 KiB. Larger ones
-// would only cost memory.
+// Bounds of clients' requests and of engines' responses.
 const (
 	maxLineBytes        = 8 << 10
 	maxHeadBytes        = 16 << 10
 	maxHeaderFields     = 64
-	maxRequestBodyBytes = 256 << 10 // prompts are counted in tokens, some 4 bytes each
+	maxRequestBodyBytes = 256 << 10 // a prompt of 64 Ki tokens, at about 4 bytes per token
 )
 
 // requestLimits bound a client's request.
 var requestLimits = http1.Limits{Line: maxLineBytes, Headers: maxHeadBytes, Fields: maxHeaderFields, Body: maxRequestBodyBytes}
 
-// HeadReceived implements httpserver.Handler. It rejects an invalid call before its body arrives.
+// HeadReceived implements httpserver.Handler. It rejects an invalid chat request before its body
+// arrives.
 func (c *clientConn) HeadReceived(head *http1.Head) {
 	path, _, _ := bytes.Cut(head.Target, []byte{'?'})
 	method := string(head.Method)
@@ -48,7 +48,7 @@
 	if c.request.path != chatPath || method != http.MethodPost {
 		return
 	}
-	if head.MinorVersion == 0 { // a client of HTTP/1.0 takes a truncated stream for a complete one
+	if head.MinorVersion == 0 { // an HTTP/1.0 client can't tell a truncated stream from a complete one
 		c.respondAndClose(http.StatusHTTPVersionNotSupported, "", "a stream needs HTTP/1.1")
 		return
 	}
@@ -64,8 +64,8 @@
 // healthPath is the path of the platform's health check.
 const healthPath = "/healthz"
 
-// RequestReceived implements httpserver.Handler. It starts the exchange of a call, and answers
-// other requests itself.
+// RequestReceived implements httpserver.Handler. It starts the exchange of a chat request and
+// answers any other request directly.
 func (c *clientConn) RequestReceived() {
 	switch {
 	case c.request.meta != nil:
@@ -79,12 +79,13 @@
 	}
 }
 
-// dispatchChat starts the exchange of a call, or rejects it if the server can't accept it.
+// dispatchChat starts the exchange of a chat request, or rejects the request if the server can't
+// accept it.
 func (c *clientConn) dispatchChat() {
 	s := c.server
 	maxRequests := s.config.Settings.MaxRequests
 	switch {
-	case s.exchanges.byClientID[c.request.meta.callID] != nil:
+	case s.exchanges.byCallID[c.request.meta.callID] != nil:
 		c.respondAndClose(http.StatusBadRequest, "", "X-Call-Id: a request of this id is open")
 	case !s.shutdown.acceptsRequests():
 		c.respondAndClose(http.StatusServiceUnavailable, retryAfterField(connlimit.RetryAfterShutdown), "the router stops")
@@ -120,8 +121,8 @@
 	}
 }
 
-// ClientGone implements httpserver.Handler. It cancels the exchange. A panic in an earlier call may
-// have left the connection without one.
+// ClientGone implements httpserver.Handler. It cancels the exchange. There may be none if a handler
+// of this connection has panicked.
 func (c *clientConn) ClientGone() {
 	exchange := c.exchange
 	if exchange == nil {
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -6,7 +6,7 @@
 	"martenlock/internal/httpserver"
 )
 
-// clientOptions are the bounds of clients' connections.
+// clientOptions are the limits and time-outs of client connections.
 var clientOptions = httpserver.Options{
 	Parsing:              &requestLimits,
 	FirstRequestTimeout:  connlimit.FirstRequestTimeout,
@@ -17,15 +17,15 @@
 	EvictsUploads:        true,
 }
 
-// newClients returns the server's client connections, yet without a listener.
+// newClients returns the server's client connections. The caller sets their listener.
 func newClients(s *Server) *httpserver.Conns {
 	clients := httpserver.NewConns(s.loop, bodyMemory{server: s})
 	clients.Options = clientOptions
 	return clients
 }
 
-// accept returns the handler of a new connection, or nil to close it. A connection above the limit
-// evicts an idle one.
+// accept returns the handler of a new connection, or nil to close it. A connection beyond the limit
+// is accepted only if an idle one can be evicted.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
 	if s.clients.Listener.Open() > s.limits.maxClientConns && !s.clients.EvictIdle() {
 		s.counters.connsRejected++
@@ -37,7 +37,8 @@
 	return &client.conn
 }
 
-// bodyMemory implements httpserver.Memory. Buffered answers share its bound.
+// bodyMemory implements httpserver.Memory. Request bodies share maxBufferedBytes with engines'
+// buffered responses.
 type bodyMemory struct{ server *Server }
 
 // Reserve implements httpserver.Memory.
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -10,30 +10,30 @@
 	"martenlock/internal/timerwheel"
 )
 
-// exchange is the life of one request. It begins when the request is handed to the decision
-// module. It ends when the client has received its answer or has left, and no attempt is in flight.
+// exchange is one request from its handover to the decision module until the client has received
+// its answer or has left, and no attempt is in flight.
 type exchange struct {
 	server    *Server
 	id        control.RequestID
 	meta      *requestMeta
-	body      []byte      // nil after the first event of the answer
-	client    *clientConn // nil after the final answer, or after the client has left
-	startedAt time.Duration
+	body      []byte        // nil once the answer has started or the client is detached
+	client    *clientConn   // nil after the final answer, or after the client has left
+	startedAt time.Duration // on the loop's clock
 
 	attempt           *attempt // in flight; nil if none is
 	attemptCount      int
 	lastResult        control.Result // of the latest attempt that has ended
-	cancelPropagating bool           // deferOutcome has yet to report an outcome
+	cancelPropagating bool           // the delay of deferOutcome is running
 
-	kv               kvFacts
+	kv               kvRetention
 	timeToFirstEvent time.Duration
-	attemptHistory   string // for the request trace; empty if requests are not traced
+	attemptHistory   string // for the request trace; empty if the trace is off
 }
 
-// kvFacts is what is known of the KV state that a request's attempts left at engines.
-type kvFacts struct {
-	mayRetain         bool // an engine may retain KV state
-	prefillMayEndLate bool // a prefill that was abandoned may still end, and retain KV state from then on
+// kvRetention records whether a request's attempts may have left KV state at engines.
+type kvRetention struct {
+	mayRetain              bool // an engine may retain KV state
+	prefillMayCompleteLate bool // a prefill without a usable response may still complete and leave KV state
 }
 
 //go:generate go tool stringer -linecomment -type=requestOutcome,shutdownPhase,firstEventState,jsonElementKind -output=enum_string.go
@@ -49,7 +49,7 @@
 	outcomeRejected // rejected
 	// outcomeFailed means 502 or 504.
 	outcomeFailed // failed
-	// outcomeUnusable means 400, since an engine found the request itself at fault.
+	// outcomeUnusable means 400, because an engine reported the request itself as invalid.
 	outcomeUnusable // unusable
 	// outcomeTruncated means that the answer ended after its first event but before its last.
 	outcomeTruncated // truncated
@@ -80,8 +80,9 @@
 	s.push(event)
 }
 
-// Forward implements decisionloop.Exchange. The attempt ends as NotSent if the endpoint is not known
-// or the client has left. It is deferred while a KV release of the request is pending.
+// Forward implements decisionloop.Exchange. It starts an attempt, or defers it while a KV release of
+// the request is pending. The attempt ends as NotSent if the endpoint is not known or the client
+// has left.
 func (e *exchange) Forward(action control.Forward) {
 	a := e.newAttempt(action)
 	if a.number > 0 && e.lastResult != control.PrefillDone {
@@ -107,7 +108,6 @@
 	a.start(action)
 }
 
-// newAttempt returns the attempt that an action asks for.
 func (e *exchange) newAttempt(action control.Forward) *attempt {
 	now := e.server.loop.Now()
 	return &attempt{
@@ -120,7 +120,8 @@
 	}
 }
 
-// CancelAttempt implements decisionloop.Exchange.
+// CancelAttempt implements decisionloop.Exchange. It has no effect on an attempt that has ended or
+// whose stream has started.
 func (e *exchange) CancelAttempt(number control.AttemptNumber) {
 	a := e.attempt
 	if a != nil && a.number == number && a.state == decisionloop.AttemptWaiting {
@@ -154,8 +155,8 @@
 	}
 }
 
-// ReleaseKV implements decisionloop.Exchange. It has engines release the KV state that earlier
-// attempts may have left.
+// ReleaseKV implements decisionloop.Exchange. It schedules the release of the KV state that earlier
+// attempts may have left at engines.
 func (e *exchange) ReleaseKV(action control.ReleaseKV) {
 	if !e.kv.mayRetain {
 		return
@@ -166,19 +167,19 @@
 	e.server.enqueueKVRelease(e.meta.callID, action.Reason)
 }
 
-// attemptEnded records the end of the attempt in flight. streamStarted is set if the client has
-// received a part of its answer.
+// attemptEnded records the end of the attempt in flight. streamStarted reports whether the client's
+// answer had started.
 func (e *exchange) attemptEnded(a *attempt, result control.Result, streamStarted bool) {
 	e.attempt = nil
 	e.lastResult = result
 	if mayHaveExecuted(result) && !streamStarted {
 		e.kv.mayRetain = true
-		e.kv.prefillMayEndLate = e.kv.prefillMayEndLate || a.role != control.RoleDecode
+		e.kv.prefillMayCompleteLate = e.kv.prefillMayCompleteLate || a.role != control.RoleDecode
 	}
 }
 
-// mayHaveExecuted reports whether an engine may have executed an attempt that ended without the
-// response that it was made for.
+// mayHaveExecuted reports whether an engine may have executed an attempt with this result, although
+// no usable response arrived.
 func mayHaveExecuted(result control.Result) bool {
 	switch result {
 	case control.Failed, control.TimedOut, control.Reset, control.Cancelled:
@@ -188,15 +189,15 @@
 	}
 }
 
-// deferOutcome reports the outcome of an attempt that was abandoned here, after its engine has had
-// time to learn of that. Without the delay a retry, by this router or by the client, could reach
-// an engine before the cancellation does, and two attempts would be executed at once.
+// deferOutcome reports the outcome of an attempt that this router aborted, after
+// connlimit.CancelPropagationDelay. Without the delay a retry, by this router or by the client,
+// could reach an engine before the cancellation does, and two attempts would be executed at once.
 func (e *exchange) deferOutcome(outcome control.Outcome) {
 	e.cancelPropagating = true
 	timer := &timerwheel.Timer{}
 	timer.Fire = func() {
 		e.cancelPropagating = false
-		if e.client == nil { // the client has left meanwhile; the exchange was kept for this outcome
+		if e.client == nil { // the client left during the delay; the exchange was kept for this outcome
 			e.server.exchanges.markEnded(e)
 		}
 		e.server.push(outcome)
@@ -204,7 +205,8 @@
 	e.server.loop.StartTimer(timer, connlimit.CancelPropagationDelay)
 }
 
-// complete ends the request with its last attempt. The client receives the rest of its answer.
+// complete ends the request with the result of its last attempt: it ends or aborts the client's
+// stream, or answers 400 if no stream has started.
 func (e *exchange) complete(result control.Result, streamStarted bool) {
 	client := e.detachClient()
 	switch {
@@ -222,14 +224,14 @@
 		e.logOutcome(outcomeUnusable, result.String())
 		client.respond(http.StatusBadRequest, "", "the engine can't use this request\n")
 	}
-	// The start of the stream has released all other KV state. An abandoned prefill may end after
-	// that and retain its own.
-	if e.kv.prefillMayEndLate {
+	// KV state of earlier attempts was released when the stream started. A prefill without a usable
+	// response may complete after that and leave KV state again.
+	if e.kv.prefillMayCompleteLate {
 		e.server.enqueueKVRelease(e.meta.callID, control.ReleasedAtFinish)
 	}
 }
 
-// clientWritable resumes the stream after the client has read what was buffered for it.
+// clientWritable resumes the stream after the client has taken the output buffered for it.
 func (e *exchange) clientWritable() {
 	a := e.attempt
 	if a != nil && a.state == decisionloop.AttemptStreaming {
@@ -237,7 +239,8 @@
 	}
 }
 
-// cancel ends the request without an answer.
+// cancel ends the request after its client has left. It has no effect if the client was detached
+// before.
 func (e *exchange) cancel() {
 	if e.client == nil {
 		return
--- a/internal/platform/exchangetable.go
+++ b/internal/platform/exchangetable.go
@@ -2,34 +2,33 @@
 
 import "martenlock/internal/decisionloop"
 
-// exchangeTable holds the exchanges of a server.
+// exchangeTable indexes the exchanges of a server.
 type exchangeTable struct {
 	decisionloop.Exchanges[*exchange]
-	byClientID map[string]*exchange // those whose client waits for the answer, by X-Call-Id
+	byCallID map[string]*exchange // exchanges whose client still waits for the answer, by X-Call-Id
 }
 
 func newExchangeTable() exchangeTable {
 	return exchangeTable{
-		Exchanges:  decisionloop.NewExchanges[*exchange](),
-		byClientID: map[string]*exchange{},
+		Exchanges: decisionloop.NewExchanges[*exchange](),
+		byCallID:  map[string]*exchange{},
 	}
 }
 
-// add adds a new exchange.
 func (t *exchangeTable) add(e *exchange) {
 	t.ByID[e.id] = e
-	t.byClientID[e.meta.callID] = e
+	t.byCallID[e.meta.callID] = e
 }
 
-// markEnded frees the client's id of an exchange without a client, and marks the exchange for
-// RemoveEnded.
+// markEnded marks an exchange without a client for removal by RemoveEnded, and lets a new request
+// use its X-Call-Id.
 func (t *exchangeTable) markEnded(e *exchange) {
-	if t.byClientID[e.meta.callID] == e {
-		delete(t.byClientID, e.meta.callID)
+	if t.byCallID[e.meta.callID] == e {
+		delete(t.byCallID, e.meta.callID)
 	}
 	t.MarkEnded(e.id)
 }
 
-// isRemovable reports whether the exchange, which has ended, waits for no attempt. One that does is
-// marked again later.
+// isRemovable reports whether an ended exchange has no attempt in flight and no deferred outcome.
+// Otherwise the exchange is marked again later.
 func (e *exchange) isRemovable() bool { return e.attempt == nil && !e.cancelPropagating }
--- a/internal/platform/firstevent.go
+++ b/internal/platform/firstevent.go
@@ -6,7 +6,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// firstEventState is how much of a stream's first event has arrived. Further bytes do not change it once
+// firstEventState is the state of a stream's first event. Further bytes do not change the state once
 // the event is complete or invalid.
 type firstEventState uint8
 
@@ -20,7 +20,7 @@
 	firstEventInvalid // invalid
 )
 
-// eventDataField starts the only line of an event.
+// eventDataField is the start of an event's data line.
 const eventDataField = "data:"
 
 // scanFirstEvent returns the state of the event at the start of a stream. A valid event is one data line
@@ -42,8 +42,8 @@
 	return scanEmptyLine(stream[lineEnd+1:])
 }
 
-// scanEmptyLine returns the state of an event by what follows its data line. LF, or CR and one more
-// byte, completes the event.
+// scanEmptyLine returns the state of an event from the bytes after its data line. The event is
+// complete with LF, or with CR and any further byte.
 func scanEmptyLine(rest []byte) firstEventState {
 	switch {
 	case len(rest) == 0:
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -258,7 +258,7 @@
 func (h *harness) waitUntilNothingOpen() {
 	h.Helper()
 	h.waitOnLoop("requests and KV releases to end", func() bool {
-		return len(h.server.exchanges.ByID) == 0 && len(h.server.exchanges.byClientID) == 0 &&
+		return len(h.server.exchanges.ByID) == 0 && len(h.server.exchanges.byCallID) == 0 &&
 			h.server.kvReleases.scheduler.Len() == 0 && h.server.bufferedBytes == 0
 	})
 }
--- a/internal/platform/jsonstream.go
+++ b/internal/platform/jsonstream.go
@@ -13,7 +13,7 @@
 // jsonElement is one element of a jsonStream.
 type jsonElement struct {
 	kind   jsonElementKind
-	length int    // number of bytes of the latest piece that belong to the element or precede it
+	length int    // bytes of the latest piece up to the end of the element
 	object []byte // the complete object if kind is jsonObject, else nil
 }
 
@@ -26,20 +26,20 @@
 	jsonIncomplete jsonElementKind = iota // incomplete
 	// jsonObject is a complete object.
 	jsonObject // object
-	// jsonBlankLine is the end of a line without an object on it.
+	// jsonBlankLine is a line feed outside of objects.
 	jsonBlankLine // blank line
-	// jsonInvalid means that the stream is not a stream of objects, or an object is too long.
+	// jsonInvalid means that the stream has something other than objects, or an object is too long.
 	jsonInvalid // invalid
 )
 
-// next returns the first element that ends within b.
-func (s *jsonStream) next(b []byte) jsonElement {
+// next returns the first element that ends within piece.
+func (s *jsonStream) next(piece []byte) jsonElement {
 	start := 0
-	for i, c := range b {
+	for i, c := range piece {
 		if s.depth > 0 {
 			s.advance(c)
 			if s.depth == 0 {
-				return s.complete(b[start:i+1], i+1)
+				return s.complete(piece[start:i+1], i+1)
 			}
 			continue
 		}
@@ -55,12 +55,12 @@
 		}
 	}
 	if s.depth > 0 {
-		s.partial = append(s.partial, b[start:]...)
+		s.partial = append(s.partial, piece[start:]...)
 	}
 	if len(s.partial) > s.maxObjectBytes {
-		return jsonElement{kind: jsonInvalid, length: len(b)}
+		return jsonElement{kind: jsonInvalid, length: len(piece)}
 	}
-	return jsonElement{kind: jsonIncomplete, length: len(b)}
+	return jsonElement{kind: jsonIncomplete, length: len(piece)}
 }
 
 // advance processes one byte of an object.
--- a/internal/platform/kvrelease.go
+++ b/internal/platform/kvrelease.go
@@ -8,7 +8,7 @@
 	"martenlock/internal/timerwheel"
 )
 
-// kvReleases schedules the calls that have engines release retained KV state.
+// kvReleases schedules the calls to engines that release retained KV state.
 type kvReleases struct {
 	scheduler *kvrelease.Scheduler
 	pollTimer timerwheel.Timer // runs until the scheduler's next deadline
@@ -22,9 +22,9 @@
 }
 
 // enqueueKVRelease schedules the release of the KV state of a client's request.
-func (s *Server) enqueueKVRelease(clientID string, reason control.ReleaseReason) {
-	s.kvReleases.scheduler.Enqueue(s.now(), clientID)
-	s.events.requestLine().Str("request_id", clientID).Stringer("reason", reason).Msg("KV release enqueued")
+func (s *Server) enqueueKVRelease(callID string, reason control.ReleaseReason) {
+	s.kvReleases.scheduler.Enqueue(s.now(), callID)
+	s.events.requestLine().Str("request_id", callID).Stringer("reason", reason).Msg("KV release enqueued")
 }
 
 // pollKVReleases starts the calls that are due and sets the timer for the next ones.
@@ -40,11 +40,11 @@
 	}
 }
 
-// kvReleasePath is the path of KV state at an engine. The client's id of the request follows.
+// kvReleasePath, followed by a request's X-Call-Id, is the path of its KV state at an engine.
 const kvReleasePath = "/bootstrap/rooms/"
 
-// startKVRelease calls the engine that the scheduler chose. Any engine releases the state that any of
-// them retains.
+// startKVRelease calls the engine that the scheduler chose. Every engine can release state that
+// another engine retains.
 func (s *Server) startKVRelease(call kvrelease.Call) {
 	engine := s.endpoints.byID[call.Endpoint]
 	if engine == nil {
@@ -56,19 +56,19 @@
 	})
 }
 
-// completeKVRelease reports the end of a call to the scheduler. If the state is released, the attempt
-// that was deferred for it starts.
+// completeKVRelease reports the end of a call to the scheduler. Once the release is confirmed, it
+// starts the attempt that was deferred for it.
 func (s *Server) completeKVRelease(call kvrelease.Call, isReleased bool) {
 	completion := s.kvReleases.scheduler.Complete(s.now(), call, isReleased)
 	s.logKVRelease(call, completion)
-	if e := s.exchanges.byClientID[call.Key]; completion.Released && e != nil && e.attempt != nil {
+	if e := s.exchanges.byCallID[call.Key]; completion.Released && e != nil && e.attempt != nil {
 		e.attempt.startDeferred()
 	}
 	s.schedulePoll()
 }
 
-// logKVRelease logs a confirmed release and a failed call. It logs nothing if another call has
-// released the state before, or if the release was withdrawn.
+// logKVRelease logs a confirmed release or a failed call. It logs nothing if another call has
+// already released the state, or if the release was withdrawn.
 func (s *Server) logKVRelease(call kvrelease.Call, completion kvrelease.Completion) {
 	message := "KV release call failed"
 	if completion.Released {
--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -5,7 +5,7 @@
 	"martenlock/internal/decisionloop"
 )
 
-// newMailbox returns the mailbox of a new decision module.
+// newMailbox creates a decision module and returns its mailbox.
 func newMailbox(s *Server) decisionloop.Mailbox[*exchange] {
 	return decisionloop.Mailbox[*exchange]{
 		Loop:        s.loop,
@@ -24,8 +24,8 @@
 // the iteration's other events.
 func (s *Server) push(event control.Event) { s.mailbox.Push(event) }
 
-// schedulePoll has the decision module and the scheduler of KV releases polled at the end of this
-// iteration.
+// schedulePoll schedules a poll of the decision module and of the KV release scheduler at the end of
+// this iteration of the loop.
 func (s *Server) schedulePoll() { s.mailbox.SchedulePoll() }
 
 // afterPoll removes the exchanges that have ended and starts the KV releases that are due.
--- a/internal/platform/outcome.go
+++ b/internal/platform/outcome.go
@@ -7,16 +7,15 @@
 	"martenlock/internal/upstream"
 )
 
-// responseOutcome is what an engine's complete response means for its attempt, if the response is
-// not a stream.
+// responseOutcome is the outcome of an attempt with a complete response that is not a stream.
 type responseOutcome struct {
 	result    control.Result
 	kvMissing bool // the engine has no KV state of this request
-	final     bool // the request itself is at fault: the client gets an error and no other engine is tried
+	final     bool // the request itself is invalid: the client gets an error and no other engine is tried
 }
 
-// classifyResponse returns the outcome of a response that is not a stream. rejected is set if the
-// engine marked the request as not executed. docs/platform-design.md has the table of outcomes.
+// classifyResponse returns the outcome of a response that is not a stream. rejected reports whether
+// the engine marked the request as not executed. docs/platform-design.md has the table of outcomes.
 func classifyResponse(role control.Role, status int, rejected bool) responseOutcome {
 	switch {
 	case status == http.StatusAccepted && role != control.RoleDecode:
@@ -25,14 +24,15 @@
 		return responseOutcome{result: control.Rejected, kvMissing: true}
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && rejected:
 		return responseOutcome{result: control.Rejected}
-	case isRequestAtFault(status):
+	case isRequestInvalid(status):
 		return responseOutcome{result: control.NotSent, final: true}
 	}
 	return responseOutcome{result: control.Failed}
 }
 
-// isRequestAtFault reports whether every engine would respond with this status.
-func isRequestAtFault(status int) bool {
+// isRequestInvalid reports whether the status means that the request itself is invalid, and every
+// other engine would answer the same.
+func isRequestInvalid(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusGone, http.StatusTooManyRequests:
 		return false
--- a/internal/platform/requestmeta.go
+++ b/internal/platform/requestmeta.go
@@ -14,30 +14,30 @@
 	"martenlock/internal/platformsettings"
 )
 
-// chatPath is where clients send their requests.
+// chatPath is the path of clients' chat requests, the only ones that engines serve.
 const chatPath = "/v1/chat/completions"
 
-// The header fields of a client's request. headerTimeBudget is one more.
+// The header fields of a client's request, besides headerTimeBudget.
 const (
 	headerCallID    = "X-Call-Id"
 	headerClass     = "X-Call-Class"
-	headerRouteHash = "X-Route-Hash" // the session
-	headerCallInfo  = "X-Call-Info"  // facts about the prompt: key=value, separated by commas
-	headerAgain     = "X-Again"      // headerAgainValue if the client resumes a truncated stream
+	headerRouteHash = "X-Route-Hash" // the session's id
+	headerCallInfo  = "X-Call-Info"  // key=value pairs about the prompt, separated by commas
+	headerResume    = "X-Again"      // headerResumeValue if the client resumes a truncated stream
 )
 
-// headerAgainValue is the value of headerAgain of a client that resumes a stream.
-const headerAgainValue = "again"
+// headerResumeValue is the value of headerResume if the client resumes a stream.
+const headerResumeValue = "again"
 
 const (
-	// maxCallIDBytes bounds a call's id, which is part of paths and of log lines.
+	// maxCallIDBytes bounds a request's X-Call-Id, which is part of paths and log lines.
 	maxCallIDBytes = 128
-	// maxTokens bounds a stated number of tokens. It is far above any prompt, and sums of many such numbers
-	// stay precise in a float64.
+	// maxTokens bounds a number of tokens in a header field. Sums of many such numbers stay precise in
+	// a float64.
 	maxTokens = 1e8
 )
 
-// requestMeta is what the head of a client's request says about it.
+// requestMeta holds what was parsed from the head of a client's request.
 type requestMeta struct {
 	callID      string
 	target      string
@@ -46,7 +46,7 @@
 	request     control.Request // ID and Deadline are not set
 }
 
-// headerError is an unusable header field of a client's request. The client receives its text.
+// headerError reports an invalid header field of a client's request. The client receives its text.
 type headerError struct {
 	Header string // name of the field
 	Reason string
@@ -63,11 +63,11 @@
 	routeHash  string
 	timeBudget string
 	callInfo   string
-	again      string
+	resume     string
 }
 
-// readRequestHeaders returns the header fields of a request's head. The error is a *headerError for one
-// that is given more than once.
+// readRequestHeaders reads the header fields from a request's head. The error is a *headerError if a
+// field occurs more than once.
 func readRequestHeaders(head *http1.Head) (requestHeaders, error) {
 	var headers requestHeaders
 	for _, field := range [...]struct {
@@ -79,7 +79,7 @@
 		{headerRouteHash, &headers.routeHash},
 		{headerTimeBudget, &headers.timeBudget},
 		{headerCallInfo, &headers.callInfo},
-		{headerAgain, &headers.again},
+		{headerResume, &headers.resume},
 	} {
 		value, err := singleValue(head, field.name)
 		if err != nil {
@@ -90,8 +90,8 @@
 	return headers, nil
 }
 
-// singleValue returns the value of a header field that must not be given more than once, or "" if the
-// field is missing.
+// singleValue returns the value of a header field, or "" if the field is missing. The error is a
+// *headerError if the field occurs more than once.
 func singleValue(head *http1.Head, name string) (string, error) {
 	value := ""
 	count := 0
@@ -127,7 +127,7 @@
 		return nil, err
 	}
 	meta.request.SessionID = nameHash(headers.routeHash)
-	meta.request.Resumed = settings.ResumesStreams && headers.again == headerAgainValue
+	meta.request.Resumed = settings.ResumesStreams && headers.resume == headerResumeValue
 	err = parseCallInfo(headers.callInfo, &meta.request)
 	if err != nil {
 		return nil, err
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// parseTokens decodes a number of tokens.
+// parseTokens decodes a number of tokens, at most maxTokens.
 func parseTokens(text string) (control.Tokens, error) {
 	tokens, isDecimal := parseDecimal(text)
 	if !isDecimal || tokens > maxTokens {
@@ -191,8 +191,9 @@
 	return false
 }
 
-// nameHash returns the decision module's number of a name, or 0 for the empty name. All routers derive the
-// same number. A name of 16 hexadecimal digits is that number.
+// nameHash returns the number that stands for a name in the decision module, or 0 for the empty name.
+// All routers derive the same number. A name of 16 hexadecimal digits is taken as the number itself;
+// any other name is hashed.
 func nameHash(name string) uint64 {
 	if name == "" {
 		return 0
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -13,18 +13,18 @@
 
 var crlf = []byte("\r\n")
 
-// Sizes that fit nearly every head, so that building one allocates once.
+// Initial capacities for heads. Nearly every head fits.
 const (
 	responseHeadBytes = 256
 	streamHeadBytes   = 160
 )
 
-// respondOutOfMemory rejects a request for whose body there is no memory.
+// respondOutOfMemory rejects a request whose body does not fit into the server's buffer memory.
 func (c *clientConn) respondOutOfMemory() {
 	c.respondAndClose(http.StatusServiceUnavailable, retryAfterField(connlimit.RetryAfterFull), "too many bytes of requests at once")
 }
 
-// respondAndClose logs the reason and gives it as the connection's last answer.
+// respondAndClose logs the reason, answers with it and closes the connection after the answer.
 func (c *clientConn) respondAndClose(status int, fields, reason string) {
 	c.logClose(reason)
 	c.conn.CloseAfterResponse()
@@ -32,7 +32,7 @@
 }
 
 // respondHealth answers the platform's health check. The server is unhealthy without engines and
-// from the begin of a shutdown.
+// once a shutdown has begun.
 func (c *clientConn) respondHealth() {
 	if c.server.shutdown.inProgress() || c.server.membership.Len() == 0 {
 		c.respond(http.StatusServiceUnavailable, "", "not ready\n")
@@ -41,8 +41,8 @@
 	c.respond(http.StatusOK, "", "ok\n")
 }
 
-// respond answers with a complete response. fields are further header fields, each with its line
-// end.
+// respond answers with a complete response. fields holds additional header fields, each ending in
+// CRLF.
 func (c *clientConn) respond(status int, fields, body string) {
 	c.detachExchange()
 	head := http1.AppendStatus(make([]byte, 0, responseHeadBytes), status)
@@ -54,15 +54,15 @@
 
 // startStream begins a streamed response.
 func (c *clientConn) startStream() {
-	c.conn.SelectFraming(false) // chunked: only clients of HTTP/1.1 get streams
+	c.conn.SelectFraming(false) // chunked; requests of HTTP/1.0 were rejected before
 	head := http1.AppendStatus(make([]byte, 0, streamHeadBytes), http.StatusOK)
 	head = append(head, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"...)
 	head = c.conn.AppendConnectionField(head)
 	c.conn.WriteHead(append(head, crlf...))
 }
 
-// writeChunk writes a piece of the stream, and reports whether the client is slow to take it. If
-// so, the stream pauses until exchange.clientWritable is called.
+// writeChunk writes a piece of the stream. isFull reports that the client reads too slowly: the
+// caller then pauses the stream until exchange.clientWritable is called.
 func (c *clientConn) writeChunk(data []byte) (isFull bool) { return c.conn.WriteBody(data) }
 
 // endStream ends a complete stream.
@@ -71,21 +71,21 @@
 	c.conn.EndBody()
 }
 
-// abortStream ends an incomplete stream. The connection ends without the last chunk. It lingers,
-// since a reset would destroy the events that are on their way.
+// abortStream closes the connection without the last chunk, because the stream is incomplete. The
+// close lingers: a reset could discard events that the client has not received yet.
 func (c *clientConn) abortStream() {
 	c.detachExchange()
 	c.logClose("stream_truncated")
 	c.conn.CloseLingering()
 }
 
-// detachExchange ends the connection's part in the current request.
+// detachExchange separates the connection from its current request.
 func (c *clientConn) detachExchange() {
 	c.exchange = nil
 	c.request.meta = nil
 }
 
-// retryAfterField returns the Retry-After field in decimal seconds, or "" if after is not positive.
+// retryAfterField returns the Retry-After field with decimal seconds, or "" if after is not positive.
 func retryAfterField(after time.Duration) string {
 	if after <= 0 {
 		return ""
--- a/internal/platform/timebudget.go
+++ b/internal/platform/timebudget.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// headerTimeBudget is the header field with the time for which its sender waits for the answer: a number
+// headerTimeBudget is the header field that states how long its sender waits for the answer: a number
 // and a unit, "m" for milliseconds or "u" for microseconds.
 const headerTimeBudget = "X-Budget"
 
@@ -26,7 +26,7 @@
 	return time.Duration(budget), nil
 }
 
-// timeBudgetUnit returns the unit of a time budget, or 0 if there is no known one.
+// timeBudgetUnit returns the unit of a time budget, or 0 if it has no known unit.
 func timeBudgetUnit(value string) time.Duration {
 	switch {
 	case strings.HasSuffix(value, "m"):
@@ -37,19 +37,19 @@
 	return 0
 }
 
-// appendTimeBudget appends the header field with the time that an engine has left. The time is rounded
-// down, but is at least one microsecond.
-func appendTimeBudget(head []byte, left time.Duration) []byte {
+// appendTimeBudget appends the header field with the time that is left for an engine's answer. The
+// time is rounded down, but is at least one microsecond.
+func appendTimeBudget(head []byte, remaining time.Duration) []byte {
 	head = append(head, headerTimeBudget+": "...)
-	if left < time.Millisecond {
-		head = strconv.AppendInt(head, max(left.Microseconds(), 1), 10)
+	if remaining < time.Millisecond {
+		head = strconv.AppendInt(head, max(remaining.Microseconds(), 1), 10)
 		return append(head, "u\r\n"...)
 	}
-	head = strconv.AppendInt(head, left.Milliseconds(), 10)
+	head = strconv.AppendInt(head, remaining.Milliseconds(), 10)
 	return append(head, "m\r\n"...)
 }
 
-// parseDecimal decodes a number of digits with at most one decimal point, without sign or exponent.
+// parseDecimal decodes a decimal number with at most one decimal point and no sign or exponent.
 func parseDecimal(text string) (value float64, isDecimal bool) {
 	for i := range len(text) {
 		isDigit := text[i] >= '0' && text[i] <= '9'
