--- a/internal/platform/cancellation_test.go
+++ b/internal/platform/cancellation_test.go
@@ -25,7 +25,7 @@
 	return list
 }
 
-// firstAndOther waits for the first attempt at two engines, and returns the engine that received it before the other one.
+// firstAndOther waits until one of two engines has received an attempt, and returns that engine first.
 func (h *harness) firstAndOther(one, two *platformtest.Engine) (first, other *platformtest.Engine) {
 	h.Helper()
 	h.waitForAttempts(1, one, two)
@@ -35,9 +35,9 @@
 	return one, two
 }
 
-// TestRetryNeverOvertakesCancellation: an attempt that the server ends has ended for its engine
-// before another attempt or an answer follows, for each result of a cancelled attempt and each
-// idempotency.
+// TestRetryNeverOvertakesCancellation: after the server aborts an attempt, its engine has time to
+// notice before the request is retried or answered, for each result of an aborted attempt and for
+// idempotent and other requests.
 func TestRetryNeverOvertakesCancellation(t *testing.T) {
 	for _, class := range []string{"ask", "note"} {
 		for _, result := range []control.Result{control.Cancelled, control.TimedOut, control.Failed} {
@@ -54,27 +54,27 @@
 				endedAt = h.server.loop.Now()
 				h.attemptsInFlight(first)[0].finish(result, false)
 				if h.server.mailbox.Len() != 0 {
-					t.Errorf("the decision module is notified of %v at once", result)
+					t.Errorf("the decision module was notified of %v without a delay", result)
 				}
 			})
 			h.waitForAttempts(1, other)
 
 			h.runOnLoop(func() {
 				if retries := h.attemptsInFlight(other); len(retries) != 1 || retries[0].startedAt-endedAt < connlimit.CancelPropagationDelay {
-					t.Errorf("%d in flight, %v after the end of the first", len(retries), retries[0].startedAt-endedAt)
+					t.Errorf("%d retries in flight, the first one started %v after the end of the aborted attempt, want 1 after %v", len(retries), retries[0].startedAt-endedAt, connlimit.CancelPropagationDelay)
 				}
 			})
 			close(released)
 			if answer := readAnswer(client); answer.Code != http.StatusOK {
-				t.Errorf("%s: %d %s", class, answer.Code, answer.Body)
+				t.Errorf("class %s, %v: answered %d %s, want 200", class, result, answer.Code, answer.Body)
 			}
 		}
 	}
 }
 
 // TestExchangeKeptUntilCancellationHasPropagated: an exchange whose client leaves while a
-// cancellation propagates is kept until the decision module is notified of the attempt's end; then its KV
-// state is released and it is forgotten.
+// cancellation propagates is kept until the decision module is notified of the attempt's end. After
+// that its KV state is released and the exchange is removed.
 func TestExchangeKeptUntilCancellationHasPropagated(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	released := make(chan struct{})
@@ -90,18 +90,19 @@
 		h.server.mailbox.Poll()
 
 		if h.server.exchanges.ByID[a.exchange.id] != a.exchange {
-			t.Error("forgotten before the decision module is notified of the attempt's end")
+			t.Error("the exchange was removed before the decision module was notified of the attempt's end")
 		}
 	})
 
 	h.waitUntilNothingOpen()
 	if !h.isKVReleased() {
-		t.Error("the KV state that it may have left is retained")
+		t.Error("the KV state that the attempt may have left was not released")
 	}
 }
 
-// TestClientCancelEndsAttemptAndReleasesKV: when a client leaves, its engine's connection ends
-// and its KV state is released, also when the first engine asked to release it is unresponsive.
+// TestClientCancelEndsAttemptAndReleasesKV: when a client leaves, the connection to its engine is
+// closed and its KV state is released, even if the engine that is called first for the release is
+// unresponsive.
 func TestClientCancelEndsAttemptAndReleasesKV(t *testing.T) {
 	const maxDelay = 500 * time.Millisecond
 	h := startHarness(t, "r1", "r1", "w1")
@@ -113,7 +114,7 @@
 				connEnded <- struct{}{}
 				return false
 			}
-			return r.Method == http.MethodDelete // without an answer
+			return r.Method == http.MethodDelete // a release gets no response on its open connection
 		})
 	}
 	client := h.send(h.chat("ask"))
@@ -125,23 +126,23 @@
 	select {
 	case <-connEnded:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the connection to the engine stays open")
+		t.Fatal("the connection to the engine was not closed")
 	}
 	h.waitFor("the KV release", func() bool { return h.isKVReleased() })
-	h.waitOnLoop("an engine to confirm it", func() bool { return h.server.kvReleases.scheduler.Len() == 0 })
+	h.waitOnLoop("an engine to confirm the KV release", func() bool { return h.server.kvReleases.scheduler.Len() == 0 })
 	if took := time.Since(leftAt); took > maxDelay {
-		t.Errorf("after %v", took)
+		t.Errorf("KV release confirmed after %v, limit %v", took, maxDelay)
 	}
 	if h.server.kvReleases.scheduler.Dropped() > 0 {
-		t.Error("the release was dropped")
+		t.Error("the KV release was dropped")
 	}
 }
 
-// TestRetryNotForwardedAfterClientCancel: a client that leaves in the iteration in which its
-// request arrives, or an engine rejects it, fails, completes its prefill or resets the
-// connection, gets no further attempt.
+// TestRetryNotForwardedAfterClientCancel: a request gets no further attempt if its client leaves in
+// the loop iteration in which the request arrives, or in which the engine rejects it, fails,
+// completes the prefill or resets the connection.
 func TestRetryNotForwardedAfterClientCancel(t *testing.T) {
-	const requestArrives, connReset = "", "reset" // else an engine sends this response
+	const requestArrives, connReset = "", "reset" // any other event is a response that the engine sends
 	for _, event := range []string{
 		requestArrives,
 		platformtest.Status(http.StatusServiceUnavailable, platformtest.RejectedHeader),
@@ -151,7 +152,7 @@
 	} {
 		for _, leavesFirst := range []bool{true, false} {
 			if event == requestArrives && leavesFirst {
-				continue // then there is no request
+				continue // a client that has left sends no request
 			}
 			h := startHarness(t, "r1", "r1", "w1")
 			conns := make(chan net.Conn, 4)
@@ -175,11 +176,11 @@
 				}
 				switch event {
 				case requestArrives:
-					writeUnseen(t, client, h.chat("ask"))
+					writeForNextIteration(t, client, h.chat("ask"))
 				case connReset:
 					enginetest.Reset(engineConn)
 				default:
-					writeUnseen(t, engineConn, event)
+					writeForNextIteration(t, engineConn, event)
 				}
 				if !leavesFirst {
 					client.Close()
@@ -188,15 +189,15 @@
 			h.waitUntilNothingOpen()
 
 			if attemptsAt(h.engines[:2]...) > maxAttempts || h.engines[2].Attempts() != 0 {
-				t.Errorf("%q, client leaves first %v: %v attempts", event, leavesFirst, h.attemptCounts())
+				t.Errorf("%q, client leaves first %v: engines received %v attempts, want at most %d, none of them at the decode engine", event, leavesFirst, h.attemptCounts(), maxAttempts)
 			}
 		}
 	}
 }
 
-// TestKVMissingNotRetriedAfterClientCancel: a decode engine that reports missing KV state in the
-// iteration in which the client leaves, in either order, causes no further prefill, and KV state
-// is released.
+// TestKVMissingNotRetriedAfterClientCancel: if a decode engine reports missing KV state in the loop
+// iteration in which the client leaves, in either order, no further prefill follows and KV state is
+// released.
 func TestKVMissingNotRetriedAfterClientCancel(t *testing.T) {
 	for _, leavesFirst := range []bool{true, false} {
 		h := startHarness(t, "r1", "w1", "w1")
@@ -211,7 +212,7 @@
 			if leavesFirst {
 				client.Close()
 			}
-			writeUnseen(t, engineConn, platformtest.Status(http.StatusGone, platformtest.RejectedHeader))
+			writeForNextIteration(t, engineConn, platformtest.Status(http.StatusGone, platformtest.RejectedHeader))
 			if !leavesFirst {
 				client.Close()
 			}
@@ -219,7 +220,7 @@
 		h.waitUntilNothingOpen()
 
 		if h.engines[0].Attempts() != 1 || attemptsAt(h.engines[1:]...) != 1 || !h.isKVReleased() {
-			t.Errorf("client leaves first %v: %v attempts, KV released %v", leavesFirst, h.attemptCounts(), h.isKVReleased())
+			t.Errorf("client leaves first %v: engines received %v attempts, want one prefill and one decode; KV released %v", leavesFirst, h.attemptCounts(), h.isKVReleased())
 		}
 	}
 }
--- a/internal/platform/clientconn_test.go
+++ b/internal/platform/clientconn_test.go
@@ -11,24 +11,24 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// writeUnseen sends bytes that the loop can't see before its next iteration, if it is called on the loop.
-func writeUnseen(t *testing.T, conn net.Conn, text string) {
+// writeForNextIteration sends bytes. If it is called on the loop, the loop reads them in its next iteration.
+func writeForNextIteration(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Error(err)
 	}
 }
 
-// longStream returns a stream too long for the buffers of a client that reads late: the rest stays in the server's. Its end is
-// the last chunk, or what breaks the stream off.
+// longStream returns a stream that exceeds the socket buffers of a client that doesn't read, and the
+// size of its events. end is the last chunk, or invalid bytes that truncate the stream.
 func longStream(end string) (text string, size int) {
 	event := `data: {"a":"` + strings.Repeat("x", 4000) + "\"}\n\n"
 	return platformtest.StreamHead + strings.Repeat(platformtest.Chunk(event), 40) + end, 40 * len(event)
 }
 
-// TestCloseOverUnreadBytesKeepsAnswer: a request that arrives as its connection is closed is not
-// forwarded, and the reset that unread bytes cause does not destroy what was written before:
-// neither an answer, when an idle connection is closed, nor the events of a truncated stream.
+// TestCloseOverUnreadBytesKeepsAnswer: a close with unread bytes in the socket causes a reset. It
+// must not discard what was written before: the answer, if the connection is idle, or the events of
+// a truncated stream. The unread request is not forwarded.
 func TestCloseOverUnreadBytesKeepsAnswer(t *testing.T) {
 	for _, test := range []struct {
 		end        string
@@ -50,26 +50,26 @@
 			close(released)
 			h.waitOnLoop("the answer", func() bool { return conn.HasAnswered() })
 			h.runOnLoop(func() { // in one iteration
-				writeUnseen(t, client, h.chat("note"))
+				writeForNextIteration(t, client, h.chat("note"))
 				conn.Close()
 			})
 		} else {
-			h.runOnLoop(func() { writeUnseen(t, client, h.chat("note")) }) // stays unread behind the stream
+			h.runOnLoop(func() { writeForNextIteration(t, client, h.chat("note")) }) // stays unread while the stream is sent
 			close(released)
 		}
 		h.waitOnLoop("the connection to be closed", func() bool { return conn.State() == httpserver.Closed })
 
 		answer := readAnswer(client)
 		if answer.Code != http.StatusOK || answer.IsComplete != test.isComplete || len(answer.Body) != size {
-			t.Errorf("complete %v: %d, complete %v, %d bytes of %d", test.isComplete, answer.Code, answer.IsComplete, len(answer.Body), size)
+			t.Errorf("engine's stream complete %v: client got status %d, complete %v, %d of %d bytes", test.isComplete, answer.Code, answer.IsComplete, len(answer.Body), size)
 		}
 		if n := h.engines[0].Attempts(); n != 1 {
-			t.Errorf("%d prefill attempts", n)
+			t.Errorf("%d prefill attempts, want 1", n)
 		}
 	}
 }
 
-// dialWithReadBuffer connects a client whose system buffers this many received bytes.
+// dialWithReadBuffer connects a client with a socket receive buffer of this many bytes.
 func (h *harness) dialWithReadBuffer(size int) net.Conn {
 	h.Helper()
 	conn := h.dial()
--- a/internal/platform/draining_test.go
+++ b/internal/platform/draining_test.go
@@ -10,8 +10,8 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestDrainingEndpointGetsNoRequestOfTheSameIteration: an engine that starts to drain in the
-// iteration in which a request arrives gets nothing of it, whichever event came first.
+// TestDrainingEndpointGetsNoRequestOfTheSameIteration: a request is not forwarded to an engine that
+// starts to drain in the iteration in which the request arrives, whichever event comes first.
 func TestDrainingEndpointGetsNoRequestOfTheSameIteration(t *testing.T) {
 	for _, drainsFirst := range []bool{true, false} {
 		h := startHarness(t, "r1", "w1")
@@ -22,20 +22,20 @@
 			if drainsFirst {
 				h.notifyTerminating(h.engines[0])
 			}
-			writeUnseen(t, client, h.chat("ask"))
+			writeForNextIteration(t, client, h.chat("ask"))
 			if !drainsFirst {
 				h.notifyTerminating(h.engines[0])
 			}
 		})
 
 		if answer, n := readAnswer(client), h.engines[0].Attempts(); answer.Code != http.StatusServiceUnavailable || n != 0 {
-			t.Errorf("drains first %v: %d after %d attempts", drainsFirst, answer.Code, n)
+			t.Errorf("drains first %v: answered %d after %d attempts, want 503 after 0", drainsFirst, answer.Code, n)
 		}
 	}
 }
 
-// TestPendingSendEndsWithDrainGrace: a request whose connection is not established when its
-// engine's drain grace ends is never sent there.
+// TestPendingSendEndsWithDrainGrace: an attempt whose connection is not established when the drain
+// grace of its engine ends is retried at another engine.
 func TestPendingSendEndsWithDrainGrace(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
 	connecting, other := h.engines[1], h.engines[2]
@@ -56,6 +56,6 @@
 
 	h.waitOnLoop("the attempt to end", func() bool { return len(h.attemptsInFlight(connecting)) == 0 })
 	if answer := readAnswer(client); answer.Code != http.StatusOK || other.Attempts() != 1 {
-		t.Error(answer.Code, h.attemptCounts())
+		t.Errorf("answered %d, engines received %v attempts; want 200 and one attempt at the last engine", answer.Code, h.attemptCounts())
 	}
 }
--- a/internal/platform/firstevent_test.go
+++ b/internal/platform/firstevent_test.go
@@ -8,26 +8,27 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// FuzzFirstEvent: whatever an engine sends, a verdict on a part of it is final.
+// FuzzFirstEvent: whatever an engine sends, further bytes don't change the state of a first event
+// that is complete or invalid.
 func FuzzFirstEvent(f *testing.F) {
 	f.Add([]byte(platformtest.FirstEvent), 5)
 	f.Add([]byte("data: {}\r\n\r\n"), 9)
 	f.Add([]byte("data: x\n\n"), 7)
-	f.Fuzz(func(t *testing.T, b []byte, n int) {
-		if n < 0 || n > len(b) {
+	f.Fuzz(func(t *testing.T, b []byte, partLen int) {
+		if partLen < 0 || partLen > len(b) {
 			return
 		}
 
-		part, all := scanFirstEvent(b[:n]), scanFirstEvent(b)
+		part, all := scanFirstEvent(b[:partLen]), scanFirstEvent(b)
 
 		if part != firstEventIncomplete && part != all {
-			t.Errorf("%q is %v, its first %d bytes are %v", b, all, n, part)
+			t.Errorf("%q is %v, its first %d bytes are %v", b, all, partLen, part)
 		}
 	})
 }
 
-// FuzzEngineResponse: whatever an engine sends, what goes to the client begins with a valid
-// event and is what the engine sent.
+// FuzzEngineResponse: whatever an engine sends, a first event that is found complete begins with the
+// data field.
 func FuzzEngineResponse(f *testing.F) {
 	f.Add([]byte(platformtest.Stream()))
 	f.Add([]byte(platformtest.StreamHead + "5\r\ndata:\r\n3\r\n{}\n\r\n1\r\n\n\r\n0\r\n\r\n"))
@@ -44,7 +45,7 @@
 				buffered = append(buffered, data...)
 				if state := scanFirstEvent(buffered); state != firstEventIncomplete {
 					if state == firstEventComplete && !bytes.HasPrefix(buffered, []byte("data:")) {
-						t.Errorf("%q", buffered)
+						t.Errorf("first event of %q is complete", buffered)
 					}
 					return
 				}
--- a/internal/platform/forwarding_test.go
+++ b/internal/platform/forwarding_test.go
@@ -12,22 +12,21 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// largeEvent is an event of some 8 kB.
+// largeEvent is an event of about 8 kB.
 var largeEvent = `data: {"a":"` + strings.Repeat("x", 8000) + "\"}\n\n"
 
-// TestRequestAndEventsPassUnchanged: a request goes to a prefill engine and then to a decode
-// engine as it came, and the client gets the events as they came, on a connection that stays
-// open.
+// TestRequestAndEventsPassUnchanged: a request is forwarded unchanged to a prefill engine and then
+// to a decode engine, and the client receives the events unchanged, on a connection that stays open.
 func TestRequestAndEventsPassUnchanged(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	if answer := h.roundTrip(healthCheck); answer.Code != http.StatusOK {
-		t.Fatal(answer)
+		t.Fatalf("health check: answered %+v, want status 200", answer)
 	}
 	client := h.dial()
 	reader := bufio.NewReader(client)
 
 	for i := range 3 {
-		text := h.chat([]string{"ask", "note"}[i/2]) // a note may take a connection of its own
+		text := h.chat([]string{"ask", "note"}[i/2]) // a request that is not idempotent may open a new connection
 		io.WriteString(client, text)
 		answer := platformtest.ReadAnswer(reader)
 
@@ -40,12 +39,13 @@
 
 	for _, e := range h.engines {
 		if n := e.Accepted(); n > 2 || n > 1 && e.Role() == platformtest.Prefill {
-			t.Errorf("%d connections to the %s engine for requests one after another", n, e.Role())
+			t.Errorf("%d connections to the %s engine for sequential requests", n, e.Role())
 		}
 	}
 }
 
-// expectForwarded fails the test unless the engine's latest request is the client's latest request, with this body.
+// expectForwarded fails the test unless the engine's latest request is the client's latest one, with
+// this body.
 func (h *harness) expectForwarded(e *platformtest.Engine, body string) {
 	h.Helper()
 	got := e.LatestRequest()
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestEventsAreForwardedSinglyAndAtOnce: each event reaches its client by itself and at once,
-// while another client reads nothing and further ones keep the server busy.
+// TestEventsAreForwardedSinglyAndAtOnce: each event is forwarded without waiting for the next one,
+// while another client reads nothing and further requests keep the server busy.
 func TestEventsAreForwardedSinglyAndAtOnce(t *testing.T) {
 	const maxDelay = 300 * time.Millisecond
 	const eventCount = 10
@@ -98,18 +98,18 @@
 			continue
 		}
 		if delay := time.Since(<-written); delay > maxDelay {
-			t.Errorf("event %d came after %v", seen, delay)
+			t.Errorf("event %d arrived after %v, limit %v", seen, delay, maxDelay)
 		}
 		seen++
 		if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
-			t.Error(answer.Code)
+			t.Errorf("request of another client: answered %d, want 200", answer.Code)
 		}
 		received <- struct{}{}
 	}
 }
 
-// TestStreamIsTheSameWhereverItIsCut: a client gets the same stream wherever its engine's bytes
-// are cut, the head and the first event included.
+// TestStreamIsTheSameWhereverItIsCut: a client receives the same stream wherever the engine's
+// response is split into two writes, also within the head and the first event.
 func TestStreamIsTheSameWhereverItIsCut(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	stream := platformtest.Stream()
@@ -123,7 +123,7 @@
 			h.server.loop.Post(func() { close(iterated) })
 			select {
 			case <-iterated:
-			case <-testEnded: // the client has all, and the loop has ended
+			case <-testEnded: // the loop may have stopped
 			}
 		}
 		return r.Write(stream[cut:])
@@ -134,13 +134,13 @@
 		answer := h.roundTrip(h.chat("note"))
 
 		if !answer.IsCompleteStream() {
-			t.Fatalf("cut at %d: %+v", cut, answer)
+			t.Fatalf("cut at %d: not a complete stream: %+v", cut, answer)
 		}
 	}
 }
 
-// TestSlowClientPausesOnlyItsOwnEngine: a client that reads nothing of its stream pauses its own
-// engine alone, and little is buffered for it.
+// TestSlowClientPausesOnlyItsOwnEngine: a client that doesn't read its stream pauses only the
+// connection to its own engine, and the server buffers little for it.
 func TestSlowClientPausesOnlyItsOwnEngine(t *testing.T) {
 	const eventCount = 450
 	const maxUnsent = 256 << 10
@@ -168,14 +168,14 @@
 			}
 		})
 		if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
-			t.Fatal(answer)
+			t.Fatalf("request of another client: answered %+v, want status 200", answer)
 		}
 	}
 	if unsent > maxUnsent {
-		t.Errorf("%d bytes are buffered for one client", unsent)
+		t.Errorf("%d bytes are buffered for one client, limit %d", unsent, maxUnsent)
 	}
 	answer := readAnswer(slowClient)
 	if answer.Code != http.StatusOK || !answer.IsComplete || len(answer.Body) != eventCount*len(largeEvent) {
-		t.Errorf("%d bytes of %d, complete %v", len(answer.Body), eventCount*len(largeEvent), answer.IsComplete)
+		t.Errorf("slow client got status %d, %d of %d bytes, complete %v", answer.Code, len(answer.Body), eventCount*len(largeEvent), answer.IsComplete)
 	}
 }
--- a/internal/platform/golden_harness_test.go
+++ b/internal/platform/golden_harness_test.go
@@ -26,7 +26,7 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// goldenTimeout bounds every wait for the server. No scenario comes near it.
+// goldenTimeout bounds every wait for the server.
 const goldenTimeout = 20 * time.Second
 
 // compareGolden compares a text with testdata/NAME.golden, or writes that file under -update.
@@ -48,7 +48,7 @@
 	}
 }
 
-// quoteLines shows bytes exactly, one quoted line for each line of them.
+// quoteLines returns a text with each line indented and quoted, so that all its bytes are visible.
 func quoteLines(text string) string {
 	var out strings.Builder
 	for line := range strings.SplitAfterSeq(text, "\n") {
@@ -65,8 +65,8 @@
 	text   string
 }
 
-// goldenHarness is a server between clients, engines and discovery, all of which record what they receive. It meets
-// the server on sockets, and by the functions that start and stop it.
+// goldenHarness is a server under test with clients, engines and discovery that record what they
+// receive. It uses the server only through sockets, except to start and stop it.
 type goldenHarness struct {
 	t         *testing.T
 	server    *Server
@@ -74,22 +74,23 @@
 	engines   []*platformtest.Engine
 	discovery *platformtest.Discovery
 	arrived   chan string   // the method of each request at an engine
-	ended     chan struct{} // for each connection that the server ended in the middle of an answer
+	aborted   chan struct{} // one value for each entry of aborts
 	zone      string        // of all engines
-	// keepRetryAfter keeps the value of Retry-After in the transcript: it doesn't depend on the clock.
+	// keepRetryAfter keeps the value of Retry-After in the transcript. Set it if the value doesn't
+	// depend on the clock.
 	keepRetryAfter bool
 
 	mu           sync.Mutex
-	dialed       []net.Conn                       // by clients
-	script       map[string][]platformtest.Script // by engine flavor: for successive attempts; then they are well behaved
-	records      []engineRecord                   // in the order of all engines
-	endings      []*platformtest.Engine
-	answers      strings.Builder // to clients
+	dialed       []net.Conn                       // clients' ends of connections
+	script       map[string][]platformtest.Script // by engine flavor, for its first attempts; later ones are served
+	records      []engineRecord                   // of all engines, in order of arrival
+	aborts       []*platformtest.Engine           // of connections that the server closed before the response was complete
+	answers      strings.Builder                  // to clients, as the transcript shows them
 	requestCount int
 }
 
-// goldenSettings differ from testSettings in generous limits of time, so that a busy machine
-// doesn't change what is recorded, and in a third kind of engine that does both stages.
+// goldenSettings are testSettings with longer time limits, so that a slow machine doesn't change what
+// is recorded, and with a third kind of engine that does both prefill and decode.
 var goldenSettings = strings.NewReplacer(
 	`["r1","w1"]`, `["r1","w1","m1"]`, `["read","write"]`, `["read","write","both"]`, `[200000,200000]`, `[200000,200000,200000]`,
 	`"PinLimitUs":500000`, `"PinLimitUs":8000000`, `"ConnectTimeoutUs":250000`, `"ConnectTimeoutUs":1000000`,
@@ -101,11 +102,11 @@
 	t.Helper()
 	g := &goldenHarness{
 		t: t, finished: make(chan error, 1), script: map[string][]platformtest.Script{}, zone: "a",
-		arrived: make(chan string, 1024), ended: make(chan struct{}, 1024),
+		arrived: make(chan string, 1024), aborted: make(chan struct{}, 1024),
 	}
 	g.engines = platformtest.StartEngines(t, "engine", flavors...)
 	for _, e := range g.engines {
-		e.Observe(g.recordRequest, g.recordEnding)
+		e.Observe(g.recordRequest, g.recordAbort)
 		e.SetScript(g.respond)
 	}
 	g.discovery = platformtest.StartDiscovery(t, g.list(1))
@@ -120,22 +121,23 @@
 	g.arrived <- r.Method
 }
 
-// recordEnding records that the server ended a connection in the middle of an answer.
-func (g *goldenHarness) recordEnding(r *platformtest.Request) {
+// recordAbort records that the server closed a connection before the engine's response was complete.
+func (g *goldenHarness) recordAbort(r *platformtest.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.endings = append(g.endings, r.Engine)
-	g.ended <- struct{}{}
+	g.aborts = append(g.aborts, r.Engine)
+	g.aborted <- struct{}{}
 }
 
-// forgetRecords leaves what engines have received so far out of the transcript.
-func (g *goldenHarness) forgetRecords() {
+// discardRecords discards the record of requests that engines have received so far.
+func (g *goldenHarness) discardRecords() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.records = nil
 }
 
-// respond answers an attempt by the next script of the engine's flavor, if any is left.
+// respond answers an attempt by the next script of the engine's flavor. Without one, and for other
+// requests, the engine is well behaved.
 func (g *goldenHarness) respond(r *platformtest.Request) bool {
 	script := platformtest.WellBehaved
 	if r.Method == http.MethodPost {
@@ -155,7 +157,7 @@
 	return scripts[0]
 }
 
-// list returns discovery's complete list of all engines.
+// list returns a complete endpoint list of all engines.
 func (g *goldenHarness) list(revision int) string {
 	var entries []platformtest.Entry
 	for _, e := range g.engines {
@@ -166,7 +168,8 @@
 	return platformtest.CompleteList(revision, entries...)
 }
 
-// config returns the server's configuration file.
+// config returns the content of a configuration file. known is the endpoint list that it contains;
+// if empty, it contains none.
 func (g *goldenHarness) config(settings, known string) string {
 	text := fmt.Sprintf(`{"name":"router-0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":64,"sockets":256},"settings":%s`,
 		g.discovery.Address(), settings)
@@ -176,13 +179,13 @@
 	return text + "}"
 }
 
-// start starts the server with the engines known from its configuration.
+// start starts the server with a configuration that lists all engines.
 func (g *goldenHarness) start() *goldenHarness {
 	g.t.Helper()
 	return g.startWith(g.config(goldenSettings, g.list(1)))
 }
 
-// startWith starts the server with a configuration file of this content.
+// startWith starts the server with this content of the configuration file.
 func (g *goldenHarness) startWith(config string) *goldenHarness {
 	g.t.Helper()
 	g.discovery.SetFirstMessage(g.list(1))
@@ -209,13 +212,13 @@
 	return cfg
 }
 
-// stop ends the server, which answers its requests and releases KV state before.
+// stop shuts the server down gracefully: it completes open requests and KV releases first.
 func (g *goldenHarness) stop() {
 	if g.server == nil {
 		return
 	}
 	g.mu.Lock()
-	for _, conn := range g.dialed { // an open one would hold up the end
+	for _, conn := range g.dialed { // an open connection would delay the shutdown
 		conn.Close()
 	}
 	g.mu.Unlock()
@@ -226,18 +229,18 @@
 			g.t.Error(err)
 		}
 	case <-time.After(goldenTimeout):
-		g.t.Error("the server does not end")
+		g.t.Errorf("the server did not stop within %v", goldenTimeout)
 	}
 	g.server = nil
 }
 
-// waitForEnding waits until the server has ended a connection in the middle of an answer.
-func (g *goldenHarness) waitForEnding() {
+// waitForAbort waits until the server has closed a connection before the engine's response was complete.
+func (g *goldenHarness) waitForAbort() {
 	g.t.Helper()
 	select {
-	case <-g.ended:
+	case <-g.aborted:
 	case <-time.After(goldenTimeout):
-		g.t.Fatal("the server ends no connection")
+		g.t.Fatalf("the server closed no connection to an engine within %v", goldenTimeout)
 	}
 }
 
@@ -255,7 +258,7 @@
 	}
 }
 
-// chat returns a request of a class, with an id of its own. Edits are pairs of old and new text.
+// chat returns the bytes of a request of a class, with a unique id. edits are pairs of old and new text.
 func (g *goldenHarness) chat(class string, edits ...string) string {
 	g.t.Helper()
 	g.requestCount++
@@ -271,7 +274,7 @@
 	conn    net.Conn
 	reader  *bufio.Reader
 	raw     strings.Builder // bytes received since the latest answer
-	answer  string          // the latest one, as the transcript shows it
+	answer  string          // the latest answer, as the transcript shows it
 }
 
 func (g *goldenHarness) dial() *recordedClient {
@@ -289,18 +292,20 @@
 	return c
 }
 
-// send writes bytes to the server, which may have ended the connection already after an answer.
+// send writes bytes to the server. It ignores errors: the server may already have answered and closed
+// the connection.
 func (c *recordedClient) send(text string) *recordedClient {
 	io.WriteString(c.conn, text)
 	return c
 }
 
-// receive reads one answer to a request of a method, and how the connection ends if it does.
+// receive reads the answer to a request of this method, and the end of the connection if the server
+// closes it.
 func (c *recordedClient) receive(method string) *recordedClient {
 	var ending string
 	request := &http.Request{Method: method}
 	response, err := http.ReadResponse(c.reader, request)
-	for err == nil && response.StatusCode < http.StatusOK { // an interim one
+	for err == nil && response.StatusCode < http.StatusOK { // an interim response
 		response, err = http.ReadResponse(c.reader, request)
 	}
 	if err == nil {
@@ -324,7 +329,8 @@
 	return c
 }
 
-// describeEnd returns how the server ended a connection, in the words of the golden files.
+// describeEnd describes how a connection ended, in the words of the golden files. err is the result of
+// reading to its end.
 func describeEnd(err error) string {
 	var timeout net.Error
 	switch {
@@ -348,9 +354,9 @@
 	retryField  = regexp.MustCompile(`Retry-After: \d+\.\d{3}\\r`)
 )
 
-// transcript stops the server and returns all that was recorded. Left out of it are the numbers
-// that depend on the clock, the ports, and which of several equal engines was chosen: they are
-// named by the order of their first use.
+// transcript stops the server and returns all that was recorded. Numbers that depend on the clock
+// and ports are replaced. Engines are numbered in order of their first use, so that the transcript
+// does not depend on which one the router chose.
 func (g *goldenHarness) transcript() string {
 	g.t.Helper()
 	g.stop()
@@ -363,12 +369,12 @@
 	return "to the client:\n" + answers + g.engineTranscript() + g.discoveryTranscript()
 }
 
-// engineTranscript shows the requests in the order of their arrival at all engines, and then the
-// connections that the server ended: their order among requests depends on the clock. Health checks have
-// a transcript of their own.
+// engineTranscript returns the requests in the order of their arrival at all engines, and after them
+// the connections that the server closed, whose order among the requests depends on the clock. It
+// omits health checks, which healthCheckTranscript returns.
 func (g *goldenHarness) engineTranscript() string {
 	names := map[*platformtest.Engine]string{}
-	used := map[string]int{}
+	engineCount := map[string]int{} // by role
 	var out strings.Builder
 	for _, record := range g.records {
 		if record.isHealthCheck() {
@@ -376,12 +382,12 @@
 		}
 		role := record.engine.Role()
 		if names[record.engine] == "" {
-			used[role]++
-			names[record.engine] = fmt.Sprintf("%s engine %d", role, used[role])
+			engineCount[role]++
+			names[record.engine] = fmt.Sprintf("%s engine %d", role, engineCount[role])
 		}
 		out.WriteString("to " + names[record.engine] + ":\n" + budgetField.ReplaceAllString(record.text, "X-Budget: <time>$1"))
 	}
-	for _, engine := range g.endings {
+	for _, engine := range g.aborts {
 		out.WriteString("the router ends a connection to " + names[engine] + "\n")
 	}
 	return out.String()
@@ -389,7 +395,8 @@
 
 func (r engineRecord) isHealthCheck() bool { return strings.Contains(r.text, `"GET `) }
 
-// healthCheckTranscript shows each form of health check once: their number depends on the clock.
+// healthCheckTranscript stops the server and returns each distinct health check once, because their
+// number depends on the clock.
 func (g *goldenHarness) healthCheckTranscript() string {
 	g.t.Helper()
 	g.stop()
@@ -404,8 +411,8 @@
 	return strings.Join(slices.Sorted(maps.Keys(forms)), "")
 }
 
-// discoveryTranscript shows the calls. A slow answer brings a second call like the first, which
-// is left out.
+// discoveryTranscript returns the calls to discovery. It omits repeated equal calls, which the server
+// makes when an answer is slow.
 func (g *goldenHarness) discoveryTranscript() string {
 	var out strings.Builder
 	for _, head := range slices.Compact(g.discovery.RequestHeads()) {
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -13,35 +13,34 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// scenario is one scripted exchange with a router that has one prefill and two decode engines,
-// where flavors doesn't say otherwise.
+// scenario is one scripted exchange with a router.
 type scenario struct {
 	name    string
-	flavors []string
-	class   string                           // of the request; ask where it is empty
+	flavors []string                         // of the engines; one prefill and two decode engines if nil
+	class   string                           // of the request; "ask" if empty
 	edits   []string                         // of the request
 	script  map[string][]platformtest.Script // for successive attempts, by engine flavor
 }
 
-// decodeResponds scripts the first responses of the decode engines together.
+// decodeResponds scripts the first responses of the decode engines, in order of arrival at any of them.
 func decodeResponds(scripts ...platformtest.Script) map[string][]platformtest.Script {
 	return map[string][]platformtest.Script{"w1": scripts}
 }
 
-// prefillResponds scripts the first responses of the prefill engine.
+// prefillResponds scripts the first responses of the prefill engines, in order of arrival at any of them.
 func prefillResponds(scripts ...platformtest.Script) map[string][]platformtest.Script {
 	return map[string][]platformtest.Script{"r1": scripts}
 }
 
 const rejected = platformtest.RejectedHeader
 
-// prefillDone is the response of an engine that has completed the prefill.
+// prefillDone responds to each attempt with a completed prefill.
 var prefillDone = platformtest.Respond(platformtest.PrefillResponse)
 
 // outcomeScenarios follow the table of outcomes in docs/platform-design.md. The class ask is idempotent,
 // the class note is not.
 var outcomeScenarios = []scenario{
-	{name: "silence-after-first-event", script: decodeResponds(platformtest.RespondAndStall(platformtest.TruncatedStream()))}, // the slowest begins first
+	{name: "silence-after-first-event", script: decodeResponds(platformtest.RespondAndStall(platformtest.TruncatedStream()))}, // first, because it takes longest
 	{name: "whole-stream"},
 	{name: "whole-stream-at-most-once", class: "note"},
 	{name: "stream-from-mixed", flavors: []string{"m1"}},
@@ -101,7 +100,8 @@
 	{name: "noise-after-first-event", script: decodeResponds(platformtest.Respond(platformtest.TruncatedStream() + "zz\r\n"))},
 }
 
-// TestGoldenOutcomes pins the bytes of one exchange for each outcome of an attempt.
+// TestGoldenOutcomes compares the bytes of one exchange for each outcome of an attempt with golden
+// files.
 func TestGoldenOutcomes(t *testing.T) {
 	t.Parallel()
 	for _, s := range outcomeScenarios {
@@ -127,7 +127,7 @@
 	}
 }
 
-// TestGoldenUnreachable pins the exchanges in which a request reaches no decode engine.
+// TestGoldenUnreachable: golden exchanges of requests that reach no decode engine.
 func TestGoldenUnreachable(t *testing.T) {
 	t.Parallel()
 	t.Run("refused", func(t *testing.T) {
@@ -161,7 +161,8 @@
 	})
 }
 
-// deferDecode has the first decode attempts, this many, answered once release is closed. Each of them is reported on waiting.
+// deferDecode makes the decode engines answer their first count attempts only once release is closed.
+// waiting receives a value for each of these attempts when it arrives.
 func (g *goldenHarness) deferDecode(count int) (waiting <-chan struct{}, release chan<- struct{}) {
 	arrived, released := make(chan struct{}, count), make(chan struct{})
 	for range count {
@@ -175,31 +176,32 @@
 	return arrived, released
 }
 
-// TestGoldenClientLimit pins the end of a client's connection beyond the router's share of sockets, if
-// none of the others is idle.
+// TestGoldenClientLimit: golden transcript of a client connection beyond the router's limit, while no
+// other connection is idle.
 func TestGoldenClientLimit(t *testing.T) {
 	t.Parallel()
-	const maxClients = 12 // of 64 sockets
+	const maxClients = 12 // the router's limit of client connections with 64 sockets
 	g := newGoldenHarness(t, "r1", "w1")
 	waiting, release := g.deferDecode(maxClients)
 	g.startWith(strings.Replace(g.config(goldenSettings, g.list(1)), `"sockets":256`, `"sockets":64`, 1))
 
-	var held []*recordedClient
+	var clients []*recordedClient
 	for range maxClients {
-		held = append(held, g.dial().send(g.chat("note")))
+		clients = append(clients, g.dial().send(g.chat("note")))
 		<-waiting
 	}
-	g.forgetRecords()
-	beyond := g.dial()
-	beyond.receive("POST").record()
+	g.discardRecords()
+	surplus := g.dial()
+	surplus.receive("POST").record()
 	close(release)
-	for _, c := range held {
+	for _, c := range clients {
 		c.receive("POST")
 	}
 	compareGolden(t, "client-limit", g.transcript())
 }
 
-// TestGoldenReusedConnectionLost pins a request that is lost with a reused connection.
+// TestGoldenReusedConnectionLost: golden exchanges if the engine closes a reused connection without
+// responding.
 func TestGoldenReusedConnectionLost(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
@@ -213,8 +215,8 @@
 	compareGolden(t, "outcome-kept-connection-lost", g.transcript())
 }
 
-// TestGoldenClientGone pins what engines see of a client that leaves, before and after the first
-// event.
+// TestGoldenClientGone: golden transcript of what engines receive if the client leaves, before or
+// after the first event.
 func TestGoldenClientGone(t *testing.T) {
 	t.Parallel()
 	for name, sent := range map[string]string{"before-first-event": "", "after-first-event": platformtest.TruncatedStream()} {
@@ -238,14 +240,14 @@
 				}
 			}
 			c.conn.Close()
-			g.waitForEnding()
+			g.waitForAbort()
 
 			compareGolden(t, "outcome-client-gone-"+name, g.transcript())
 		})
 	}
 }
 
-// TestGoldenHealthCheck pins the health check of an engine that failed.
+// TestGoldenHealthCheck: golden health check that the router sends to a failed engine.
 func TestGoldenHealthCheck(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
@@ -263,7 +265,8 @@
 	compareGolden(t, "probe", g.healthCheckTranscript())
 }
 
-// unusableRequests returns requests that the server answers itself.
+// unusableRequests returns requests that the server answers itself. Their golden files are named by
+// the keys.
 func unusableRequests(g *goldenHarness) map[string]string {
 	const post, get = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n", "GET /healthz HTTP/1.1\r\nHost: x\r\n"
 	return map[string]string{
@@ -297,7 +300,8 @@
 	}
 }
 
-// TestGoldenAnswersWithoutEngine pins the answers that the server gives itself. No engine receives any of these requests.
+// TestGoldenAnswersWithoutEngine: golden answers that the server gives itself. No engine receives any
+// of these requests.
 func TestGoldenAnswersWithoutEngine(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1").start()
@@ -313,7 +317,7 @@
 	compareGolden(t, "answer-without-engines", g.transcript())
 }
 
-// TestGoldenSlowRequest pins the answers to requests that don't arrive completely in time.
+// TestGoldenSlowRequest: golden answers to requests that don't arrive completely in time.
 func TestGoldenSlowRequest(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1").start()
@@ -325,7 +329,7 @@
 	compareGolden(t, "answer-408", g.transcript())
 }
 
-// TestGoldenContinue pins the interim answer to a client that waits for one.
+// TestGoldenContinue: golden exchange with a client that waits for 100 Continue.
 func TestGoldenContinue(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1").start()
@@ -334,7 +338,7 @@
 	compareGolden(t, "answer-100-continue", g.transcript())
 }
 
-// TestGoldenIDOfOpenRequest pins the answer to a request whose id is that of an open one.
+// TestGoldenIDOfOpenRequest: golden answer to a request with the id of an open request.
 func TestGoldenIDOfOpenRequest(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
@@ -351,7 +355,7 @@
 	compareGolden(t, "answer-400-same-id", g.transcript())
 }
 
-// TestGoldenLimitOfOpenRequests pins the rejection of a request beyond the limit of open requests.
+// TestGoldenLimitOfOpenRequests: golden rejection of a request beyond the limit of open requests.
 func TestGoldenLimitOfOpenRequests(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
@@ -360,23 +364,24 @@
 	g.keepRetryAfter = true
 	g.startWith(g.config(settings, g.list(1)))
 
-	held := g.dial().send(g.chat("note"))
+	open := g.dial().send(g.chat("note"))
 	<-waiting
 	g.exchange(g.chat("note"))
 	close(release)
-	held.receive("POST").record()
+	open.receive("POST").record()
 
 	compareGolden(t, "answer-503-too-many", g.transcript())
 }
 
-// TestGoldenHealthz pins the states in which a router isn't ready: without engines, and stopping.
+// TestGoldenHealthz: golden health check answers of a router that isn't ready, because it has no
+// engines or is shutting down.
 func TestGoldenHealthz(t *testing.T) {
 	t.Parallel()
 	const get = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 	t.Run("no-engines", func(t *testing.T) {
 		t.Parallel()
 		g := newGoldenHarness(t)
-		g.discovery.SetScript(func(net.Conn, int) bool { return true }) // and never answers
+		g.discovery.SetScript(func(net.Conn, int) bool { return true }) // discovery never answers
 		g.startWith(g.config(goldenSettings, ""))
 
 		g.exchange(get)
@@ -391,7 +396,7 @@
 		c := g.dial().send(get).receive("GET").record()
 		ready := c.answer
 		g.server.Shutdown()
-		for c.answer == ready { // until the loop has seen it
+		for c.answer == ready { // until the loop has handled the shutdown
 			c.send(get).receive("GET")
 		}
 		c.record()
@@ -400,8 +405,8 @@
 	})
 }
 
-// TestGoldenRequestAfterShutdown pins the rejection of a request that is complete only after a server that shuts down
-// has closed its listener.
+// TestGoldenRequestAfterShutdown: golden rejection of a request that is received completely only after
+// a shutdown has closed the listener.
 func TestGoldenRequestAfterShutdown(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
@@ -413,7 +418,7 @@
 	half := len(text) / 2
 	c := g.dial().send(text[:half])
 	g.server.Shutdown()
-	for { // until it is closed
+	for { // until the listener is closed
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			break
@@ -426,8 +431,8 @@
 	compareGolden(t, "answer-503-stopping", g.transcript())
 }
 
-// TestGoldenDiscovery pins the calls of a router whose watches end: the next one begins from the
-// revision that it holds.
+// TestGoldenDiscovery: golden calls to discovery of a router whose watch ends. The next watch starts
+// from the revision that the router has.
 func TestGoldenDiscovery(t *testing.T) {
 	t.Parallel()
 	list := func(g *goldenHarness) string { return platformtest.WatchHead + platformtest.Chunk(g.list(7)+"\n") }
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -22,7 +22,7 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// harness is a server under test beside scripted engines and a scripted discovery.
+// harness is a server under test with scripted engines and a scripted discovery service.
 type harness struct {
 	*testing.T
 	engines        []*platformtest.Engine
@@ -30,17 +30,17 @@
 	server         *Server
 	configPath     string
 	config         map[string]any
-	finished       chan error // what Run has returned
+	finished       chan error // the result of Run
 	revision       int        // of the latest endpoint list
 	requestCount   int
-	messageContent string // of requests, "hello" if empty
+	messageContent string // of requests; "hello" if empty
 	log            logBuffer
 
 	mu       sync.Mutex
 	requests []*platformtest.Request // at all engines, in order of arrival
 }
 
-// logBuffer keeps what a server logs.
+// logBuffer collects the log of a server.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -75,13 +75,14 @@
 {"Name":"note","AimUs":2500000,"DeadlineUs":12000000,"Effect":"at_most_once","LateWorth":0.2,"Worth":3,"Streamed":true}],
 "Rules":{"ColdFrom":0.4,"ColdUs":5000000,"DrainGraceUs":2000000,"FallMultiple":2.5,"FallUs":3000000,"GraceToAnswerUs":8000}}`
 
-// startHarness runs a server beside engines of these flavors: r1 for prefill, w1 for decode.
+// startHarness runs a server with engines of these flavors: r1 for prefill, w1 for decode.
 func startHarness(t *testing.T, flavors ...string) *harness {
 	t.Helper()
 	return startHarnessWith(t, testSettings, flavors...)
 }
 
-// startHarnessWith is startHarness with other settings, whose first host type is for prefill.
+// startHarnessWith is startHarness with other settings. Their first host type is for prefill, their
+// second one for decode.
 func startHarnessWith(t *testing.T, settings string, flavors ...string) *harness {
 	t.Helper()
 	h := &harness{T: t, revision: 1, finished: make(chan error, 1)}
@@ -107,11 +108,11 @@
 	go func() { h.finished <- h.server.Run() }()
 	t.Cleanup(h.stop)
 	h.waitOnLoop("the watch to be established", func() bool { return h.server.discovery.watch != nil })
-	h.waitFor("the calls beside the watch to be closed", func() bool { return h.discovery.OpenCalls() == 1 })
+	h.waitFor("all calls to discovery but the watch to be closed", func() bool { return h.discovery.OpenCalls() == 1 })
 	return h
 }
 
-// stop ends the server's loop and checks that it has ended without a fault.
+// stop stops the server's loop, and fails the test if Run returned an error or a handler panicked.
 func (h *harness) stop() {
 	h.Helper()
 	h.server.loop.Post(h.server.loop.Stop)
@@ -131,11 +132,11 @@
 			h.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		h.Error("the server's loop does not end")
+		h.Error("the server's loop did not stop within 10 s")
 	}
 }
 
-// record records a request of any engine.
+// record records a request that an engine received.
 func (h *harness) record(r *platformtest.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -154,7 +155,7 @@
 	}
 }
 
-// getenv is the server's environment.
+// getenv looks up a variable in the server's environment, which has only PROXY_CONFIG.
 func (h *harness) getenv(name string) string {
 	if name == "PROXY_CONFIG" {
 		return h.configPath
@@ -177,7 +178,7 @@
 	h.discovery.Send(platformtest.IncrementalList(h.revision, entries...) + "\n")
 }
 
-// notifyTerminating notifies the server that an engine drains.
+// notifyTerminating sends an endpoint list in which an engine is terminating: the server drains it.
 func (h *harness) notifyTerminating(e *platformtest.Engine) {
 	h.notifyChange(e.EntryInPhase(platformtest.Terminating))
 }
@@ -188,7 +189,7 @@
 	h.waitOnLoop("the endpoint list to be applied", func() bool { return h.server.membership.Revision() == uint64(h.revision) })
 }
 
-// listAt replaces the listed address of these engines, and waits until the server has applied the list.
+// listAt lists these engines at another address, and waits until the server has applied the list.
 func (h *harness) listAt(address string, engines ...*platformtest.Engine) {
 	h.Helper()
 	var entries []platformtest.Entry
@@ -211,7 +212,7 @@
 	return member.State
 }
 
-// runOnLoop runs a function on the server's loop and waits for its end.
+// runOnLoop runs a function on the server's loop and waits until it returns.
 func (h *harness) runOnLoop(fn func()) {
 	h.Helper()
 	ran := make(chan struct{})
@@ -219,18 +220,19 @@
 	select {
 	case <-ran:
 	case <-time.After(10 * time.Second):
-		h.Fatal("the loop does not iterate")
+		h.Fatal("the loop did not run a posted function within 10 s")
 	}
 }
 
-// runInOneIteration lets the loop see all that fn causes in one iteration, in order of arrival.
+// runInOneIteration runs fn on the loop, so that the loop handles all events that fn causes in its next
+// iteration, in order of arrival. It returns after that iteration.
 func (h *harness) runInOneIteration(fn func()) {
 	h.Helper()
 	h.runOnLoop(fn)
 	h.runOnLoop(func() {})
 }
 
-// waitFor polls a condition until it holds.
+// waitFor polls a condition until it holds, and fails the test after about 10 s.
 func waitFor(t *testing.T, what string, isMet func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -242,13 +244,13 @@
 	t.Fatal("timed out waiting for ", what)
 }
 
-// waitFor polls a condition until it holds.
+// waitFor is the function waitFor with the test of the harness.
 func (h *harness) waitFor(what string, isMet func() bool) {
 	h.Helper()
 	waitFor(h.T, what, isMet)
 }
 
-// waitOnLoop is waitFor with a condition on the server's state, which belongs to the loop.
+// waitOnLoop is waitFor with a condition that is evaluated on the loop, which owns the server's state.
 func (h *harness) waitOnLoop(what string, isMet func() bool) {
 	h.Helper()
 	h.waitFor(what, func() (met bool) { h.runOnLoop(func() { met = isMet() }); return met })
@@ -263,7 +265,7 @@
 	})
 }
 
-// waitForAttempts waits until engines have received this many attempts together.
+// waitForAttempts waits until these engines have received this many attempts in total.
 func (h *harness) waitForAttempts(count int, engines ...*platformtest.Engine) {
 	h.Helper()
 	h.waitFor(fmt.Sprintf("%d attempts", count), func() bool { return attemptsAt(engines...) == count })
@@ -288,15 +290,16 @@
 	return conn
 }
 
-// chat returns the bytes of a request with an id of its own, of an idempotent class (ask) or another (note). Edits are pairs
-// of old and new text.
+// chat returns the bytes of a request with a unique id and a class: ask is idempotent, note is not.
+// edits are pairs of old and new text.
 func (h *harness) chat(class string, edits ...string) string {
 	h.Helper()
 	h.requestCount++
 	return chatText(h.T, h.requestCount, class, h.messageContent, edits...)
 }
 
-// chatText returns the bytes of the request of this number.
+// chatText returns the bytes of a request whose id has this number. The message is "hello" if content
+// is empty.
 func chatText(tb testing.TB, number int, class, content string, edits ...string) string {
 	tb.Helper()
 	return platformtest.ChatRequest{
@@ -305,7 +308,7 @@
 	}.Text(tb, edits...)
 }
 
-// healthCheck is a client's request whether the server is ready.
+// healthCheck is the platform's health check.
 const healthCheck = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
 // send sends bytes on a new connection.
@@ -316,7 +319,7 @@
 	return conn
 }
 
-// readAnswer reads the only answer on a connection.
+// readAnswer reads the first answer on a connection.
 func readAnswer(conn io.Reader) platformtest.Answer {
 	return platformtest.ReadAnswer(bufio.NewReader(conn))
 }
@@ -329,7 +332,7 @@
 	return readAnswer(conn)
 }
 
-// expectServed fails the test unless the answer is a complete stream, as the engines sent it.
+// expectServed fails the test unless the answer is the complete stream of a well-behaved engine.
 func (h *harness) expectServed(answer platformtest.Answer) {
 	h.Helper()
 	if !answer.IsCompleteStream() {
@@ -345,7 +348,7 @@
 	return counts
 }
 
-// attemptsAt returns how many attempts engines have received together.
+// attemptsAt returns how many attempts these engines have received in total.
 func attemptsAt(engines ...*platformtest.Engine) (count int) {
 	for _, e := range engines {
 		count += e.Attempts()
@@ -353,7 +356,7 @@
 	return count
 }
 
-// expectAttempts fails the test unless each engine has received as many attempts.
+// expectAttempts fails the test unless each engine has received this many attempts.
 func (h *harness) expectAttempts(want ...int) {
 	h.Helper()
 	if got := h.attemptCounts(); !slices.Equal(got, want) {
--- a/internal/platform/kvrelease_test.go
+++ b/internal/platform/kvrelease_test.go
@@ -12,16 +12,16 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestKVReleasedWhileNoDecodeEngineIsReachable: KV state is released in time though no
-// connection to any decode engine is established, whatever the request's idempotency.
+// TestKVReleasedWhileNoDecodeEngineIsReachable: KV state is released in time although no connection
+// to a decode engine can be established, for idempotent and other requests.
 func TestKVReleasedWhileNoDecodeEngineIsReachable(t *testing.T) {
 	const maxRetained = 800 * time.Millisecond
 	for _, test := range []struct {
-		class             string
-		hasLongConnection bool // a connection may take longer than KV state may be retained
-	}{{class: "ask"}, {class: "note"}, {class: "ask", hasLongConnection: true}} {
+		class              string
+		longConnectTimeout bool // connect time-out above the KV retention limit
+	}{{class: "ask"}, {class: "note"}, {class: "ask", longConnectTimeout: true}} {
 		h := startHarness(t, "r1", "w1", "w1", "w1", "w1")
-		if test.hasLongConnection {
+		if test.longConnectTimeout {
 			h.runOnLoop(func() { h.server.endpoints.connOptions.ConnectTimeout = 5 * time.Second })
 		}
 		var entries []platformtest.Entry
@@ -36,18 +36,18 @@
 		h.waitFor("the KV release", func() bool { return h.isKVReleased() })
 
 		if answer.Code != http.StatusServiceUnavailable {
-			t.Errorf("%s: %d %s", test.class, answer.Code, answer.Body)
+			t.Errorf("class %s: answered %d %s, want 503", test.class, answer.Code, answer.Body)
 		}
 		h.mu.Lock()
 		prefill, release := h.requests[0], h.requests[len(h.requests)-1]
 		h.mu.Unlock()
 		if took := release.ReceivedAt.Sub(prefill.ReceivedAt); prefill.Method != http.MethodPost || release.Method != http.MethodDelete || took > maxRetained {
-			t.Errorf("%s: retained for %v", test.class, took)
+			t.Errorf("class %s: first request %s, last request %s, KV state retained for %v, limit %v", test.class, prefill.Method, release.Method, took, maxRetained)
 		}
 	}
 }
 
-// waitForDeferredPrefill waits until a further prefill is deferred until KV state is released.
+// waitForDeferredPrefill waits until an attempt is deferred until KV state is released.
 func (h *harness) waitForDeferredPrefill() {
 	h.Helper()
 	h.waitOnLoop("a deferred prefill", func() bool {
@@ -60,7 +60,7 @@
 	})
 }
 
-// sendInBackground sends a request and returns what its answer arrives on.
+// sendInBackground sends a request, and returns a channel that receives its answer.
 func (h *harness) sendInBackground(text string) <-chan platformtest.Answer {
 	h.Helper()
 	client := h.send(text)
@@ -69,17 +69,17 @@
 	return answered
 }
 
-// TestPrefillIsDeferredUntilReleaseIsConfirmed: the release of what an earlier prefill may have left is answered before
-// the further prefill is sent, and where no engine answers it, nothing is sent.
+// TestPrefillIsDeferredUntilReleaseIsConfirmed: a second prefill of a request is not sent before an
+// engine has confirmed the release of the KV state that the first one may have left.
 func TestPrefillIsDeferredUntilReleaseIsConfirmed(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	var mu sync.Mutex
 	var order []string // of the requests that engines have answered, by method and flavor
-	releasesConfirmed := make(chan struct{})
+	confirmReleases := make(chan struct{})
 	for _, e := range h.engines {
 		e.SetScript(func(r *platformtest.Request) bool {
 			if r.Method == http.MethodDelete {
-				<-releasesConfirmed
+				<-confirmReleases
 			}
 			mu.Lock()
 			order = append(order, r.Method+" "+r.Engine.Flavor)
@@ -95,30 +95,30 @@
 	answered := h.sendInBackground(h.chat("ask"))
 	h.waitForDeferredPrefill()
 	h.expectAttempts(1, 1)
-	close(releasesConfirmed)
+	close(confirmReleases)
 
 	if answer := <-answered; answer.Code != http.StatusOK {
-		t.Errorf("answered %d", answer.Code)
+		t.Errorf("answered %d, want 200", answer.Code)
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if len(order) < 4 || !strings.HasPrefix(order[2], http.MethodDelete) {
-		t.Errorf("engines answered %v", order)
+		t.Errorf("engines answered %v, want a release as the third", order)
 	}
 }
 
-// TestDeferredPrefillEndsAsNotSent: an attempt is not deferred past its client's time, and not sent to an engine that
-// drains by then.
+// TestDeferredPrefillEndsAsNotSent: a deferred attempt is not sent if its client's time budget ends
+// or its engine starts to drain before the release is confirmed.
 func TestDeferredPrefillEndsAsNotSent(t *testing.T) {
 	for name, drains := range map[string]bool{"no engine answers the release": false, "the engine drains": true} {
 		t.Run(name, func(t *testing.T) {
 			h := startHarness(t, "r1", "w1", "w1")
-			releasesConfirmed := make(chan struct{})
+			confirmReleases := make(chan struct{})
 			for _, e := range h.engines {
 				e.SetScript(func(r *platformtest.Request) bool {
 					switch {
 					case r.Method == http.MethodDelete:
-						<-releasesConfirmed
+						<-confirmReleases
 					case r.Engine.Role() == platformtest.Decode:
 						return r.Write(platformtest.Status(http.StatusGone, platformtest.RejectedHeader))
 					}
@@ -131,27 +131,28 @@
 			if drains {
 				h.notifyTerminating(h.engines[0])
 				h.waitOnLoop("the engine to drain", func() bool { return h.stateOf(h.engines[0]) == control.Draining })
-				close(releasesConfirmed)
+				close(confirmReleases)
 			} else {
-				defer close(releasesConfirmed)
+				defer close(confirmReleases)
 			}
 
 			if answer := <-answered; answer.Code != http.StatusServiceUnavailable {
 				t.Errorf("answered %d, want 503", answer.Code)
 			}
 			if n := h.engines[0].Attempts(); n != 1 {
-				t.Errorf("%d attempts at the prefill engine", n)
+				t.Errorf("%d attempts at the prefill engine, want 1", n)
 			}
 		})
 	}
 }
 
-// TestDecodeRetryWithdrawsPendingRelease: a decode engine that rejects the request late proves that the attempt had
-// arrived; the next one gets the KV state, though its release was asked for meanwhile and no engine has answered.
+// TestDecodeRetryWithdrawsPendingRelease: while a decode attempt waits for its response, the release
+// of the KV state is requested. If the engine then rejects the attempt, the pending release is
+// withdrawn and the next decode attempt uses the KV state.
 func TestDecodeRetryWithdrawsPendingRelease(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
-	testEnds := make(chan struct{})
-	defer close(testEnds)
+	testEnded := make(chan struct{})
+	defer close(testEnded)
 	releaseRequested := make(chan struct{})
 	var once sync.Once
 	for _, e := range h.engines {
@@ -159,7 +160,7 @@
 			switch {
 			case r.Method == http.MethodDelete:
 				once.Do(func() { close(releaseRequested) })
-				<-testEnds
+				<-testEnded
 				return false
 			case r.Engine.Role() == platformtest.Decode && attemptsAt(h.engines[1:]...) == 1:
 				<-releaseRequested
@@ -172,7 +173,7 @@
 	answer := h.roundTrip(h.chat("ask"))
 
 	if answer.Code != http.StatusOK {
-		t.Errorf("answered %d", answer.Code)
+		t.Errorf("answered %d, want 200", answer.Code)
 	}
 	h.waitOnLoop("no release to be pending", func() bool { return h.server.kvReleases.scheduler.Len() == 0 })
 }
--- a/internal/platform/kvretention_test.go
+++ b/internal/platform/kvretention_test.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// retentionSlack is what the platform allows on top of the retention limit of the settings.
+// retentionSlack is the time that the platform allows beyond the configured retention limit.
 const retentionSlack = 300 * time.Millisecond
 
-// retentionLimit is KVRetentionLimit of testSettings with the platform's slack.
+// retentionLimit is KVRetentionLimit of testSettings plus retentionSlack.
 const retentionLimit = 500*time.Millisecond + retentionSlack
 
-// expectReleasedInTime waits until the KV state of a request that was prefilled is fetched or released,
-// and fails the test if that took longer than the limit.
+// expectReleasedInTime waits until the KV state of a request is retained and then fetched or
+// released, and fails the test if it was retained for longer than retentionLimit.
 func (c *cluster) expectReleasedInTime(requestID string) {
 	c.Helper()
 	c.waitForPrefill(requestID)
@@ -41,15 +41,14 @@
 	waitFor(c.T, "the prefill", func() bool { return c.retainedFor(requestID) > 0 })
 }
 
-// TestKVStateReleasedBehindSilentConnections plays incident 38 on real processes: decode engines
-// become unresponsive while their connections stay open, so that decode attempts leave the router completely
-// and reach nobody. The KV state at the prefill engine has to be released within its limit,
-// whatever the class of the request, and on idle connections as on new ones.
+// TestKVStateReleasedBehindSilentConnections: if decode engines become unresponsive while their
+// connections stay open, decode attempts are written completely but never processed. The KV state at
+// the prefill engine is still released within its limit.
 func TestKVStateReleasedBehindSilentConnections(t *testing.T) {
 	for name, test := range map[string]struct {
 		class     string
-		isWarm    bool // idle connections to the engines exist
-		isProxied bool // the connection is cut, else the process is stopped
+		isWarm    bool // attempts use idle connections, else new ones
+		isProxied bool // the connections are cut, else the processes are stopped
 	}{
 		"process stopped, new connections":          {class: "ask"},
 		"process stopped, idle connections":         {class: "ask", isWarm: true},
@@ -74,7 +73,8 @@
 	}
 }
 
-// silence makes engines unresponsive: those behind a proxy are cut off, the others stopped.
+// silence makes engines unresponsive. It cuts the connections of an engine behind a proxy, and stops
+// the process of any other engine.
 func (c *cluster) silence(engines ...*engineProcess) {
 	c.Helper()
 	for _, e := range engines {
@@ -86,21 +86,22 @@
 	}
 }
 
-// TestKVStateReleasedWhateverElseHappens: while a decode attempt is unresponsive, its client leaves, the router is held
-// up or shuts down, the connection is reset late, and most other engines are unresponsive too.
+// TestKVStateReleasedWhateverElseHappens: KV state is released in time if, while the decode engine is
+// unresponsive, the client leaves, the router pauses or shuts down, the connection is reset, or most
+// other engines are unresponsive too.
 func TestKVStateReleasedWhateverElseHappens(t *testing.T) {
 	prefill := engineSpec{behavior: prefillBehavior}
 	decode := engineSpec{behavior: decodeBehavior}
 	proxied := engineSpec{behavior: decodeBehavior, proxied: true}
 	for name, test := range map[string]struct {
 		engines []engineSpec
-		class   string // note where it is empty
+		class   string // "note" if empty
 		disturb func(c *cluster, client net.Conn)
 	}{
 		"client leaves": {engines: []engineSpec{prefill, decode, decode}, disturb: func(_ *cluster, client net.Conn) {
 			client.Close()
 		}},
-		"router held up": {engines: []engineSpec{prefill, decode, decode}, disturb: func(c *cluster, _ net.Conn) {
+		"router paused": {engines: []engineSpec{prefill, decode, decode}, disturb: func(c *cluster, _ net.Conn) {
 			time.Sleep(200 * time.Millisecond)
 			c.signal(syscall.SIGSTOP)
 			time.Sleep(150 * time.Millisecond)
@@ -109,7 +110,7 @@
 		"router shuts down": {engines: []engineSpec{prefill, decode, decode}, disturb: func(c *cluster, _ net.Conn) {
 			c.signal(syscall.SIGTERM)
 		}},
-		"connection reset late, next one silent": {engines: []engineSpec{prefill, proxied, proxied}, class: "ask", disturb: func(c *cluster, _ net.Conn) {
+		"connection reset late, next engine silent": {engines: []engineSpec{prefill, proxied, proxied}, class: "ask", disturb: func(c *cluster, _ net.Conn) {
 			time.Sleep(200 * time.Millisecond)
 			c.engines[1].proxy.reset()
 			c.engines[2].proxy.reset()
@@ -133,8 +134,8 @@
 	}
 }
 
-// TestKVStateOfEarlierPrefillReleased: a prefill whose connection was reset may have left KV state, as may one
-// whose state a decode engine could not fetch. The further attempt gets no answer.
+// TestKVStateOfEarlierPrefillReleased: KV state is released in time if the connection of its prefill
+// was reset, or a decode engine could not fetch it, and the next prefill gets no response.
 func TestKVStateOfEarlierPrefillReleased(t *testing.T) {
 	for name, engines := range map[string][]engineSpec{
 		"prefill reset":    {{behavior: prefillThenReset}, {behavior: prefillBehavior}, {behavior: decodeBehavior}},
@@ -148,12 +149,12 @@
 			}
 
 			var requests []sentRequest
-			for range 4 { // which prefill engine a request meets depends on its session
+			for range 4 { // the session decides which prefill engine a request is forwarded to
 				requests = append(requests, c.send("note", "7f3a9c21e0b4d655", strconv.Itoa(1000+c.requestCount), "prefix=5c0f6e1a2b3d4c59,", ""))
 			}
 
 			var retained string
-			waitFor(t, "a request to meet the engine that retains its KV state", func() bool {
+			waitFor(t, "an engine to retain KV state", func() bool {
 				i := slices.IndexFunc(requests, func(r sentRequest) bool { return c.retainedFor(r.id) > 0 })
 				if i >= 0 {
 					retained = requests[i].id
@@ -165,8 +166,8 @@
 	}
 }
 
-// randomSilence makes engines unresponsive and responsive again at random, half of them by a cut connection, most of them
-// at once now and then, until stop is closed.
+// randomSilence makes random sets of engines unresponsive for a while, up to all but one at a time,
+// until stop is closed.
 func (c *cluster) randomSilence(rng *rand.Rand, engines []*engineProcess, stop <-chan struct{}) {
 	for {
 		wait := time.Duration(50+rng.IntN(150)) * time.Millisecond
@@ -184,15 +185,16 @@
 				e.resume(c.T)
 				continue
 			}
-			e.proxy.reset() // a link that comes back has forgotten its connections
+			e.proxy.reset() // connections do not survive the outage of a link
 			e.proxy.setCut(false)
 		}
 	}
 }
 
-// TestKVStateReleasedUnderRandomSilence plays a cluster of two routers and nine engines, of which up to all but one of the
-// decode engines become unresponsive again and again under load: no KV state is retained past its limit, and
-// every client has its answer in time. MARTENLOCK_TEST_SECONDS plays it for longer.
+// TestKVStateReleasedUnderRandomSilence: in a cluster of two routers and nine engines under load, of
+// which up to five of the six decode engines are unresponsive at a time, no KV state is retained past
+// its limit and every client is answered in time. MARTENLOCK_TEST_SECONDS sets the duration of the
+// load in seconds.
 func TestKVStateReleasedUnderRandomSilence(t *testing.T) {
 	const requestInterval = 25 * time.Millisecond
 	seconds, err := strconv.Atoi(cmp.Or(os.Getenv("MARTENLOCK_TEST_SECONDS"), "4"))
@@ -223,16 +225,17 @@
 	for _, request := range requests {
 		if age := c.retainedFor(request.id); age > retentionLimit {
 			late++
-			t.Errorf("%s: KV state retained for %v, limit %v: %v", request.id, age, retentionLimit, c.eventsOf(request.id))
+			t.Errorf("%s: KV state retained for %v, limit %v; events: %v", request.id, age, retentionLimit, c.eventsOf(request.id))
 		}
 	}
 	t.Logf("%d requests, %d served, %d retained past the limit", len(requests), served, late)
 }
 
-// expectAnswers fails the test unless each request is answered in time, and returns how many were served.
+// expectAnswers fails the test unless each request is answered in time. It returns how many were
+// served.
 func (c *cluster) expectAnswers(requests []sentRequest) (served int) {
 	c.Helper()
-	const maxWait = 6 * time.Second // the clients wait for 4 s
+	const maxWait = 6 * time.Second // above the clients' time budget of 4 s
 	for _, request := range requests {
 		select {
 		case answer := <-request.answered:
@@ -240,7 +243,7 @@
 				served++
 			}
 		case <-time.After(maxWait):
-			c.Errorf("%s: no answer", request.id)
+			c.Errorf("%s: no answer within %v", request.id, maxWait)
 		}
 	}
 	return served
--- a/internal/platform/outcome_test.go
+++ b/internal/platform/outcome_test.go
@@ -7,7 +7,7 @@
 	"martenlock/internal/upstream"
 )
 
-// TestResultFollowsResponseAndConnError is the table of outcomes in docs/platform-design.md.
+// TestResultFollowsResponseAndConnError checks the table of outcomes in docs/platform-design.md.
 func TestResultFollowsResponseAndConnError(t *testing.T) {
 	for _, test := range []struct {
 		role       control.Role
@@ -31,7 +31,7 @@
 		{control.RolePrefill, 404, false, responseOutcome{result: control.NotSent, final: true}},
 	} {
 		if got := classifyResponse(test.role, test.status, test.isRejected); got != test.want {
-			t.Errorf("%d (rejected %v) from role %v: %+v, want %+v", test.status, test.isRejected, test.role, got, test.want)
+			t.Errorf("status %d, rejected %v, role %v: outcome %+v, want %+v", test.status, test.isRejected, test.role, got, test.want)
 		}
 	}
 	for _, test := range []struct {
@@ -44,7 +44,7 @@
 		{upstream.ConnError{Established: true, RequestWritten: true, Malformed: "bad chunk"}, control.Failed},
 	} {
 		if got := classifyConnError(test.connErr); got != test.want {
-			t.Errorf("%+v: %v, want %v", test.connErr, got, test.want)
+			t.Errorf("%+v: result %v, want %v", test.connErr, got, test.want)
 		}
 	}
 }
--- a/internal/platform/retry_test.go
+++ b/internal/platform/retry_test.go
@@ -12,32 +12,32 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestRetryFollowsClassAndEngineResponse: what an engine answers, and the class of the request,
-// decide whether it is retried at another engine, and what its client gets.
+// TestRetryFollowsClassAndEngineResponse: the engine's response and the class of the request decide
+// whether the request is retried at another engine, and which status its client receives.
 func TestRetryFollowsClassAndEngineResponse(t *testing.T) {
 	stream := platformtest.Stream()
 	for _, test := range []struct {
 		name      string
 		script    platformtest.Script
-		ask, note int // the client's status for a request of this class
+		ask, note int // status that the client receives for a request of this class
 	}{
-		{"well", platformtest.WellBehaved, 200, 200},
-		{"error", platformtest.Respond(platformtest.Status(500, "")), 200, 502},
+		{"well-behaved", platformtest.WellBehaved, 200, 200},
+		{"500", platformtest.Respond(platformtest.Status(500, "")), 200, 502},
 		{"503 without the rejection header", platformtest.Respond(platformtest.Status(503, "")), 200, 502},
 		{"rejected", platformtest.Respond(platformtest.Status(503, platformtest.RejectedHeader)), 200, 200},
 		{"KV state missing", platformtest.Respond(platformtest.Status(410, platformtest.RejectedHeader)), 200, 200},
 		{"reset", platformtest.RespondAndClose(""), 200, 502},
 		{"malformed event", platformtest.Respond(platformtest.StreamHead + platformtest.Chunk("\x00\xff\x13 no event \n\n")), 200, 502},
-		{"no head", platformtest.Respond("\x01\x02\r\n\r\n"), 200, 502},
+		{"malformed head", platformtest.Respond("\x01\x02\r\n\r\n"), 200, 502},
 		{"endless head", platformtest.Respond("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 64<<10)), 200, 502},
 		{"bad chunk", platformtest.Respond(platformtest.StreamHead + "zz\r\n"), 200, 502},
 		{"enormous chunk", platformtest.Respond(platformtest.StreamHead + "c0000000\r\n" + platformtest.FirstEvent), 200, 502},
-		{"stream of nothing", platformtest.Respond(platformtest.StreamHead + platformtest.LastChunk), 200, 502},
-		{"no stream", platformtest.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi\n"), 200, 502},
-		{"1xx ahead", platformtest.Respond("HTTP/1.1 102 X\r\n\r\nHTTP/1.1 103 Y\r\nLink: z\r\n\r\n" + stream), 200, 200},
+		{"stream without events", platformtest.Respond(platformtest.StreamHead + platformtest.LastChunk), 200, 502},
+		{"200 without a stream", platformtest.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi\n"), 200, 502},
+		{"1xx responses first", platformtest.Respond("HTTP/1.1 102 X\r\n\r\nHTTP/1.1 103 Y\r\nLink: z\r\n\r\n" + stream), 200, 200},
 		{"malformed load report", platformtest.Respond(strings.Replace(stream, "\r\n", "\r\nX-Load-Report: {{,\x01\x7f\r\n", 1)), 200, 200},
-		{"a second response behind", platformtest.Respond(stream + stream), 200, 200},
-		{"client error", platformtest.Respond(platformtest.Status(400, "")), 400, 400},
+		{"second response", platformtest.Respond(stream + stream), 200, 200},
+		{"400", platformtest.Respond(platformtest.Status(400, "")), 400, 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for class, want := range map[string]int{"ask": test.ask, "note": test.note} {
@@ -51,8 +51,9 @@
 	}
 }
 
-// untilFirstAttemptAt sends requests of a class until one of them has an attempt at this engine, which answers by the script,
-// and checks the status of its answer. All answers are checked to be served completely, or to have that status.
+// untilFirstAttemptAt sends requests of a class until one of them reaches this engine, which responds
+// by the script, and expects that request to be answered with wantStatus. Any other request must be
+// answered with wantStatus or a complete stream.
 func (h *harness) untilFirstAttemptAt(e *platformtest.Engine, script platformtest.Script, class string, wantStatus int) {
 	h.Helper()
 	e.SetScript(script)
@@ -60,26 +61,26 @@
 	for range maxRequests {
 		answer := h.roundTrip(h.chat(class))
 		if answer.Code != http.StatusOK && answer.Code != wantStatus || answer.Code == http.StatusOK && !answer.IsCompleteStream() {
-			h.Fatalf("%s: %+v", class, answer)
+			h.Fatalf("class %s: answered %+v", class, answer)
 		}
 		if e.Attempts() > 0 {
 			if answer.Code != wantStatus {
-				h.Errorf("%s: %d, want %d", class, answer.Code, wantStatus)
+				h.Errorf("class %s: answered %d, want %d", class, answer.Code, wantStatus)
 			}
 			return
 		}
 	}
-	h.Errorf("%s: no attempt at the engine", class)
+	h.Errorf("class %s: the engine received none of %d requests", class, maxRequests)
 }
 
-// TestTruncatedStreamEndsConnectionAndIsNotRetried: a stream that breaks after its first event
-// ends its client's connection without the last chunk, and the request is not sent again.
+// TestTruncatedStreamEndsConnectionAndIsNotRetried: if the engine's stream breaks after its first
+// event, the client's connection is closed without the last chunk and the request is not retried.
 func TestTruncatedStreamEndsConnectionAndIsNotRetried(t *testing.T) {
 	for name, script := range map[string]platformtest.Script{
-		"connection closed":  platformtest.RespondAndClose(platformtest.TruncatedStream()),
-		"bad chunk":          platformtest.Respond(platformtest.TruncatedStream() + "zz\r\n"),
-		"chunk over its end": platformtest.Respond(platformtest.TruncatedStream() + "5\r\nabcdefgh\r\n"),
-		"enormous chunk":     platformtest.Respond(platformtest.TruncatedStream() + "c0000000\r\nxxx"),
+		"connection closed":          platformtest.RespondAndClose(platformtest.TruncatedStream()),
+		"bad chunk":                  platformtest.Respond(platformtest.TruncatedStream() + "zz\r\n"),
+		"chunk longer than its size": platformtest.Respond(platformtest.TruncatedStream() + "5\r\nabcdefgh\r\n"),
+		"enormous chunk":             platformtest.Respond(platformtest.TruncatedStream() + "c0000000\r\nxxx"),
 	} {
 		h := startHarness(t, "r1", "w1", "w1")
 		h.engines[1].SetScript(script)
@@ -88,24 +89,24 @@
 		answer := h.roundTrip(h.chat("ask"))
 
 		if answer.Code != http.StatusOK || answer.IsComplete || !strings.HasPrefix(answer.Body, platformtest.FirstEvent) {
-			t.Errorf("%s: %+v", name, answer)
+			t.Errorf("%s: answered %+v, want a truncated stream", name, answer)
 		}
 		if n := attemptsAt(h.engines[1:]...); n != 1 {
-			t.Errorf("%s: %d attempts at decode engines", name, n)
+			t.Errorf("%s: %d attempts at decode engines, want 1", name, n)
 		}
 	}
 }
 
-// TestNotIdempotentRequestNeverResentAfterConnectionLoss: a request that is not idempotent,
-// whose connection ends after any number of its bytes was read, is neither sent again nor
-// rejected once its last byte has left.
+// TestNotIdempotentRequestNeverResentAfterConnectionLoss: a request that is not idempotent and was
+// written completely is neither retried nor rejected if its connection is lost, however many of its
+// bytes the engine has read.
 func TestNotIdempotentRequestNeverResentAfterConnectionLoss(t *testing.T) {
-	for bytesRead := 1; bytesRead < 240; bytesRead += 13 { // the request has some 247
+	for bytesRead := 1; bytesRead < 240; bytesRead += 13 { // the request has about 247 bytes
 		h := startHarness(t, "r1", "w1", "w1")
 		attempts := make(chan struct{}, 10)
 		resetting := enginetest.Listen(t, func(conn *net.TCPConn) {
 			buffer := make([]byte, bytesRead)
-			if _, err := io.ReadFull(conn, buffer[:1]); err == nil && buffer[0] == 'P' { // of POST: no release or health check
+			if _, err := io.ReadFull(conn, buffer[:1]); err == nil && buffer[0] == 'P' { // of POST, not of a release or a health check
 				attempts <- struct{}{}
 				io.ReadFull(conn, buffer[1:])
 			}
@@ -116,13 +117,13 @@
 		answer := h.roundTrip(h.chat("note"))
 
 		if answer.Code != http.StatusBadGateway || len(attempts) != 1 {
-			t.Errorf("after %d bytes: %d, sent %d times", bytesRead, answer.Code, len(attempts))
+			t.Errorf("connection reset after %d bytes: answered %d, want 502; sent %d times, want 1", bytesRead, answer.Code, len(attempts))
 		}
 	}
 }
 
-// TestRejectedWithRetryAfterWithoutPrefillEngine: a request that no engine can take is rejected
-// at once, with a Retry-After.
+// TestRejectedWithRetryAfterWithoutPrefillEngine: without a ready prefill engine, a request is
+// rejected within 3 s and with Retry-After.
 func TestRejectedWithRetryAfterWithoutPrefillEngine(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	h.notifyTerminating(h.engines[0])
@@ -133,17 +134,17 @@
 
 	isRejected := answer.Code == http.StatusServiceUnavailable || answer.Code == http.StatusTooManyRequests
 	if took := time.Since(sentAt); !isRejected || answer.Header.Get("Retry-After") == "" || took > 3*time.Second {
-		t.Errorf("%+v after %v", answer, took)
+		t.Errorf("answered %+v after %v, want a rejection with Retry-After", answer, took)
 	}
 }
 
-// TestServersInOneProcessActByTheirOwnSettings: servers in one process, with other names,
-// idempotencies, deadlines and limits, each act by their own settings at the same time.
+// TestServersInOneProcessActByTheirOwnSettings: servers that run in one process with different names,
+// idempotencies, deadlines and limits each follow their own settings.
 func TestServersInOneProcessActByTheirOwnSettings(t *testing.T) {
 	for _, test := range []struct {
 		hasOtherSettings bool
 		class            string
-		status           int // where each decode attempt breaks off: idempotent requests are retried, others not
+		status           int // that the client receives if each decode attempt loses its connection
 		decodeAttempts   int
 	}{
 		{false, "ask", 503, 4},
@@ -160,17 +161,17 @@
 				h = startHarnessWith(t, otherSettings(t), "x9", "y9", "y9", "y9", "y9")
 			}
 			for _, e := range h.engines[1:] {
-				e.SetScript(platformtest.RespondAndClose("")) // it may have been executed
+				e.SetScript(platformtest.RespondAndClose("")) // the engine may have executed the attempt
 			}
 
 			answer := h.roundTrip(h.chat(test.class))
 
 			if n := attemptsAt(h.engines[1:]...); answer.Code != test.status || n != test.decodeAttempts {
-				t.Errorf("%d %s after %d decode attempts", answer.Code, answer.Body, n)
+				t.Errorf("answered %d %s after %d decode attempts, want %d after %d", answer.Code, answer.Body, n, test.status, test.decodeAttempts)
 			}
 		})
 	}
-	t.Run("held", func(t *testing.T) { // how many requests a router may have open
+	t.Run("limit of open requests", func(t *testing.T) {
 		for maxOpen, h := range map[int]*harness{1000: startHarness(t, "r1", "w1"), 1: startHarnessWith(t, otherSettings(t), "x9", "y9")} {
 			released := make(chan struct{})
 			h.engines[0].SetScript(platformtest.RespondAfter(released))
@@ -182,20 +183,20 @@
 
 			if maxOpen == 1 {
 				if answer := readAnswer(second); answer.Code != http.StatusServiceUnavailable {
-					t.Errorf("a second request where one may be open: %d", answer.Code)
+					t.Errorf("second request, with a limit of one open request: answered %d, want 503", answer.Code)
 				}
 			} else {
 				h.waitOnLoop("both requests to be open", func() bool { return len(h.server.exchanges.ByID) == 2 })
 			}
 			close(released)
 			if answer := readAnswer(first); answer.Code != http.StatusOK {
-				t.Errorf("%s: %d %s", class, answer.Code, answer.Body)
+				t.Errorf("class %s: answered %d %s, want 200", class, answer.Code, answer.Body)
 			}
 		}
 	})
 }
 
-// otherSettings differ from testSettings in names, idempotencies, deadlines and limits.
+// otherSettings returns testSettings with other names, idempotencies, deadlines and limits.
 func otherSettings(t *testing.T) string {
 	t.Helper()
 	settings := testSettings
@@ -212,7 +213,7 @@
 		{`"MostHeld":1000`, `"MostHeld":1`},
 	} {
 		if !strings.Contains(settings, edit[0]) {
-			t.Fatalf("no %s in the settings", edit[0])
+			t.Fatalf("testSettings does not contain %s", edit[0])
 		}
 		settings = strings.Replace(settings, edit[0], edit[1], 1)
 	}
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -55,7 +55,7 @@
 		h.server.loop.StopTimer(&h.server.shutdown.timer)
 		for range 5 {
 			client := h.dial()
-			writeUnseen(t, client, h.chat("note"))
+			writeForNextIteration(t, client, h.chat("note"))
 			clients = append(clients, client)
 		}
 		h.server.shutdown.timer.Fire()
--- a/internal/platform/timebudget_test.go
+++ b/internal/platform/timebudget_test.go
@@ -9,15 +9,15 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestForwardedBudgetNeverExceedsRemainingTime: no attempt has a larger time budget than its
-// client has left, whatever preceded it.
+// TestForwardedBudgetNeverExceedsRemainingTime: the time budget of each attempt is at most the time
+// that its client still waits, after earlier attempts too.
 func TestForwardedBudgetNeverExceedsRemainingTime(t *testing.T) {
 	for _, test := range []struct {
 		left time.Duration
 		want string
 	}{{2500 * time.Microsecond, "2m"}, {time.Second, "1000m"}, {999 * time.Microsecond, "999u"}, {0, "1u"}, {-time.Second, "1u"}} {
 		if got := string(appendTimeBudget(nil, test.left)); got != "X-Budget: "+test.want+"\r\n" {
-			t.Errorf("%v: %q", test.left, got)
+			t.Errorf("%v left: header field %q, want %s", test.left, got, test.want)
 		}
 	}
 	const (
@@ -48,23 +48,23 @@
 		if r.Method != http.MethodPost {
 			continue
 		}
-		forwarded, err := time.ParseDuration(r.TimeBudget + "s") // 3849m: milliseconds
+		forwarded, err := time.ParseDuration(r.TimeBudget + "s") // such as 3849m, milliseconds
 		if err != nil {
-			t.Fatal(r.TimeBudget, err)
+			t.Fatalf("time budget %q: %v", r.TimeBudget, err)
 		}
-		elapsed := time.Duration(attempts) * delay // at least
+		elapsed := time.Duration(attempts) * delay // a lower bound
 		if left := clientBudget - elapsed; forwarded > left || forwarded < 3*time.Second || r.ReceivedAt.Sub(sentAt) < elapsed {
-			t.Errorf("attempt %d has a budget of %v, %v are left", attempts, forwarded, left)
+			t.Errorf("attempt %d, %v after the request: budget %v, client waits for %v more", attempts, r.ReceivedAt.Sub(sentAt), forwarded, left)
 		}
 		attempts++
 	}
 	if attempts < 3 {
-		t.Errorf("%d attempts", attempts)
+		t.Errorf("%d attempts, want at least 3", attempts)
 	}
 }
 
-// TestAnswerPrecedesTimeoutOfTheSameIteration: an answer that begins before the loop sees that
-// its time is up goes to the client.
+// TestAnswerPrecedesTimeoutOfTheSameIteration: an engine's response that arrives after the deadline is
+// forwarded to the client if the loop reads it in the iteration in which the timer expires.
 func TestAnswerPrecedesTimeoutOfTheSameIteration(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	conns := make(chan net.Conn, 1)
@@ -73,11 +73,11 @@
 	engineConn := <-conns
 
 	h.runInOneIteration(func() {
-		time.Sleep(700 * time.Millisecond) // a loop held up beyond the deadline
-		writeUnseen(t, engineConn, platformtest.Stream())
+		time.Sleep(700 * time.Millisecond) // blocks the loop beyond the deadline of 600 ms
+		writeForNextIteration(t, engineConn, platformtest.Stream())
 	})
 
 	if answer := readAnswer(client); answer.Code != http.StatusOK || !answer.IsComplete {
-		t.Errorf("%d %s", answer.Code, answer.Body)
+		t.Errorf("answered %d %s, complete %v, want a complete stream", answer.Code, answer.Body, answer.IsComplete)
 	}
 }
