--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -33,7 +33,6 @@
 	maxRequestBodyBytes = 256 << 10 // a prompt of 64 Ki tokens, at about 4 bytes per token
 )
 
-// requestLimits bound a client's request.
 var requestLimits = http1.Limits{Line: maxLineBytes, Headers: maxHeadBytes, Fields: maxHeaderFields, Body: maxRequestBodyBytes}
 
 // HeadReceived implements httpserver.Handler. It rejects an invalid chat request before its body
--- a/internal/platform/forwarding_test.go
+++ b/internal/platform/forwarding_test.go
@@ -118,7 +118,7 @@
 	h.engines[1].SetScript(platformtest.ForAttempts(func(r *platformtest.Request) bool {
 		cut := <-cuts
 		r.Write(stream[:cut])
-		for range 2 { // the loop has seen the first piece before it can see the second
+		for range 2 { // the loop reads the first piece before the second is written
 			iterated := make(chan struct{})
 			h.server.loop.Post(func() { close(iterated) })
 			select {
--- a/internal/platform/golden_harness_test.go
+++ b/internal/platform/golden_harness_test.go
@@ -113,7 +113,6 @@
 	return g
 }
 
-// recordRequest records a request at an engine.
 func (g *goldenHarness) recordRequest(r *platformtest.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -143,7 +143,6 @@
 	h.requests = append(h.requests, r)
 }
 
-// saveConfig writes the configuration file.
 func (h *harness) saveConfig() {
 	h.Helper()
 	text, err := json.Marshal(h.config)
--- a/internal/platform/kvretention_test.go
+++ b/internal/platform/kvretention_test.go
@@ -86,10 +86,10 @@
 	}
 }
 
-// TestKVStateReleasedWhateverElseHappens: KV state is released in time if, while the decode engine is
+// TestKVStateReleasedDespiteFurtherFaults: KV state is released in time if, while the decode engine is
 // unresponsive, the client leaves, the router pauses or shuts down, the connection is reset, or most
 // other engines are unresponsive too.
-func TestKVStateReleasedWhateverElseHappens(t *testing.T) {
+func TestKVStateReleasedDespiteFurtherFaults(t *testing.T) {
 	prefill := engineSpec{behavior: prefillBehavior}
 	decode := engineSpec{behavior: decodeBehavior}
 	proxied := engineSpec{behavior: decodeBehavior, proxied: true}
--- a/internal/platform/retry_test.go
+++ b/internal/platform/retry_test.go
@@ -43,7 +43,7 @@
 			for class, want := range map[string]int{"ask": test.ask, "note": test.note} {
 				h := startHarness(t, "r1", "w1", "w1")
 
-				h.untilFirstAttemptAt(h.engines[1], test.script, class, want)
+				h.sendUntilFirstAttemptAt(h.engines[1], test.script, class, want)
 
 				h.waitUntilNothingOpen()
 			}
@@ -51,10 +51,10 @@
 	}
 }
 
-// untilFirstAttemptAt sends requests of a class until one of them reaches this engine, which responds
-// by the script, and expects that request to be answered with wantStatus. Any other request must be
-// answered with wantStatus or a complete stream.
-func (h *harness) untilFirstAttemptAt(e *platformtest.Engine, script platformtest.Script, class string, wantStatus int) {
+// sendUntilFirstAttemptAt sends requests of a class until one of them reaches this engine, which
+// responds by the script, and expects that request to be answered with wantStatus. Any other request
+// must be answered with wantStatus or a complete stream.
+func (h *harness) sendUntilFirstAttemptAt(e *platformtest.Engine, script platformtest.Script, class string, wantStatus int) {
 	h.Helper()
 	e.SetScript(script)
 	const maxRequests = 20 // the decision module may choose the other engine first
