--- a/internal/openaiserver/clientconn.go
+++ b/internal/openaiserver/clientconn.go
@@ -11,15 +11,15 @@
 	"martenlock/internal/openai"
 )
 
-// clientConn interprets the requests of a client's connection. It implements httpserver.Handler.
+// clientConn handles the requests on one client connection. It implements httpserver.Handler.
 type clientConn struct {
 	server   *Server
 	conn     httpserver.Conn
 	request  incomingRequest
-	exchange *httpExchange // of the request being served; nil if there is none
+	exchange *httpExchange // the request being served; nil if there is none
 }
 
-// incomingRequest is the current request's head as far as the server uses it.
+// incomingRequest holds what the server uses from the head of the current request.
 type incomingRequest struct {
 	isGetOrHead     bool // GET or HEAD
 	path            string
@@ -32,8 +32,8 @@
 	forwardedFields []byte        // header fields that engines get
 }
 
-// HeadReceived implements httpserver.Handler. It rejects a request with an invalid time budget
-// before its body arrives.
+// HeadReceived implements httpserver.Handler. It rejects a request with an invalid deadline header before the body
+// arrives.
 func (c *clientConn) HeadReceived(head *http1.Head) {
 	rules := &c.server.config.Request
 	request := &c.request
@@ -63,17 +63,18 @@
 	c.conn.SendContinue(head)
 }
 
-// clientTimeoutHeader is the header field in which the public clients send their time-out, in
-// seconds.
+// clientTimeoutHeader is the header field in which OpenAI's client libraries send their time-out, in seconds.
 const clientTimeoutHeader = "x-stainless-timeout"
 
-// maxClientTimeoutSeconds bounds clientTimeoutHeader. Longer and invalid time-outs are ignored.
+// maxClientTimeoutSeconds is the exclusive upper bound of clientTimeoutHeader. Longer and invalid time-outs are ignored.
 const maxClientTimeoutSeconds = 1e6
 
-// timeBudgetBits bounds the milliseconds in a deadline header, so that they fit a time.Duration.
+// timeBudgetBits is the greatest size of the signed integer in a deadline header, in bits. That many milliseconds fit a
+// time.Duration.
 const timeBudgetBits = 40
 
-// parseTimeBudget returns how long the client waits, or 0 if it does not say.
+// parseTimeBudget returns how long the client waits for the answer, or 0 if neither the deadline header nor
+// clientTimeoutHeader says so. The deadline header takes precedence, and an invalid one is an error.
 func parseTimeBudget(head *http1.Head, deadlineHeader string) (time.Duration, *openai.Error) {
 	value := head.Get(deadlineHeader)
 	if value != nil {
@@ -94,13 +95,13 @@
 	return 0, nil
 }
 
-// RequestMalformed implements httpserver.Handler.
+// RequestMalformed implements httpserver.Handler. It reports the parser's error to the client.
 func (c *clientConn) RequestMalformed(err *http1.Error) {
 	c.conn.CloseAfterResponse()
 	c.respondError(&openai.Error{Status: err.Status, Message: err.Reason, Type: errorTypeInvalidRequest}, "")
 }
 
-// RequestAborted implements httpserver.Handler.
+// RequestAborted implements httpserver.Handler. It tells the client why the rest of its request is not read.
 func (c *clientConn) RequestAborted(reason httpserver.AbortReason) {
 	switch reason {
 	case httpserver.RequestTimedOut:
@@ -114,15 +115,15 @@
 	}
 }
 
-// Writable implements httpserver.Handler. It resumes the response.
+// Writable implements httpserver.Handler. It resumes a streamed answer.
 func (c *clientConn) Writable() {
 	if c.exchange != nil {
 		c.exchange.operation.clientWritable()
 	}
 }
 
-// ClientGone implements httpserver.Handler. It cancels the operation. A panic in an earlier call
-// may have left the connection without one.
+// ClientGone implements httpserver.Handler. It cancels the operation of the request being served. There may be none if
+// an earlier call panicked.
 func (c *clientConn) ClientGone() {
 	current := c.exchange
 	if current == nil {
@@ -133,15 +134,15 @@
 	current.operation.cancel()
 }
 
-// Closing implements httpserver.Handler.
+// Closing implements httpserver.Handler. It counts evicted connections.
 func (c *clientConn) Closing(reason httpserver.CloseReason) {
 	if reason == httpserver.Evicted {
 		c.server.counters.idleConnsEvicted++
 	}
 }
 
-// abortForShutdown ends the connection when the shutdown times out. A request that is being served
-// is answered first, or its answer is aborted.
+// abortForShutdown ends the connection when the shutdown times out. If a request is being served, the client gets an
+// error first, or its streamed answer is aborted.
 func (c *clientConn) abortForShutdown() {
 	if c.exchange == nil {
 		c.conn.Abort()
--- a/internal/openaiserver/clients.go
+++ b/internal/openaiserver/clients.go
@@ -6,7 +6,7 @@
 	"martenlock/internal/httpserver"
 )
 
-// clientOptions returns the bounds of clients' connections.
+// clientOptions returns the options of client connections according to the configured limits.
 func clientOptions(limits *config.Limits) httpserver.Options {
 	return httpserver.Options{
 		Parsing:            &limits.HTTP,
@@ -17,8 +17,8 @@
 	}
 }
 
-// accept returns the handler of a new connection. The last one that fits evicts the one that has
-// been idle for longest.
+// accept returns the handler of a new client connection. If the listener has reached its maximum of open connections,
+// the longest idle connection is closed, so that the next client can connect too.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
 	if s.clients.Listener.Open() >= s.clients.Listener.MaxOpen {
 		s.clients.EvictIdle()
@@ -28,7 +28,8 @@
 	return &client.conn
 }
 
-// bodyMemory implements httpserver.Memory. Buffered answers share its bound.
+// bodyMemory implements httpserver.Memory. It limits the memory for request bodies and buffered answers together to
+// maxBufferedBytes.
 type bodyMemory struct{ server *Server }
 
 // Reserve implements httpserver.Memory.
--- a/internal/openaiserver/deadlinetimer.go
+++ b/internal/openaiserver/deadlinetimer.go
@@ -5,24 +5,25 @@
 	"martenlock/internal/timerwheel"
 )
 
-// deadlineTimer polls a queue at the queue's next deadline, and at the end of an iteration of the event loop in
-// which something changed.
+// deadlineTimer calls a queue's poll function at the queue's next deadline, and at the end of an event loop iteration
+// in which schedulePoll was called.
 type deadlineTimer struct {
 	server        *Server
 	poll          func()
-	nextDeadline  func() (control.Time, bool)
+	nextDeadline  func() (control.Time, bool) // returns false if there is no deadline
 	timer         timerwheel.Timer
-	pollScheduled bool // at the end of this iteration
+	pollScheduled bool // poll runs at the end of this iteration
 }
 
-// newDeadlineTimer returns a timer that is not running.
+// newDeadlineTimer returns a timer that has not been started.
 func newDeadlineTimer(s *Server, poll func(), nextDeadline func() (control.Time, bool)) *deadlineTimer {
 	t := &deadlineTimer{server: s, poll: poll, nextDeadline: nextDeadline}
 	t.timer.Fire = t.fire
 	return t
 }
 
-// schedulePoll schedules a poll at the end of this iteration. Further calls in the iteration have no effect.
+// schedulePoll schedules a poll at the end of this event loop iteration. Further calls in the same iteration have no
+// effect.
 func (t *deadlineTimer) schedulePoll() {
 	if t.pollScheduled {
 		return
@@ -40,7 +41,7 @@
 	t.restart()
 }
 
-// restart starts the timer for the next deadline, and stops it if there is none.
+// restart sets the timer to the next deadline, or stops it if there is none.
 func (t *deadlineTimer) restart() {
 	deadline, hasDeadline := t.nextDeadline()
 	if !hasDeadline {
--- a/internal/openaiserver/engine.go
+++ b/internal/openaiserver/engine.go
@@ -11,7 +11,7 @@
 	"martenlock/internal/upstream"
 )
 
-// engine is one engine: the connections to it and the KV releases that it has not confirmed.
+// engine holds the connections to one engine and the KV releases that the engine has not confirmed.
 type engine struct {
 	upstream.Pool
 	server   *Server
@@ -19,7 +19,7 @@
 	releases kvReleases
 }
 
-// engineTable holds the engines and what their connections share.
+// engineTable holds the engines and the options and budget that their connections share.
 type engineTable struct {
 	byID        map[control.EndpointID]*engine
 	connOptions upstream.Options
@@ -42,8 +42,8 @@
 	return e
 }
 
-// connClosed logs the end of a connection unless it is routine. The engine may have been kept for this connection
-// only.
+// connClosed is called after a connection was closed. It logs the reason unless it is routine, and removes the engine
+// if this was the last reason to keep it.
 func (e *engine) connClosed(reason upstream.CloseReason) {
 	if !reason.IsRoutine() {
 		e.server.log.Debug().Str("endpoint", e.endpoint.Name).Stringer("reason", reason).Msg("engine connection closed")
@@ -51,13 +51,13 @@
 	e.removeIfUnused()
 }
 
-// SetEndpoints replaces the endpoint list. list must have passed endpointlist.Parse. It may be called from any goroutine and
-// does not wait.
+// SetEndpoints replaces the endpoint list and does not wait until the new list is in force. list must have passed
+// endpointlist.Parse. SetEndpoints may be called from any goroutine.
 func (s *Server) SetEndpoints(list []endpointlist.Endpoint) {
 	s.loop.Post(func() { s.applyEndpoints(list) })
 }
 
-// applyEndpoints is SetEndpoints on the loop.
+// applyEndpoints does the work of SetEndpoints on the event loop.
 func (s *Server) applyEndpoints(list []endpointlist.Endpoint) {
 	isListed := map[control.EndpointID]bool{}
 	for i := range list {
@@ -77,7 +77,7 @@
 	s.log.Info().Int("endpoints", len(list)).Msg("endpoint list applied")
 }
 
-// addOrUpdateEngine adds a listed engine or updates a known one.
+// addOrUpdateEngine adds the engine of a listed endpoint, or updates it if it is already known.
 func (s *Server) addOrUpdateEngine(endpoint endpointlist.Endpoint) {
 	e := s.engines.byID[endpoint.ID]
 	if e == nil {
@@ -85,7 +85,7 @@
 		s.engines.byID[endpoint.ID] = e
 	}
 	processChanged := e.endpoint.Addr != endpoint.Addr || !e.endpoint.StartedAt.Equal(endpoint.StartedAt)
-	if processChanged { // connections to the earlier one are of no use
+	if processChanged { // connections to the previous process must not be reused
 		e.CloseIdle()
 	}
 	e.endpoint = endpoint
@@ -100,17 +100,17 @@
 	}
 }
 
-// requestHeadBytes is the initial capacity of a request's head. Nearly every head fits, so that building one
-// allocates once.
+// requestHeadBytes is the initial capacity of the buffer for a request head. Nearly every head fits, so that building
+// it allocates only once.
 const requestHeadBytes = 256
 
-// newRequestHead returns the start of a request's head: request line and Host.
+// newRequestHead returns the start of a request head: the request line and the Host field.
 func (e *engine) newRequestHead(method, path string) []byte {
 	head := http1.AppendRequest(make([]byte, 0, requestHeadBytes), method, path)
 	return http1.AppendField(head, "Host", e.endpoint.Addr.String())
 }
 
-// checkHealth starts a health check and reports its result to the pool's decision module.
+// checkHealth starts a health check. Its result is pushed to the pool's decision module.
 func (e *engine) checkHealth(p *pool) {
 	loop := e.server.loop
 	startedAt := loop.Now()
@@ -132,7 +132,7 @@
 	}.Start(&e.Pool)
 }
 
-// classifyHealthCheck returns the result that a call stands for.
+// classifyHealthCheck converts the result of a health check call to that of the decision module.
 func classifyHealthCheck(result enginecall.Result) control.Result {
 	switch {
 	case result.Outcome == enginecall.NoConnection:
--- a/internal/openaiserver/kvrelease.go
+++ b/internal/openaiserver/kvrelease.go
@@ -11,32 +11,30 @@
 	"martenlock/internal/timerwheel"
 )
 
-// kvReleases holds the KV releases that an engine has not confirmed. A release names a request; it covers every KV
-// state of that request.
+// kvReleases holds the KV releases that an engine has not confirmed. A release covers all KV state of one request.
 type kvReleases struct {
-	pending       map[string]time.Duration // loop time at which a release times out, by request id
+	pending       map[string]time.Duration // time on the loop's clock at which a release times out, by request id
 	callScheduled bool                     // a call is scheduled or in flight
 	retryTimer    timerwheel.Timer
-	retryDelay    time.Duration // before the next call after a failure; 0 after a success
+	retryDelay    time.Duration // from the last failed call to its retry; 0 if the last call succeeded
 }
 
-// newKVReleases returns kvReleases without pending ones.
 func newKVReleases() kvReleases {
 	return kvReleases{pending: map[string]time.Duration{}}
 }
 
-// Delays and bounds of KV releases.
+// Delays, time-outs and limits of KV releases.
 const (
-	minKVReleaseRetryDelay = 50 * time.Millisecond  // after the first failure; doubled with each further one
-	maxKVReleaseRetryDelay = 500 * time.Millisecond // bounds how long an engine that recovers retains KV state for nothing
-	kvReleaseCallTimeout   = 250 * time.Millisecond // after that the call has failed
-	kvReleaseTimeout       = time.Minute            // after that the engine's own retention limit has to do
-	maxPendingKVReleases   = 10000                  // of one engine, which bounds memory while it is out of reach
-	maxKVReleasesPerCall   = 500                    // bounds the body of a call
+	minKVReleaseRetryDelay = 50 * time.Millisecond  // after the first failure; doubled after each further failure
+	maxKVReleaseRetryDelay = 500 * time.Millisecond // limits how long a recovered engine retains unused KV state
+	kvReleaseCallTimeout   = 250 * time.Millisecond
+	kvReleaseTimeout       = time.Minute // later the engine's own retention limit releases the KV state
+	maxPendingKVReleases   = 10000       // per engine; limits memory while the engine can't be reached
+	maxKVReleasesPerCall   = 500         // limits the body of a call
 )
 
-// releaseKV has the engine release what it retains for a request or runs for it. If the engine is out of reach, calls
-// are retried until it confirms or the release times out.
+// releaseKV makes the engine abort the request if it is running there, and release its KV state. Failed calls are
+// retried until the engine confirms the release or the release times out.
 func (e *engine) releaseKV(requestID string) {
 	if len(e.releases.pending) >= maxPendingKVReleases {
 		e.server.log.Warn().Str("endpoint", e.endpoint.Name).Msg("KV release dropped, too many are pending")
@@ -46,8 +44,8 @@
 	e.scheduleKVReleaseCall()
 }
 
-// scheduleKVReleaseCall schedules a call at the end of this iteration, unless one is in flight or a retry is
-// scheduled.
+// scheduleKVReleaseCall schedules a call at the end of this event loop iteration, unless a call is scheduled or in
+// flight, or will be retried.
 func (e *engine) scheduleKVReleaseCall() {
 	if e.releases.callScheduled || e.releases.retryTimer.Running() {
 		return
@@ -56,7 +54,7 @@
 	e.server.loop.Defer(e.startKVReleaseCall)
 }
 
-// startKVReleaseCall starts a call for the pending releases.
+// startKVReleaseCall starts a call for the pending releases, if any.
 func (e *engine) startKVReleaseCall() {
 	requestIDs := e.nextKVReleases()
 	if len(requestIDs) == 0 {
@@ -77,7 +75,7 @@
 	}.Start(&e.Pool)
 }
 
-// nextKVReleases returns the request ids for the next call. It drops releases that have timed out.
+// nextKVReleases returns the request ids for the next call, and deletes the releases that have timed out.
 func (e *engine) nextKVReleases() (requestIDs []string) {
 	now := e.server.loop.Now()
 	for requestID, deadline := range e.releases.pending {
@@ -91,7 +89,7 @@
 	return requestIDs
 }
 
-// kvReleaseBody returns the body of a call that releases the KV states of requests.
+// kvReleaseBody returns the body of a call that releases the KV state of the given requests.
 func kvReleaseBody(requestIDs []string) []byte {
 	body := []byte(`{"request_ids":[`)
 	for i, requestID := range requestIDs {
@@ -103,7 +101,8 @@
 	return append(body, "]}"...)
 }
 
-// completeKVReleaseCall processes the result of a call. After a failure the same releases are due again.
+// completeKVReleaseCall processes the result of a call. isConfirmed reports whether the engine has confirmed the
+// releases. Otherwise they stay pending and a retry is scheduled.
 func (e *engine) completeKVReleaseCall(requestIDs []string, isConfirmed bool) {
 	releases := &e.releases
 	releases.callScheduled = false
--- a/internal/openaiserver/pool.go
+++ b/internal/openaiserver/pool.go
@@ -11,7 +11,8 @@
 	"martenlock/internal/openai"
 )
 
-// pool is one instance of the decision module and the requests that it decides on.
+// pool is a configured pool of engines, with its own instance of the decision module and the requests that the instance
+// decides on.
 type pool struct {
 	server    *Server
 	settings  *config.Pool
@@ -23,29 +24,28 @@
 	admission  *admissionQueue
 	batches    *batchScheduler
 
-	tokenLimits    admission.TokenLimits    // of one request at the listed engines
+	tokenLimits    admission.TokenLimits    // of a single request, according to the listed engines
 	tokenEstimator admission.TokenEstimator // corrects estimated prompt lengths
 	openRequests   int                      // accepted for the pool and not yet answered
 
-	readyEndpoints int    // listed as ready
-	modelRevision  string // at the ready engine listed last
-	revisionsMixed bool   // ready engines serve several revisions
+	readyEndpoints int    // number of endpoints that are listed as ready
+	modelRevision  string // of the last ready engine in the list; "" if none is ready
+	revisionsMixed bool   // ready engines serve different revisions
 
-	isRetired bool // it accepts no new requests
-	isRemoved bool // it has no requests left and is in no table
+	isRetired bool // the pool accepts no new requests
+	isRemoved bool // the pool has no requests left and is in no poolTable
 }
 
 // poolTable holds the pools of a server.
 type poolTable struct {
-	current []*pool // of the configuration in force
+	current []*pool // of the current configuration
 	retired []*pool // of earlier configurations, with requests that are not answered yet
 }
 
-// all returns the current pools and the retired ones.
 func (t *poolTable) all() []*pool { return slices.Concat(t.current, t.retired) }
 
-// find returns the pool that serves a model through an API. A pool that names the model takes precedence over one
-// that names none and so serves any. find returns nil if there is neither.
+// find returns the pool that serves the given model through the given API, or nil if there is none. A pool without a
+// list of models serves every model. A pool whose list has the model takes precedence.
 func (t *poolTable) find(api openai.API, model string) (fallback *pool) {
 	for _, p := range t.current {
 		for _, served := range p.settings.APIs {
@@ -63,7 +63,7 @@
 	return fallback
 }
 
-// createPools replaces the current pools by those of the configuration in force.
+// createPools replaces the current pools by new ones according to the current configuration.
 func (s *Server) createPools() {
 	s.pools.current = nil
 	for i := range s.config.Pools {
@@ -71,7 +71,7 @@
 	}
 }
 
-// retirePools retires the current pools. Each serves the requests that it has accepted.
+// retirePools retires the current pools. Each is kept until the requests that it has accepted are complete.
 func (s *Server) retirePools() {
 	for _, p := range s.pools.current {
 		p.isRetired = true
@@ -80,10 +80,11 @@
 	}
 }
 
-// seedStep is the distance between the seeds of two pools: 2^64 divided by the golden ratio, which spreads them.
+// seedStep is the distance between the seeds of consecutive pools: 2^64 divided by the golden ratio, which distributes
+// the seeds evenly.
 const seedStep = 0x9e3779b97f4a7c15
 
-// newPool returns a pool whose decision module knows no endpoints yet. index is the pool's place in the
+// newPool returns a pool whose decision module knows no endpoints yet. index is the pool's position in the
 // configuration.
 func newPool(s *Server, settings *config.Pool, index uint64) *pool {
 	controlSettings := s.config.Control
@@ -106,16 +107,17 @@
 	return p
 }
 
-// push hands an event to the decision module at the end of this iteration of the event loop.
+// push queues an event that the decision module receives at the end of this event loop iteration.
 func (p *pool) push(event control.Event) { p.mailbox.Push(event) }
 
-// afterPoll removes the exchanges that have ended, and the pool itself if it is retired and has no requests left.
+// afterPoll is called after each poll of the decision module. It removes the exchanges that have ended, and the pool
+// itself if it is retired and has no requests left.
 func (p *pool) afterPoll() {
 	p.exchanges.RemoveEnded((*exchange).isRemovable)
 	p.removeIfDrained()
 }
 
-// checkHealth starts a health check. Its result reaches the decision module as an event.
+// checkHealth starts a health check. Its result is pushed to the decision module.
 func (p *pool) checkHealth(id control.EndpointID) {
 	e := p.server.engines.byID[id]
 	if e == nil {
@@ -125,7 +127,7 @@
 	e.checkHealth(p)
 }
 
-// removeIfDrained removes a retired pool that has no requests, exchanges or events left.
+// removeIfDrained removes the pool from the server if it is retired and has no requests, exchanges or events left.
 func (p *pool) removeIfDrained() {
 	if !p.isRetired || p.isRemoved || len(p.exchanges.ByID) > 0 || p.mailbox.Len() > 0 || p.openRequests > 0 {
 		return
@@ -139,8 +141,7 @@
 	}
 }
 
-// applyEndpoints applies an endpoint list: it notifies the decision module, the admission queue and the batcher of the
-// pool's engines.
+// applyEndpoints passes the pool's endpoints from the list to the decision module, the admission queue and the batcher.
 func (p *pool) applyEndpoints(list []endpointlist.Endpoint) {
 	s := p.server
 	update := control.EndpointUpdate{Full: true}
@@ -150,7 +151,7 @@
 	var capacities []admission.EndpointCapacity
 	for i := range list {
 		endpoint := &list[i]
-		kind := slices.Index(p.config.Kinds, endpoint.Kind) // a retired pool's configuration may number kinds differently
+		kind := slices.Index(p.config.Kinds, endpoint.Kind) // the index may differ in a retired pool's configuration
 		if endpoint.Pool != p.settings.Name || kind < 0 {
 			continue
 		}
@@ -179,14 +180,14 @@
 	p.push(update)
 }
 
-// addReadyEndpoint counts a ready engine and records whether its revision of the model differs from another's.
+// addReadyEndpoint counts a ready engine and records whether ready engines serve different revisions of the model.
 func (p *pool) addReadyEndpoint(revision string) {
 	p.revisionsMixed = p.revisionsMixed || p.readyEndpoints > 0 && revision != p.modelRevision
 	p.modelRevision = revision
 	p.readyEndpoints++
 }
 
-// maxAttempts returns how many attempts a request of the class may have.
+// maxAttempts returns the maximum number of attempts for a request of the class.
 func (p *pool) maxAttempts(class *control.Class) int {
 	if class.MaxAttempts > 0 {
 		return min(class.MaxAttempts, p.config.Control.Limits.MaxAttempts)
--- a/internal/openaiserver/reload.go
+++ b/internal/openaiserver/reload.go
@@ -12,21 +12,21 @@
 	"martenlock/internal/upstream"
 )
 
-// ListenChangedError is the error of Reload if the new configuration has another listen address.
+// ListenChangedError is returned by Server.Reload if the new configuration has a different listen address.
 type ListenChangedError struct {
 	File     string
 	Old, New string
 }
 
-// Error implements error. The message names file, section and key.
+// Error implements error. The message names the file, the section and the key.
 func (e *ListenChangedError) Error() string {
 	return fmt.Sprintf("%s: [router] listen: a change from %s to %s needs a restart", e.File, e.Old, e.New)
 }
 
-// Reload applies a configuration and an endpoint list that was checked against it. Requests accepted before continue
-// under the old configuration. If a setting of the decision modules has changed, new requests are decided on by new
-// modules, which know no load, health or sessions yet. Reload waits until the configuration is in force. It returns a
-// *ListenChangedError, and changes nothing, if the listen address differs.
+// Reload applies a configuration and an endpoint list that was checked against it, and waits until both are in force.
+// If a setting of the pools or their decision modules has changed, new pools are created. They start without load,
+// health and session state. Requests that were accepted before complete on the old pools. If the listen address
+// differs, Reload returns a *ListenChangedError and changes nothing.
 func (s *Server) Reload(cfg *config.Config, list []endpointlist.Endpoint) error {
 	if cfg.Listen != s.config.Listen && s.config.Listen.Port() != 0 {
 		return &ListenChangedError{File: cfg.File, Old: s.config.Listen.String(), New: cfg.Listen.String()}
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// applyConfig is Reload on the loop.
+// applyConfig does the work of Reload on the event loop.
 func (s *Server) applyConfig(cfg *config.Config, list []endpointlist.Endpoint) {
 	old := s.config
 	s.config = cfg
@@ -52,8 +52,8 @@
 	s.applyEndpoints(list)
 }
 
-// samePoolSettings reports whether two configurations agree in all that pools and their decision modules are created
-// from.
+// samePoolSettings reports whether all settings that pools and their decision modules are created from are equal in
+// two configurations.
 func samePoolSettings(a, b *config.Config) bool {
 	return a.Zone == b.Zone && a.Seed == b.Seed &&
 		reflect.DeepEqual(a.Control, b.Control) &&
@@ -63,11 +63,11 @@
 		reflect.DeepEqual(a.Pools, b.Pools)
 }
 
-// maxDescriptors is used in place of a greater descriptor limit, which may be infinite.
+// maxDescriptors replaces a higher descriptor limit. An infinite limit would not fit an int.
 const maxDescriptors = 1 << 30
 
-// applyLimits applies the configuration's limits to connections. max_connections is lowered if the descriptor limit of
-// this process, raised as far as is allowed, is too small for it.
+// applyLimits applies the configured limits to client and engine connections. It raises the descriptor limit of this
+// process, and allows fewer client connections than max_connections if the limit is still too low.
 func (s *Server) applyLimits() {
 	limits := &s.config.Limits
 	responseLimits := limits.HTTP
@@ -96,8 +96,8 @@
 	}
 }
 
-// raiseDescriptorLimit raises the descriptor limit of this process as far as is allowed. It returns the limit that
-// holds then. The error is that of reading the limit.
+// raiseDescriptorLimit raises the soft limit on this process's descriptors to the hard limit, if possible, and returns
+// the resulting soft limit. It returns an error if the limit can't be read.
 func raiseDescriptorLimit() (uint64, error) {
 	var limit unix.Rlimit
 	err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
@@ -108,5 +108,5 @@
 	if limit.Cur < limit.Max && unix.Setrlimit(unix.RLIMIT_NOFILE, &raised) == nil {
 		return raised.Cur, nil
 	}
-	return limit.Cur, nil // the present limit holds, also if raising it failed
+	return limit.Cur, nil // already at the hard limit, or raising it failed
 }
--- a/internal/openaiserver/server.go
+++ b/internal/openaiserver/server.go
@@ -1,9 +1,9 @@
-// Package openaiserver is the server behind OpenAI's API. It turns the bytes of clients and engines into events of the
-// decision module (control.Router), and the module's actions into bytes. It makes no decisions of its own about where,
-// when and how often a request is forwarded.
+// Package openaiserver serves OpenAI's API to clients and forwards their requests to engines. It translates network
+// traffic into events of the decision module (control.Router) and carries out the module's actions. The module decides
+// where, when and how often a request is forwarded.
 //
-// All of its state belongs to one event loop. Only Addr, Run, SetEndpoints, Reload, Shutdown and Stats may be called from
-// other goroutines.
+// All state of a Server belongs to one event loop. Only Addr, Run, SetEndpoints, Reload, Shutdown and Stats may be called
+// from other goroutines.
 package openaiserver
 
 import (
@@ -23,7 +23,7 @@
 	"martenlock/internal/httpserver"
 )
 
-// Server serves OpenAI's API on one listener. New returns one.
+// Server serves OpenAI's API on one listener. The zero value is not usable; call New.
 type Server struct {
 	loop      *eventloop.Loop
 	config    *config.Config
@@ -36,7 +36,7 @@
 	topology topology
 
 	requestIDs    requestIDs
-	seed          uint64 // of the decision modules' random choices
+	seed          uint64 // for the decision modules' random choices
 	openRequests  int    // accepted for a pool and not yet answered
 	bufferedBytes int64  // of request bodies and buffered answers
 
@@ -44,25 +44,26 @@
 	counters counters
 }
 
-// counters are the server's counters since its start.
+// counters count requests by their end, and evicted connections, since the server's start.
 type counters struct {
 	served    uint64
 	rejected  uint64
 	failed    uint64
-	canceled  uint64 // the client has left
-	oversized uint64 // no engine has the memory for the request
+	canceled  uint64 // the client has disconnected
+	oversized uint64 // no engine has enough memory for the request
 
-	idleConnsEvicted uint64 // idle client connections closed in favour of new ones
+	idleConnsEvicted uint64 // idle client connections closed to make room for new ones
 }
 
-// maxBufferedBytes bounds the bodies and the buffered answers of all requests together.
+// maxBufferedBytes limits the request bodies and buffered answers of all requests together.
 const maxBufferedBytes = 1 << 30
 
-// clockStart is the time on the decision module's clock when the loop starts: one day. An engine that started up to a
-// day before this server so has a start above zero.
+// clockStart is the time on the decision module's clock when the event loop starts: one day, in microseconds. It is not
+// 0 so that an engine that started up to a day before this server has a positive start time.
 const clockStart = control.Time(24 * 3600 * 1e6)
 
-// New returns a server that listens. Connections are served once Run is called. list is the first endpoint list.
+// New returns a server that listens on the configured address. It serves connections once Run is called. list is the
+// initial endpoint list.
 func New(cfg *config.Config, list []endpointlist.Endpoint, log zerolog.Logger) (*Server, error) {
 	loop, err := eventloop.New(eventloop.Options{OnPanic: func(reason any) {
 		log.Error().Str("panic", fmt.Sprint(reason)).Bytes("stack", debug.Stack()).Msg("handler panicked, connection closed")
@@ -102,14 +103,14 @@
 // Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.clients.Listener.Addr().String() }
 
-// Run serves until a shutdown is complete. It returns the error of the event loop, if any.
+// Run serves until a shutdown is complete. It returns an error if the event loop fails.
 func (s *Server) Run() error { return s.loop.Run() }
 
-// now returns the present time on the decision module's clock.
+// now returns the current time on the decision module's clock.
 func (s *Server) now() control.Time { return clockStart.Add(s.loop.Now()) }
 
-// controlTime converts wall-clock time to the decision module's clock. It returns 0 for a time before the clock's zero
-// and for the zero time.
+// controlTime converts a wall-clock time to the decision module's clock. It returns 0 for the zero time and for times
+// before the clock's zero.
 func (s *Server) controlTime(at time.Time) control.Time {
 	if at.IsZero() {
 		return 0
@@ -122,17 +123,17 @@
 	return 0
 }
 
-// requestIDs generates the ids under which engines know requests.
+// requestIDs generates the ids that are sent to engines as X-Request-Id.
 type requestIDs struct {
 	prefix   string
 	sequence uint64
 }
 
-// idBase is the base of the numbers in request ids, the largest of strconv.
+// idBase is the base of the numbers in request ids. It is the largest base that strconv supports.
 const idBase = 36
 
-// newRequestIDs returns a generator whose ids start with a random number. Two routers, or one before and after a
-// restart, must not use the same id at an engine.
+// newRequestIDs returns a generator whose ids start with the given random number. The number keeps ids unique on an
+// engine across routers and across restarts of a router.
 func newRequestIDs(random uint64) requestIDs {
 	return requestIDs{prefix: "ml-" + strconv.FormatUint(random, idBase) + "-"}
 }
--- a/internal/openaiserver/shutdown.go
+++ b/internal/openaiserver/shutdown.go
@@ -9,19 +9,20 @@
 // shutdown is the state of a server's shutdown.
 type shutdown struct {
 	inProgress   bool
-	drainTimer   timerwheel.Timer // until the next check for open connections
-	timeoutTimer timerwheel.Timer // until open requests are aborted
+	drainTimer   timerwheel.Timer // fires when open connections are checked again
+	timeoutTimer timerwheel.Timer // fires when open requests are aborted
 }
 
-// drainCheckInterval is the time between two checks for open connections. It bounds how late Run returns.
+// drainCheckInterval is the time between two checks for open connections. Run returns at most this long after the last
+// connection has closed.
 const drainCheckInterval = 10 * time.Millisecond
 
-// Shutdown starts a graceful shutdown: it closes the listener, and Run returns once every accepted request is answered.
-// Requests that are open after Limits.ShutdownTimeout are aborted. Shutdown does not wait. Further calls have no
-// effect.
+// Shutdown starts a graceful shutdown and does not wait for its end. The listener is closed. Run returns when every
+// accepted request was answered and all client connections are closed. Requests that are still open after
+// config.Limits.ShutdownTimeout are aborted. Further calls have no effect.
 func (s *Server) Shutdown() { s.loop.Post(s.startShutdown) }
 
-// startShutdown is Shutdown on the loop.
+// startShutdown does the work of Shutdown on the event loop.
 func (s *Server) startShutdown() {
 	if s.shutdown.inProgress {
 		return
@@ -37,7 +38,7 @@
 	s.loop.StartTimer(&s.shutdown.timeoutTimer, s.config.Limits.ShutdownTimeout)
 }
 
-// stopWhenDrained stops the loop if no client is connected, and schedules another check otherwise.
+// stopWhenDrained stops the event loop if no client is connected. Otherwise it schedules another check.
 func (s *Server) stopWhenDrained() {
 	if s.clients.Listener.Open() == 0 {
 		s.loop.Stop()
@@ -46,7 +47,7 @@
 	s.loop.StartTimer(&s.shutdown.drainTimer, drainCheckInterval)
 }
 
-// abortOpenRequests aborts the requests that are open when the shutdown times out.
+// abortOpenRequests aborts all open requests and closes their connections. It is called when the shutdown times out.
 func (s *Server) abortOpenRequests() {
 	s.log.Warn().Int("open_requests", s.openRequests).Msg("shutdown limit reached, open requests aborted")
 	for conn := range s.clients.All() {
--- a/internal/openaiserver/stats.go
+++ b/internal/openaiserver/stats.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// Stats are a server's counters since its start and the present size of what it holds.
+// Stats holds a server's counters since its start and its current resource use.
 type Stats struct {
-	// Counters of client requests, by their end.
+	// Numbers of client requests by their end.
 	Served, Rejected, Failed, Canceled uint64
 
-	Oversized         uint64 // requests rejected because no engine has the memory for them
-	AdmissionRejected uint64 // large requests rejected by the admission queue
-	CacheHits         uint64 // inputs of embeddings answered from the cache
-	CoalescedInputs   uint64 // inputs of embeddings that waited for another request's computation
-	BatchedRequests   uint64 // requests answered by a batch of several
-	IdleConnsEvicted  uint64 // idle client connections closed in favour of new ones
+	// Other counters. Those of pools restart at 0 when a reload replaces the pools.
+	Oversized         uint64 // requests rejected because no engine has enough memory for them
+	AdmissionRejected uint64 // of pools: large requests rejected by the admission queue
+	CacheHits         uint64 // of pools: embeddings inputs answered from the cache
+	CoalescedInputs   uint64 // of pools: embeddings inputs that waited for another request's computation
+	BatchedRequests   uint64 // of pools: requests answered by a batch of several
+	IdleConnsEvicted  uint64 // idle client connections closed to make room for new ones
 
-	// Present sizes.
+	// Current values.
 	OpenRequests, ClientConnections, Timers int
 	EngineConnections, PendingKVReleases    int
 	BufferedBytes                           int64  // request bodies and buffered answers
-	CacheBytes                              uint64 // embedding caches
-	MaxUnsentBytes                          int    // the most bytes of an answer that one client has not accepted yet
+	CacheBytes                              uint64 // entries of the embedding caches
+	MaxUnsentBytes                          int    // largest number of bytes buffered for one client
 }
 
-// ErrStopped is the error of Stats after Run has returned.
+// ErrStopped is returned by Server.Stats if the event loop does not run.
 var ErrStopped = errors.New("openaiserver: server is not running")
 
-// statsTimeout bounds the wait of Stats. A running loop answers within one iteration; only a stopped one does not.
+// statsTimeout is how long Stats waits for the event loop. A running loop responds within one iteration.
 const statsTimeout = 10 * time.Second
 
-// Stats returns the server's statistics. It must not be called before Run. It returns ErrStopped if the loop does not
-// answer within statsTimeout.
+// Stats returns the server's counters and its current resource use. It must not be called before Run. If the event loop
+// does not respond within statsTimeout, it returns ErrStopped.
 func (s *Server) Stats() (stats Stats, err error) {
 	done := make(chan struct{})
 	s.loop.Post(func() {
@@ -47,7 +48,7 @@
 	}
 }
 
-// collectStats is Stats on the loop.
+// collectStats does the work of Stats on the event loop.
 func (s *Server) collectStats() Stats {
 	stats := Stats{
 		Served:            s.counters.served,
--- a/internal/openaiserver/topology.go
+++ b/internal/openaiserver/topology.go
@@ -1,27 +1,26 @@
 package openaiserver
 
-// maxTopologyNames bounds the number of zones and of cells: numbers are 16 bits wide, and the last one is shared.
+// maxTopologyNames is the maximum number of zones, and of cells, with a number of their own. Numbers have 16 bits, and
+// all further names share the highest one.
 const maxTopologyNames = 1<<16 - 1
 
-// topology numbers the zones and cells of all endpoint lists since the server's start.
+// topology assigns numbers to the names of zones and cells. The numbers stay the same until the server stops.
 type topology struct {
 	zones map[string]uint16
 	cells map[string]uint16
 }
 
-// newTopology returns a topology without names.
 func newTopology() topology {
 	return topology{zones: map[string]uint16{}, cells: map[string]uint16{}}
 }
 
-// zone returns the number of a zone.
 func (t *topology) zone(name string) uint16 { return findOrAssignNumber(t.zones, name) }
 
-// cell returns the number of a cell. Cells of two zones may have the same name.
+// cell returns the number of a cell. Cells in different zones are different, even if they have the same name.
 func (t *topology) cell(zone, name string) uint16 { return findOrAssignNumber(t.cells, zone+"/"+name) }
 
-// findOrAssignNumber returns the number of a name and assigns one to a new name. Names above the bound share one number, which
-// only makes the choice of a decode engine worse.
+// findOrAssignNumber returns the number of a name. A new name gets the next number, or maxTopologyNames if all are
+// taken. Names that share a number only make the choice of a decode engine worse.
 func findOrAssignNumber(numbers map[string]uint16, name string) uint16 {
 	number, isKnown := numbers[name]
 	if isKnown {
