--- a/internal/openaiserver/client_test.go
+++ b/internal/openaiserver/client_test.go
@@ -13,7 +13,6 @@
 	"martenlock/internal/invariant"
 )
 
-// Paths of the API.
 const (
 	chatPath       = "/v1/chat/completions"
 	embeddingsPath = "/v1/embeddings"
@@ -22,35 +21,36 @@
 
 // request is a client's request to the router.
 type request struct {
-	ctx      context.Context // nil for one that is never cancelled
+	ctx      context.Context // nil if the request is never cancelled
 	path     string          // "" for chatPath
 	class    string          // "" for "ask"
 	session  string
 	tenant   string
-	deadline time.Duration // of the header field; 0 for none
-	body     string        // "" for that of a chat completion with the fields below
+	deadline time.Duration // value of X-Request-Deadline-Ms; 0 to omit the field
+	body     string        // "" for a chat completion request with the values below
 
 	stream    bool
 	maxTokens int // at least 1
 	prompt    string
 }
 
-// deadlines are the deadlines of the demo's classes.
+// deadlines holds the deadlines of the demo's classes.
 var deadlines = map[string]time.Duration{"ask": 5 * time.Second, "job": 6 * time.Second, "note": 6 * time.Second, "search": 3 * time.Second}
 
-// effects are the effects of the demo's classes on a repeated execution; other classes are idempotent.
+// effects says for each class of the demo what a repeated execution does. Classes that are not listed are idempotent.
 var effects = map[string]invariant.Effect{"job": invariant.IdempotentWithKey, "note": invariant.NotIdempotent}
 
-// response is what a client has received.
+// response is what a client received in response to a request.
 type response struct {
 	status  int
 	header  http.Header
 	body    string
-	err     error // the body is incomplete, or there was no response at all
+	err     error // set if the body is incomplete or there was no response at all
 	elapsed time.Duration
 }
 
-// send sends a request to the router, records what the client observes, and returns the response.
+// send sends a request to the router, records what the client observes and returns the response. If the request can't
+// be sent or the client cancels it, the response has an error.
 func (h *harness) send(r request) response {
 	if r.class == "" {
 		r.class = "ask"
@@ -89,7 +89,7 @@
 	return received
 }
 
-// newHTTPRequest returns the request on the wire.
+// newHTTPRequest returns the HTTP request for r. The client's own id for it is in X-Client-Request-Id.
 func (h *harness) newHTTPRequest(r request, id string) (*http.Request, error) {
 	if r.path == "" {
 		r.path = chatPath
@@ -121,7 +121,7 @@
 	return h.send(request{path: embeddingsPath, class: "search", body: body})
 }
 
-// result returns the result that the response stands for.
+// result classifies the response for the recording.
 func (r response) result(isStream bool) invariant.Result {
 	switch {
 	case r.served():
@@ -134,7 +134,7 @@
 	return invariant.Malformed
 }
 
-// served reports whether the response is a complete answer.
+// served reports whether the response is a complete, successful answer.
 func (r response) served() bool {
 	return r.status == http.StatusOK && r.err == nil && (json.Valid([]byte(r.body)) || strings.HasSuffix(r.body, "data: [DONE]\n\n"))
 }
@@ -159,7 +159,6 @@
 	return fmt.Sprintf("%d %v %.300q after %v", r.status, r.err, r.body, r.elapsed)
 }
 
-// dial connects to the router.
 func (h *harness) dial() net.Conn {
 	h.t.Helper()
 	conn, err := net.Dial("tcp", h.address())
@@ -169,11 +168,11 @@
 	return conn
 }
 
-// inputList returns a JSON list of n texts of different lengths.
-func inputList(n int, text string) string {
+// inputList returns a JSON list of n texts of different lengths that start with prefix.
+func inputList(n int, prefix string) string {
 	var list []string
 	for i := range n {
-		list = append(list, fmt.Sprintf("%q", fmt.Sprintf("%s %d ", text, i)+strings.Repeat("ice ", i%7)))
+		list = append(list, fmt.Sprintf("%q", fmt.Sprintf("%s %d ", prefix, i)+strings.Repeat("ice ", i%7)))
 	}
 	return "[" + strings.Join(list, ",") + "]"
 }
@@ -184,8 +183,8 @@
 	promptTokens int
 }
 
-// parseEmbeddings parses the answer to an embeddings request. It is empty if the indices are not in order, a vector is
-// missing or the usage is inconsistent.
+// parseEmbeddings parses the answer to an embeddings request. It returns an empty answer if the body is not valid JSON,
+// the indices are not in order, a vector is missing or the usage is inconsistent.
 func parseEmbeddings(body string) embeddingsAnswer {
 	var parsed struct {
 		Data []struct {
@@ -211,5 +210,4 @@
 	return answer
 }
 
-// sameVector reports whether two vectors are equal in each component.
 func sameVector(a, b []float64) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
--- a/internal/openaiserver/clientconn_test.go
+++ b/internal/openaiserver/clientconn_test.go
@@ -25,13 +25,14 @@
 	"martenlock/internal/serve"
 )
 
-// postEmbeddings returns an embeddings request on the wire. fields are additional header fields, each with its line end.
+// postEmbeddings returns an embeddings request in HTTP/1.1. fields holds additional header fields, each ending with CRLF.
 func postEmbeddings(fields, body string) string {
 	return fmt.Sprintf("POST /v1/embeddings HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", fields, len(body), body)
 }
 
-// TestHTTPRequestsGetTheirStatus writes valid and invalid requests to a client connection.
-func TestHTTPRequestsGetTheirStatus(t *testing.T) {
+// TestHTTPResponsesToValidAndInvalidRequests writes requests to client connections, and matches everything received
+// until the connection closes with a regular expression.
+func TestHTTPResponsesToValidAndInvalidRequests(t *testing.T) {
 	h := startHarness(t, embeddingSpecs(1), "[limits]\n", "[limits]\nbody = 5000\n")
 	body := `{"model":"demo-embed","input":"pipe"}`
 	for _, test := range []struct{ name, request, want string }{
@@ -57,14 +58,14 @@
 		got, err := io.ReadAll(conn)
 
 		if err != nil || !regexp.MustCompile("(?s)^HTTP/1.1 "+test.want).Match(got) {
-			t.Errorf("%s: got %q, %v; want %s", test.name, got, err, test.want)
+			t.Errorf("%s: got %q, error %v; want a match of %s", test.name, got, err, test.want)
 		}
 		conn.Close()
 	}
 }
 
-// TestPipelinedAnswersComeInOrderAndLargeBodiesAreRejected: a client that pipelines a hundred requests gets a hundred answers in order.
-// Bodies of 32 MB are rejected, whether their length is announced or not, and use no memory.
+// TestPipelinedAnswersComeInOrderAndLargeBodiesAreRejected: a client that pipelines 100 requests gets 100 answers in
+// order. A body of 32 MiB is rejected, with a Content-Length or chunked, and leaves nothing buffered.
 func TestPipelinedAnswersComeInOrderAndLargeBodiesAreRejected(t *testing.T) {
 	h := startHarness(t, embeddingAndRerankSpecs(2))
 	const count = 100
@@ -88,44 +89,45 @@
 	}
 	buffered := h.stats().BufferedBytes
 	if buffered > 0 {
-		t.Errorf("%d bytes buffered", buffered)
+		t.Errorf("%d bytes still buffered, want 0", buffered)
 	}
 }
 
-// expectDimensions reads the next response and fails the test unless it has one embedding with so many dimensions.
+// expectDimensions reads the next response. It fails the test unless the response has one embedding with the given
+// number of dimensions.
 func expectDimensions(t *testing.T, reader *bufio.Reader, dimensions int) {
 	t.Helper()
 	httpResponse, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		t.Fatalf("response %d: %v", dimensions, err)
+		t.Fatalf("response with %d dimensions was not received: %v", dimensions, err)
 	}
 	var parsed struct {
 		Data []struct{ Embedding []float64 }
 	}
 	err = json.NewDecoder(httpResponse.Body).Decode(&parsed)
 	if err != nil || len(parsed.Data) != 1 || len(parsed.Data[0].Embedding) != dimensions {
-		t.Fatalf("response %d: %d, %v, %v", dimensions, httpResponse.StatusCode, parsed, err)
+		t.Fatalf("status %d, %v, error %v; want one embedding with %d dimensions", httpResponse.StatusCode, parsed, err, dimensions)
 	}
 	_, _ = io.Copy(io.Discard, httpResponse.Body)
 }
 
-// expectTooLarge sends the start of a request and fails the test unless it is answered with 413.
-func (h *harness) expectTooLarge(start string) {
+// expectTooLarge sends the start of a request. It fails the test unless the response has status 413.
+func (h *harness) expectTooLarge(requestStart string) {
 	h.t.Helper()
 	conn := h.dial()
 	defer conn.Close()
-	_, _ = io.WriteString(conn, start)
+	_, _ = io.WriteString(conn, requestStart)
 	httpResponse, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || httpResponse.StatusCode != http.StatusRequestEntityTooLarge {
-		h.t.Errorf("%q: %v, %v", start, httpResponse, err)
+		h.t.Errorf("%q: response %v, error %v; want status 413", requestStart, httpResponse, err)
 	}
 }
 
-// TestSlowClientPausesTheEngine: a client that reads nothing pauses the engine's stream. What the router buffers of it
-// stays bounded, and finally the connection is closed.
+// TestSlowClientPausesTheEngine: if a client reads nothing, the router pauses the engine's stream. The router buffers a
+// limited part of the stream and closes the connection after client_stall.
 func TestSlowClientPausesTheEngine(t *testing.T) {
 	specs := prefillDecodeSpecs(1, 1)
-	specs[1].TokenInterval, specs[1].AnswerTokens = 0, 400_000 // some 80 MB
+	specs[1].TokenInterval, specs[1].AnswerTokens = 0, 400_000 // a stream of about 80 MB
 	h := startHarness(t, specs, "[limits]\n", "[limits]\nclient_stall = 1s\n", "memory_tokens = 60000", "memory_tokens = 600000")
 	conn := h.dial()
 	defer conn.Close()
@@ -140,13 +142,13 @@
 		return err == nil && stats.Canceled == 1 && stats.OpenRequests == 0
 	})
 	if maxUnsent < 64<<10 || maxUnsent > 512<<10 {
-		t.Errorf("buffered %d bytes: below the low or far above the high-water mark", maxUnsent)
+		t.Errorf("the router buffered up to %d bytes, want 64 KiB to 512 KiB", maxUnsent)
 	}
 	h.waitUntilIdle()
 }
 
-// TestSlowRequestAndIdleConnectionAreClosed: a request that is not received in time is answered with 408, and idle
-// connections are closed.
+// TestSlowRequestAndIdleConnectionAreClosed: a request that is not received in time gets status 408, and an idle
+// connection is closed without a response.
 func TestSlowRequestAndIdleConnectionAreClosed(t *testing.T) {
 	shortIdle := startHarness(t, prefillDecodeSpecs(1, 1), "[limits]\n", "[limits]\nidle = 150ms\n")
 	shortReceive := startHarness(t, prefillDecodeSpecs(1, 1), "[limits]\n", "[limits]\nreceive = 200ms\n")
@@ -166,14 +168,14 @@
 		got, _ := io.ReadAll(conn)
 
 		if !strings.HasPrefix(string(got), test.wantPrefix) || test.wantPrefix == "" && len(got) > 0 {
-			t.Errorf("%q: got %q", test.sent, got)
+			t.Errorf("sent %q: got %q, want prefix %q", test.sent, got, test.wantPrefix)
 		}
 		conn.Close()
 	}
 }
 
-// TestLongestIdleConnectionIsEvicted: if all connections are open, a new client is served at once. The connection that is
-// idle for longest is closed, and none with a request in progress.
+// TestLongestIdleConnectionIsEvicted: at max_connections, a new client is served at once because the longest idle
+// connection is closed. Connections with a request in progress stay open.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	h := startHarness(t, prefillDecodeSpecs(1, 1), "[router]\n", "[router]\nmax_connections = 20\n")
 	dial := func() net.Conn {
@@ -181,14 +183,14 @@
 		t.Cleanup(func() { conn.Close() })
 		return conn
 	}
-	isServed := func(conn net.Conn) error {
+	readOKResponse := func(conn net.Conn) error {
 		httpResponse, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err == nil && httpResponse.StatusCode != http.StatusOK {
 			err = fmt.Errorf("status %d", httpResponse.StatusCode)
 		}
 		return err
 	}
-	oldest := dial() // its request is half received
+	oldest := dial() // the router has received only the head of its request
 	fmt.Fprint(oldest, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 91\r\n\r\n")
 	h.waitUntil("the oldest is connected", func() bool { return h.stats().ClientConnections == 1 })
 	for range 18 {
@@ -199,31 +201,31 @@
 	for i := range 40 {
 		conn := dial()
 		fmt.Fprint(conn, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
-		err := isServed(conn)
+		err := readOKResponse(conn)
 		if err != nil {
-			t.Fatalf("client %d: %v", i, err)
+			t.Fatalf("new client %d was not served: %v", i, err)
 		}
 	}
 	fmt.Fprint(oldest, `{"model":"demo-chat","max_tokens":1,"messages":[{"role":"user","content":"a frozen pipe"}]}`)
 
-	err := isServed(oldest)
+	err := readOKResponse(oldest)
 	if err != nil {
-		t.Errorf("request in progress: %v", err)
+		t.Errorf("request in progress was not served: %v", err)
 	}
 	stats := h.stats()
 	if stats.IdleConnsEvicted != 40 || stats.ClientConnections > 20 {
-		t.Errorf("%d evicted, %d open", stats.IdleConnsEvicted, stats.ClientConnections)
+		t.Errorf("%d connections evicted, want 40; %d open, want at most 20", stats.IdleConnsEvicted, stats.ClientConnections)
 	}
 }
 
-// Environment of the process that holds idle connections.
+// Environment variables for the process that holds the idle connections.
 const (
 	idleAddressVariable = "MARTENLOCK_IDLE"
 	idleCountVariable   = "MARTENLOCK_IDLE_N"
 )
 
-// TestServesBesideTenThousandIdleConnections serves a request beside 10,000 idle connections. Another process holds
-// them, as one process lacks the descriptors for both ends.
+// TestServesBesideTenThousandIdleConnections: with 10,000 idle connections, which use at most 8 KiB each, a request is
+// served. The clients run in another process because the descriptors of one process don't suffice for both ends.
 func TestServesBesideTenThousandIdleConnections(t *testing.T) {
 	address := os.Getenv(idleAddressVariable)
 	if address != "" {
@@ -249,21 +251,21 @@
 
 	t.Logf("%d idle connections, %d bytes each", count, bytesPerConnection)
 	if bytesPerConnection > 8<<10 {
-		t.Errorf("%d bytes for an idle connection", bytesPerConnection)
+		t.Errorf("an idle connection uses %d bytes, want at most 8 KiB", bytesPerConnection)
 	}
 	received := h.send(request{stream: true})
 	if !received.served() {
-		t.Error(received)
+		t.Errorf("request was not served: %v", received)
 	}
 	holderStdin.Close()
 	err = holder.Wait()
 	if err != nil {
-		t.Error(err)
+		t.Errorf("process with the idle connections: %v", err)
 	}
 	h.waitUntil("the idle connections are closed", func() bool { return h.stats().ClientConnections < 10 })
 }
 
-// memoryInUse returns the bytes of heap and stacks in use after a collection.
+// memoryInUse returns the size of heap and stacks in bytes after a garbage collection.
 func memoryInUse() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -271,8 +273,8 @@
 	return int64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// raiseIdleConnectionLimit raises the descriptor limit and returns the number of idle connections: 10,000, or what the
-// limit allows.
+// raiseIdleConnectionLimit raises the descriptor limit of this process. It returns the number of idle connections: 10,000
+// or, if lower, the limit minus 500 descriptors for other use.
 func raiseIdleConnectionLimit() int {
 	var limit unix.Rlimit
 	_ = unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
@@ -281,7 +283,7 @@
 	return int(min(limit.Max-500, 10_000))
 }
 
-// holdIdleConnections holds connections until standard input ends.
+// holdIdleConnections opens the configured number of connections and keeps them open until standard input ends.
 func holdIdleConnections(t *testing.T, address string) {
 	t.Helper()
 	raiseIdleConnectionLimit()
@@ -299,9 +301,9 @@
 	_, _ = bufio.NewReader(os.Stdin).ReadString('\n')
 }
 
-// TestAnswerThatEndsWithItsConnectionIsNotCutShort: an engine's answer that ends with its connection reaches a client
-// completely, though the client reads only after the engine has closed.
-func TestAnswerThatEndsWithItsConnectionIsNotCutShort(t *testing.T) {
+// TestAnswerDelimitedByConnectionCloseIsComplete: the end of the engine's connection marks the end of its answer. The
+// client gets the complete answer even if it starts to read after the engine has closed the connection.
+func TestAnswerDelimitedByConnectionCloseIsComplete(t *testing.T) {
 	engine := startClosingEngine(t)
 	dir := t.TempDir()
 	configPath := filepath.Join(dir, "m.ini")
@@ -326,12 +328,12 @@
 
 	engine.mustEnd.Store(true)
 	sent := <-engine.sentEvents
-	time.Sleep(50 * ms) // until the router has received the end; correct code passes without the pause
+	time.Sleep(50 * ms) // lets the router receive the end; too short a pause can only hide a fault
 	body, err := io.ReadAll(httpResponse.Body)
 
 	received := strings.Count(string(body), "forty")
 	if err != nil || received != sent || !strings.HasSuffix(string(body), "data: [DONE]\n\n") {
-		t.Errorf("%d of %d events, %v", received, sent, err)
+		t.Errorf("received %d of %d events, error %v; want all events and [DONE]", received, sent, err)
 	}
 	httpResponse.Body.Close()
 	err = service.Stop()
@@ -340,14 +342,14 @@
 	}
 }
 
-// closingEngine streams an answer until mustEnd is set, and closes the connection after it.
+// closingEngine streams an answer until mustEnd is set. It then ends the answer by closing the connection.
 type closingEngine struct {
 	*enginetest.Engine
 	mustEnd    atomic.Bool
-	sentEvents chan int // receives the number of events sent
+	sentEvents chan int // receives the number of events that were sent
 }
 
-// startClosingEngine starts a closingEngine. It ends with the test.
+// startClosingEngine starts a closingEngine, which is stopped when the test ends.
 func startClosingEngine(t *testing.T) *closingEngine {
 	t.Helper()
 	engine := &closingEngine{sentEvents: make(chan int, 1)}
@@ -355,7 +357,7 @@
 	return engine
 }
 
-// stream answers a request for inference, and no health check.
+// stream answers inference requests. It does not answer health checks.
 func (e *closingEngine) stream(r *enginetest.Request) (keepOpen bool) {
 	if r.Method != http.MethodPost {
 		r.AwaitClose()
--- a/internal/openaiserver/drain_test.go
+++ b/internal/openaiserver/drain_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestDrainingEngineGetsNoRequestAfterItsGracePeriod drains and replaces each engine under load. The replacements, in slow
-// start, take over without overload. The harness checks both.
+// TestDrainingEngineGetsNoRequestAfterItsGracePeriod drains and replaces each engine under load. The harness checks that
+// a draining engine gets no attempts after its grace period, and that slow start keeps the replacements from overload.
 func TestDrainingEngineGetsNoRequestAfterItsGracePeriod(t *testing.T) {
 	specs := prefillDecodeSpecs(2, 2)
 	indexByName := map[string]int{}
@@ -40,18 +40,18 @@
 	h.waitUntil("requests are served by the replacements alone", func() bool { return load.served.Load() > servedBefore+20 })
 	load.stop()
 	if h.engine("d1-next").Stats().Served == 0 {
-		t.Error("a replacement got no request")
+		t.Error("replacement d1-next served no request")
 	}
 }
 
-// load is a number of clients that send requests of all classes, one after another.
+// load is a group of clients. Each sends requests of one class, one after another.
 type load struct {
 	served  atomic.Int64
 	stopped chan struct{}
 	clients sync.WaitGroup
 }
 
-// startLoad starts clients.
+// startLoad starts the given number of clients. Their classes alternate.
 func startLoad(h *harness, clients int) *load {
 	l := &load{stopped: make(chan struct{})}
 	for i := range clients {
--- a/internal/openaiserver/faults_test.go
+++ b/internal/openaiserver/faults_test.go
@@ -9,17 +9,18 @@
 	"martenlock/internal/fakeengine"
 )
 
-// shortObjectives are edits of the settings for tests in which engines fail: requests fail or are rejected early.
-var shortObjectives = []string{
+// shortObjectiveEdits shortens time-outs and objectives, so that requests to failing engines fail or are rejected early.
+// It holds pairs of old and new text for startHarness.
+var shortObjectiveEdits = []string{
 	"engine_stall = 2s", "engine_stall = 300ms",
 	"[class ask]\naim = 1s", "[class ask]\naim = 300ms",
 	"[class note]\naim = 1500ms\ndeadline = 6s", "[class note]\naim = 300ms\nwhole_aim = 900ms\ndeadline = 6s",
 	"aim_per_1000 = 50ms\n", "aim_per_1000 = 50ms\nwhole_aim = 900ms\n",
 }
 
-// TestFiveRulesHoldUnderEachFault sends requests while engines have a fault. The harness checks the five rules from
-// what was observed on the sockets.
-func TestFiveRulesHoldUnderEachFault(t *testing.T) {
+// TestInvariantsHoldUnderEachFault sends requests while engines have a fault. The test checks each response, and the
+// harness checks the invariants of package invariant.
+func TestInvariantsHoldUnderEachFault(t *testing.T) {
 	type faults = map[string]fakeengine.Fault
 	type expectation struct {
 		class  string
@@ -30,7 +31,7 @@
 	for _, test := range []struct {
 		name         string
 		faults       faults
-		killed       string // target whose engines are killed; "" for none
+		killTarget   string // argument of FindEngines for the engines to kill; "" for none
 		expectations []expectation
 	}{
 		{"one prefill engine hangs", faults{"p1": {Hang: true}}, "", []expectation{{"ask", true, served}, {"note", true, served}}},
@@ -52,10 +53,10 @@
 		{"all engines were killed but are listed", nil, "zone:a", []expectation{{"ask", true, rejected}, {"note", false, rejected}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			h := startHarness(t, prefillDecodeSpecs(2, 2), shortObjectives...)
+			h := startHarness(t, prefillDecodeSpecs(2, 2), shortObjectiveEdits...)
 			h.setFaults(test.faults)
-			if test.killed != "" {
-				for _, engine := range h.FindEngines(test.killed) {
+			if test.killTarget != "" {
+				for _, engine := range h.FindEngines(test.killTarget) {
 					engine.Kill()
 				}
 			}
@@ -63,7 +64,7 @@
 			for i, expected := range test.expectations {
 				received := h.send(request{class: expected.class, stream: expected.stream, maxTokens: 5, deadline: 2 * time.Second})
 				if !expected.holds(received) {
-					t.Errorf("request %d, class %s, stream %v: %v", i, expected.class, expected.stream, received)
+					t.Errorf("request %d, class %s, stream %v: unexpected response %v", i, expected.class, expected.stream, received)
 				}
 			}
 			h.clearFaults(test.faults)
@@ -71,9 +72,9 @@
 	}
 }
 
-// TestAnswerBeforeADeadlineBetweenStages: the prefill ends when hardly any time is left, or no decode engine accepts the
-// request before the deadline. The client has its answer by then, and the KV state is released.
-func TestAnswerBeforeADeadlineBetweenStages(t *testing.T) {
+// TestDeadlineBetweenPrefillAndDecodeIsKept: the prefill ends shortly before the deadline, or no decode engine accepts
+// the request in time. The client is answered before the deadline, and the KV state is released.
+func TestDeadlineBetweenPrefillAndDecodeIsKept(t *testing.T) {
 	h := startHarness(t, prefillDecodeSpecs(1, 1), "aim = 1s", "aim = 900ms")
 	h.engine("d1").SetFault(fakeengine.Fault{RejectAll: true})
 	for _, prefillDelay := range []time.Duration{0, 200 * ms, 280 * ms, 340 * ms, 400 * ms} {
@@ -82,14 +83,14 @@
 		received := h.send(request{deadline: 400 * ms, stream: true})
 
 		if !received.rejected() || received.elapsed > 400*ms {
-			t.Errorf("prefill takes %v: %v", prefillDelay, received)
+			t.Errorf("prefill delayed by %v: %v; want a rejection within 400ms", prefillDelay, received)
 		}
 		h.waitUntilIdle()
 	}
 }
 
-// TestNotIdempotentIsNeverExecutedTwice interrupts the answers to many concurrent requests that are not idempotent, at
-// different points. The harness counts executions.
+// TestNotIdempotentIsNeverExecutedTwice sends concurrent requests that are not idempotent to engines that fail before or
+// during their answers. The harness checks that no request is executed twice.
 func TestNotIdempotentIsNeverExecutedTwice(t *testing.T) {
 	h := startHarness(t, prefillDecodeSpecs(2, 3))
 	h.setFaults(map[string]fakeengine.Fault{"d1": {ResetAfter: -1}, "d2": {ErrorRate: 0.5}, "d3": {ResetAfter: 2}})
@@ -111,15 +112,15 @@
 	}
 }
 
-// TestCrashingInputTakesNoMoreEnginesThanAttempts: an input that crashes each engine that executes it crashes no more
-// engines than its class has attempts. Its client is told not to retry.
-func TestCrashingInputTakesNoMoreEnginesThanAttempts(t *testing.T) {
+// TestCrashingInputCrashesAtMostMaxAttemptsEngines: if an input crashes every engine that executes it, the number of
+// crashed engines is limited by max_attempts of its class. The client is told not to retry.
+func TestCrashingInputCrashesAtMostMaxAttemptsEngines(t *testing.T) {
 	h := startHarness(t, embeddingAndRerankSpecs(5), "[class search]\n", "[class search]\nmax_attempts = 2\n")
 
 	received := h.sendEmbeddings(`{"model":"demo-embed","input":["good","` + fakeengine.CrashMarker + `"]}`)
 
 	alive := h.countAliveEmbeddingEngines()
 	if !received.failed() || alive != 3 {
-		t.Errorf("%d of 5 engines left, %v", alive, received)
+		t.Errorf("%d of 5 engines are alive, want 3; response %v, want a failure", alive, received)
 	}
 }
--- a/internal/openaiserver/harness_test.go
+++ b/internal/openaiserver/harness_test.go
@@ -21,8 +21,8 @@
 
 const ms = time.Millisecond
 
-// harness is a router with fake engines of its own, and a client that records what it observes. When the test ends, the
-// recording is checked against the five rules.
+// harness runs a router with its own fake engines, and a client that records what it observes. When the test ends, the
+// harness checks the recording with package invariant.
 type harness struct {
 	*demo.Cluster
 	t            *testing.T
@@ -32,7 +32,8 @@
 	requestCount atomic.Int64
 }
 
-// startHarness starts a router and its engines. edits are pairs of old and new text in the demo's settings.
+// startHarness starts a router and its engines, which are stopped when the test ends. edits holds pairs of old and new
+// text for editedSettings.
 func startHarness(t *testing.T, specs []fakeengine.Spec, edits ...string) *harness {
 	t.Helper()
 	h := &harness{t: t, recording: invariant.NewRecording(1 << 20), log: &logBuffer{}, client: http.DefaultClient}
@@ -44,7 +45,7 @@
 	}
 	t.Cleanup(func() {
 		h.waitUntilIdle()
-		h.checkRules()
+		h.checkInvariants()
 		err := h.Close()
 		if err != nil {
 			t.Error(err)
@@ -53,27 +54,29 @@
 	return h
 }
 
-// editedSettings returns the demo's settings with edits, pairs of old and new text.
+// editedSettings returns the demo's settings after replacing one occurrence of each old text in edits, which holds pairs
+// of old and new text. It fails the test if an old text is missing.
 func editedSettings(t *testing.T, edits []string) string {
 	t.Helper()
 	settings := fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "info")
 	for i := 0; i < len(edits); i += 2 {
 		if !strings.Contains(settings, edits[i]) {
-			t.Fatalf("no %q in the settings", edits[i])
+			t.Fatalf("the demo's settings don't contain %q", edits[i])
 		}
 		settings = strings.Replace(settings, edits[i], edits[i+1], 1)
 	}
 	return settings
 }
 
-// checkRules fails the test if the recording breaks one of the five rules.
-func (h *harness) checkRules() {
+// checkInvariants fails the test if the recording violates an invariant or has lost events. It accepts a recording
+// without requests.
+func (h *harness) checkInvariants() {
 	h.t.Helper()
 	rules := demo.Rules
-	rules.Skew = 200 * ms // a loaded machine
+	rules.Skew = 200 * ms // allows for scheduling delays on a loaded machine
 	report := invariant.Check(h.recording, rules, h.Clock())
 	if !report.Kept() && report.Verdicts[0].Checked > 0 {
-		h.t.Errorf("a rule was broken:\n%s", report)
+		h.t.Errorf("an invariant was violated or events were lost:\n%s", report)
 	}
 }
 
@@ -83,14 +86,14 @@
 	deadline := time.Now().Add(20 * time.Second)
 	for !holds() {
 		if time.Now().After(deadline) {
-			h.t.Fatalf("timed out: %s", condition)
+			h.t.Fatalf("timed out after 20s waiting until: %s", condition)
 		}
 		time.Sleep(2 * ms)
 	}
 }
 
-// waitUntilIdle waits until the router has no open request and nothing buffered, and the engines run nothing and retain
-// no KV state. It returns at once if the router has stopped.
+// waitUntilIdle waits until the router has no open requests, buffered bytes and pending KV releases, and the engines
+// have no requests and retain no KV state. It returns without an error if the router has stopped.
 func (h *harness) waitUntilIdle() {
 	h.t.Helper()
 	h.waitUntil("router and engines are idle", func() bool {
@@ -115,21 +118,21 @@
 	h.waitUntilIdle()
 	elapsed := time.Since(startedAt)
 	if elapsed > time.Second {
-		h.t.Errorf("idle after %v", elapsed)
+		h.t.Errorf("router and engines were idle after %v, want at most 1s", elapsed)
 	}
 }
 
-// engine returns the engine of a name.
+// engine returns the engine with the given name. It panics if there is none.
 func (h *harness) engine(name string) *fakeengine.Engine { return h.FindEngines(name)[0] }
 
-// setFaults sets the faults of engines by name.
+// setFaults sets the faults of engines. The keys are the engines' names.
 func (h *harness) setFaults(faults map[string]fakeengine.Fault) {
 	for name, fault := range faults {
 		h.engine(name).SetFault(fault)
 	}
 }
 
-// clearFaults ends the faults of engines by name.
+// clearFaults clears the faults of the engines that are the keys of faults.
 func (h *harness) clearFaults(faults map[string]fakeengine.Fault) {
 	for name := range faults {
 		h.engine(name).SetFault(fakeengine.Fault{})
@@ -143,7 +146,7 @@
 	}
 }
 
-// setState sets an engine's state in the endpoint list.
+// setState sets the state of the named engine in the endpoint list.
 func (h *harness) setState(state demo.EndpointState, engine string) {
 	h.t.Helper()
 	err := h.SetState(state, h.engine(engine))
@@ -152,7 +155,6 @@
 	}
 }
 
-// stats returns the router's statistics.
 func (h *harness) stats() openaiserver.Stats {
 	h.t.Helper()
 	stats, err := h.Service.Router.Stats()
@@ -162,10 +164,9 @@
 	return stats
 }
 
-// address returns the router's address.
 func (h *harness) address() string { return h.Service.Router.Addr() }
 
-// logBuffer collects a log. It may be read while it is written.
+// logBuffer collects the router's log. It may be read and written concurrently.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -177,7 +178,6 @@
 	return l.text.Write(line)
 }
 
-// contains reports whether the log contains a text.
 func (l *logBuffer) contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -231,7 +231,6 @@
 	return specs
 }
 
-// writeFile writes a file.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	err := os.WriteFile(path, []byte(text), 0o644)
@@ -240,7 +239,6 @@
 	}
 }
 
-// readFile returns the content of a file.
 func readFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -258,7 +256,7 @@
 	return specs
 }
 
-// countAliveEmbeddingEngines returns how many engines of pool "embeddings" accept connections.
+// countAliveEmbeddingEngines returns the number of engines of pool "embeddings" that accept connections.
 func (h *harness) countAliveEmbeddingEngines() (alive int) {
 	for _, engine := range h.FindEngines("pool:embeddings") {
 		conn, err := net.Dial("tcp", engine.Addr().String())
--- a/internal/openaiserver/kvrelease_test.go
+++ b/internal/openaiserver/kvrelease_test.go
@@ -7,8 +7,8 @@
 	"martenlock/internal/fakeengine"
 )
 
-// TestKVReleaseIsRetriedUntilTheEngineConfirms: a prefill engine that hangs when it is to release KV state releases it
-// soon after it has recovered. The fake engine's own retention limit is 5 s.
+// TestKVReleaseIsRetriedUntilTheEngineConfirms: if a prefill engine hangs while KV state is to be released, the release
+// is retried and succeeds soon after the engine has recovered. The engine's own retention limit of 5 s comes later.
 func TestKVReleaseIsRetriedUntilTheEngineConfirms(t *testing.T) {
 	h := startHarness(t, prefillDecodeSpecs(1, 1), "aim = 1s", "aim = 400ms")
 	prefill := h.engine("p1")
@@ -19,9 +19,9 @@
 	prefill.SetFault(fakeengine.Fault{Hang: true})
 	received := <-responses
 	if !received.rejected() {
-		t.Error(received)
+		t.Errorf("request was not rejected: %v", received)
 	}
-	time.Sleep(700 * ms) // some release calls fail meanwhile; correct code passes without the pause
+	time.Sleep(700 * ms) // lets some release calls fail; too short a pause can only hide a fault
 
 	prefill.SetFault(fakeengine.Fault{})
 	recoveredAt := time.Now()
@@ -29,6 +29,6 @@
 
 	elapsed := time.Since(recoveredAt)
 	if elapsed > 2*time.Second {
-		t.Errorf("released after %v", elapsed)
+		t.Errorf("KV state was released %v after the recovery, want at most 2s", elapsed)
 	}
 }
--- a/internal/openaiserver/service_test.go
+++ b/internal/openaiserver/service_test.go
@@ -17,10 +17,11 @@
 	"martenlock/internal/invariant"
 )
 
-// This file tests what an operator does to a running server: endpoint lists, reload, shutdown, log and limits.
+// This file tests the operation of a running server: endpoint lists, reload, shutdown, log and limits.
 
-// TestInvalidListOrConfigurationKeepsThePreviousOne: an invalid endpoint list or configuration is rejected with its
-// reason, and the previous one stays in force. A valid one is applied to new requests; those in progress continue.
+// TestInvalidListOrConfigurationKeepsThePreviousOne: an invalid endpoint list or configuration is rejected with a
+// reason, and the previous one stays in force. A valid configuration applies to new requests. Requests in progress
+// complete.
 func TestInvalidListOrConfigurationKeepsThePreviousOne(t *testing.T) {
 	h := startHarness(t, prefillDecodeSpecs(1, 1))
 	listPath, configPath := filepath.Join(h.Dir(), "nodes.ini"), filepath.Join(h.Dir(), "martenlock.ini")
@@ -30,7 +31,7 @@
 	h.waitUntil("the reason is logged", func() bool { return h.log.contains("there is no section [kind toaster]") })
 	received := h.send(request{})
 	if !received.served() {
-		t.Errorf("after an invalid list: %v", received)
+		t.Errorf("request after an invalid list was not served: %v", received)
 	}
 
 	writeFile(t, listPath, strings.ReplaceAll(validList, "state = ready", "state = gone"))
@@ -44,7 +45,7 @@
 	writeFile(t, configPath, strings.Replace(validConfig, "aim = 1s", "aim = soon", 1))
 	err := h.Service.Reload()
 	if err == nil || !strings.Contains(err.Error(), `[class ask] aim: invalid duration "soon"`) {
-		t.Errorf("invalid configuration: %v", err)
+		t.Errorf("reload of an invalid configuration: error %v", err)
 	}
 
 	h.engine("p1").SetFault(fakeengine.Fault{PrefillDelay: 300 * ms})
@@ -58,24 +59,24 @@
 	}
 	received = h.send(request{})
 	if received.status != http.StatusNotFound {
-		t.Errorf("the previous model is still served: %v", received)
+		t.Errorf("previous model after the reload: %v, want status 404", received)
 	}
 	received = <-inProgress
 	if !received.served() {
-		t.Errorf("request in progress at the reload: %v", received)
+		t.Errorf("request in progress at the reload was not served: %v", received)
 	}
 }
 
-// TestBoundsOfOpenRequestsBufferAndShutdown: above [limits] held, requests are rejected at once. An answer longer than
-// hold_back is streamed. Streams that outlast the shutdown limit are aborted.
-func TestBoundsOfOpenRequestsBufferAndShutdown(t *testing.T) {
+// TestLimitsOnOpenRequestsBufferingAndShutdown: a request above the limit "held" is rejected at once, an answer longer
+// than "hold_back" is streamed, and a stream that is still open after the time-out "shutdown" is aborted.
+func TestLimitsOnOpenRequestsBufferingAndShutdown(t *testing.T) {
 	specs := prefillDecodeSpecs(1, 1)
 	specs[1].TokenInterval, specs[1].AnswerTokens = 20*ms, 10_000
 	h := startHarness(t, specs, "[limits]\n", "[limits]\nheld = 1\nhold_back = 10\nshutdown = 300ms\n")
 
 	received := h.send(request{maxTokens: 3})
 	if !received.served() || !strings.Contains(received.body, "snow on the") || received.header.Get("Content-Length") == "" {
-		t.Errorf("answer longer than hold_back: %v", received)
+		t.Errorf("answer longer than hold_back is incomplete or has no Content-Length: %v", received)
 	}
 
 	streamed := make(chan response)
@@ -83,18 +84,18 @@
 	h.waitUntil("a request is streamed", func() bool { return h.engine("d1").Stats().Running == 1 })
 	received = h.send(request{})
 	if received.status != http.StatusServiceUnavailable || !received.rejected() {
-		t.Errorf("request above held: %v", received)
+		t.Errorf("request above held: %v, want a rejection with status 503", received)
 	}
 
 	h.Service.Router.Shutdown()
 	received = <-streamed
 	if !received.aborted() {
-		t.Errorf("stream at the shutdown limit: %v", received)
+		t.Errorf("stream at the shutdown time-out was not aborted: %v", received)
 	}
 }
 
-// TestShutdownAnswersAcceptedRequests: at a shutdown accepted requests are answered, idle connections and the port are
-// closed.
+// TestShutdownAnswersAcceptedRequests: after a shutdown has started, accepted requests are still answered, and idle
+// connections and the port are closed.
 func TestShutdownAnswersAcceptedRequests(t *testing.T) {
 	h := startHarness(t, prefillDecodeSpecs(1, 1))
 	h.engine("p1").SetFault(fakeengine.Fault{PrefillDelay: 300 * ms})
@@ -109,12 +110,12 @@
 
 	_, err := idle.Read(make([]byte, 1))
 	if !errors.Is(err, io.EOF) {
-		t.Errorf("idle connection: %v", err)
+		t.Errorf("read from an idle connection: %v, want EOF", err)
 	}
 	for range cap(accepted) {
 		received := <-accepted
 		if !received.served() {
-			t.Errorf("accepted before the shutdown: %v", received)
+			t.Errorf("request accepted before the shutdown was not served: %v", received)
 		}
 	}
 	h.waitUntil("the port is closed", func() bool {
@@ -126,7 +127,7 @@
 	})
 }
 
-// TestSlowLogDelaysNoRequest: requests are served though the log's destination blocks. Log lines are dropped and counted.
+// TestSlowLogDelaysNoRequest: while the log's destination blocks, requests are served. Log lines are dropped and counted.
 func TestSlowLogDelaysNoRequest(t *testing.T) {
 	unblocked := make(chan struct{})
 	h := &harness{t: t, recording: invariant.NewRecording(1 << 16), client: http.DefaultClient}
@@ -164,7 +165,7 @@
 	}
 }
 
-// blockedWriter blocks until its channel is closed and then discards what is written.
+// blockedWriter blocks writes until its channel is closed, and discards what is written.
 type blockedWriter struct{ unblocked <-chan struct{} }
 
 func (w blockedWriter) Write(line []byte) (int, error) {
@@ -172,8 +173,8 @@
 	return len(line), nil
 }
 
-// TestLocalLimitsEjectNoEngine: a limit of this process is no fault of an engine. With one connection to an engine, all
-// requests are answered and the engine stays in use.
+// TestLocalLimitsEjectNoEngine: if the router may open only one connection to an engine, concurrent requests are served
+// or rejected. The engine is not ejected because the limit is the router's own.
 func TestLocalLimitsEjectNoEngine(t *testing.T) {
 	h := startHarness(t, embeddingSpecs(1), "[limits]\n", "[limits]\nengine_connections = 1\n")
 
@@ -185,13 +186,13 @@
 			if received.served() {
 				served.Add(1)
 			} else if !received.rejected() {
-				t.Error(received)
+				t.Errorf("request was neither served nor rejected: %v", received)
 			}
 		})
 	}
 	clients.Wait()
 
-	time.Sleep(50 * ms) // for the log's lines; correct code passes without the pause
+	time.Sleep(50 * ms) // lets log lines arrive; too short a pause can only hide a fault
 	if served.Load() == 0 {
 		t.Error("no request was served")
 	}
