--- a/internal/openaiserver/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -107,9 +107,8 @@
 	a.discardBuffered()
 }
 
-// mayRetainKV reports whether the engine may retain KV state, now or later, for an attempt that ended with the given
-// result and is not recorded in exchange.kvHolders. This is so if a prefill engine may have received the request and
-// its response was not received.
+// mayRetainKV reports whether the engine may retain KV state, now or later, although its response was not received.
+// This is possible if a prefill may have reached the engine and then timed out, lost its connection or was cancelled.
 func (a *attempt) mayRetainKV(result control.Result) bool {
 	if a.role != control.RolePrefill || !a.isConnected {
 		return false
--- a/internal/openaiserver/attemptresponse.go
+++ b/internal/openaiserver/attemptresponse.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// finishPrefill ends an attempt on a prefill engine. It keeps kv_transfer_params, with which a decode engine fetches the
-// KV state. A response without them counts as a failure of the engine.
+// finishPrefill ends an attempt on a prefill engine. It stores the response's kv_transfer_params, which tell a decode
+// engine where to fetch the KV state. A response without them counts as a failure of the engine.
 func (a *attempt) finishPrefill() {
 	exchange := a.exchange
 	response, hasKVTransfer := openai.ParsePrefillResponse(a.buffered)
--- a/internal/openaiserver/clientconn.go
+++ b/internal/openaiserver/clientconn.go
@@ -21,21 +21,21 @@
 
 // incomingRequest holds what the server uses from the head of the current request.
 type incomingRequest struct {
-	isGetOrHead     bool // GET or HEAD
+	isGetOrHead     bool
 	path            string
 	api             openai.API
-	isAPICall       bool
+	isAPICall       bool // POST to a path of the API
 	class           string
 	session         string
 	tenant          string
-	timeBudget      time.Duration // how long the client waits; 0 if it does not say
-	forwardedFields []byte        // header fields that engines get
+	timeBudget      time.Duration // how long the client waits for the answer; 0 if unknown
+	forwardedFields []byte        // header fields for engines, each ending with CRLF
 }
 
 // HeadReceived implements httpserver.Handler. It rejects a request with an invalid deadline header before the body
 // arrives.
 func (c *clientConn) HeadReceived(head *http1.Head) {
-	rules := &c.server.config.Request
+	settings := &c.server.config.Request
 	request := &c.request
 	method := string(head.Method)
 	path, _, _ := bytes.Cut(head.Target, []byte{'?'})
@@ -43,10 +43,10 @@
 	request.path = string(path)
 	request.api, request.isAPICall = openai.APIByPath(request.path)
 	request.isAPICall = request.isAPICall && method == http.MethodPost
-	request.class = string(head.Get(rules.ClassHeader))
-	request.session = string(head.Get(rules.SessionHeader))
-	request.tenant = string(head.Get(rules.TenantHeader))
-	timeBudget, err := parseTimeBudget(head, rules.DeadlineHeader)
+	request.class = string(head.Get(settings.ClassHeader))
+	request.session = string(head.Get(settings.SessionHeader))
+	request.tenant = string(head.Get(settings.TenantHeader))
+	timeBudget, err := parseTimeBudget(head, settings.DeadlineHeader)
 	request.timeBudget = timeBudget
 	if err != nil {
 		c.conn.CloseAfterResponse()
@@ -54,7 +54,7 @@
 		return
 	}
 	request.forwardedFields = request.forwardedFields[:0]
-	for _, name := range rules.ForwardedFields {
+	for _, name := range settings.ForwardedFields {
 		value := head.Get(name)
 		if value != nil {
 			request.forwardedFields = http1.AppendField(request.forwardedFields, name, value)
--- a/internal/openaiserver/dispatch.go
+++ b/internal/openaiserver/dispatch.go
@@ -145,7 +145,8 @@
 	exchange.operation = operation
 }
 
-// newInferenceRequest returns the request with its prepared control.Request, except for the ID.
+// newInferenceRequest returns the inferenceRequest for a decoded API request. Its control.Request is complete except for
+// the ID.
 func (c *clientConn) newInferenceRequest(p *pool, call *openai.Request, class config.Class) *inferenceRequest {
 	s := c.server
 	correction := p.tokenEstimator.Correct(1)
--- a/internal/openaiserver/engine.go
+++ b/internal/openaiserver/engine.go
@@ -42,8 +42,8 @@
 	return e
 }
 
-// connClosed is called after a connection was closed. It logs the reason unless it is routine, and removes the engine
-// if this was the last reason to keep it.
+// connClosed is called after a connection was closed. It logs the reason unless the reason is routine, and removes the
+// engine if it is now unused.
 func (e *engine) connClosed(reason upstream.CloseReason) {
 	if !reason.IsRoutine() {
 		e.server.log.Debug().Str("endpoint", e.endpoint.Name).Stringer("reason", reason).Msg("engine connection closed")
--- a/internal/openaiserver/httpexchange.go
+++ b/internal/openaiserver/httpexchange.go
@@ -57,7 +57,7 @@
 func (e *httpExchange) abort(reason string) {
 	conn := &e.client.conn
 	e.complete(outcome.Failed)
-	if conn.Framing() != httpserver.Chunked { // without a Content-Length, a normal close would end a complete answer
+	if conn.Framing() != httpserver.Chunked { // a normal close would complete an answer without Content-Length
 		conn.Reset()
 		return
 	}
--- a/internal/openaiserver/topology.go
+++ b/internal/openaiserver/topology.go
@@ -20,7 +20,7 @@
 func (t *topology) cell(zone, name string) uint16 { return findOrAssignNumber(t.cells, zone+"/"+name) }
 
 // findOrAssignNumber returns the number of a name. A new name gets the next number, or maxTopologyNames if all are
-// taken. Names that share a number only make the choice of a decode engine worse.
+// taken. The only effect of a shared number is a worse choice of decode engines.
 func findOrAssignNumber(numbers map[string]uint16, name string) uint16 {
 	number, isKnown := numbers[name]
 	if isKnown {
