--- a/control/actions.go
+++ b/control/actions.go
@@ -2,23 +2,27 @@
 
 import "time"
 
-// Action is something that the caller has to do: a Forward, Reject, Fail, ReleaseKV, CancelAttempt, SetTimer,
-// HealthCheck, SubscribeEndpoints or Log.
+// Action is an output of Router.Handle that the caller has to carry out: a Forward, Reject, Fail, ReleaseKV,
+// CancelAttempt, SetTimer, HealthCheck, SubscribeEndpoints or Log.
 type Action interface{ action() }
 
-// Forward starts the next attempt of a request. A decode engine fetches the KV state that the request's
-// latest prefill left.
+// Forward starts the next attempt of a request. If the endpoint is a decode engine, it fetches the KV state
+// of the request's latest prefill.
 type Forward struct {
-	ID         RequestID
-	Endpoint   EndpointID
-	Timeout    time.Duration // the attempt is TimedOut if no prefill is done and no answer begun by then
-	SendWithin time.Duration // the attempt is ConnectFailed if not sent in full by then; 0 for Timeout alone
+	ID       RequestID
+	Endpoint EndpointID
+	// Timeout is the time after which the attempt ends with TimedOut if neither its prefill is done nor its
+	// answer has begun.
+	Timeout time.Duration
+	// SendWithin is the time after which the attempt ends with ConnectFailed if it is not sent in full. If it
+	// is 0, only Timeout applies.
+	SendWithin time.Duration
 }
 
-// Reject is the final answer to a request that its client may safely repeat.
+// Reject is the final answer to a request that the client may safely repeat.
 type Reject struct {
 	ID         RequestID
-	RetryAfter time.Duration // 0 for no advice
+	RetryAfter time.Duration // time after which the client may repeat the request; 0 for none
 	Reason     FinishReason
 }
 
@@ -28,71 +32,74 @@
 	Reason FinishReason
 }
 
-// FinishReason says why a request finishes without service. The zero value is none of the reasons.
+// FinishReason is the reason for a Reject or Fail. The zero value is not a valid reason.
 type FinishReason uint8
 
-// The reasons to finish a request without service.
+// The reasons for a Reject or Fail.
 const (
-	// FinishedMissingObjective means that the first token can't come in time.
+	// FinishedMissingObjective means that the first token can't be produced in time.
 	FinishedMissingObjective FinishReason = iota + 1 // misses_objective
 	// FinishedAtDeadline means that no time is left for a further attempt.
 	FinishedAtDeadline // deadline
 	// FinishedOutOfAttempts means that all permitted attempts were made.
 	FinishedOutOfAttempts // out_of_attempts
-	// FinishedNotRepeatable means that an attempt may have been executed and the class forbids a repeat.
+	// FinishedNotRepeatable means that the request may have been executed and its class forbids a repeat.
 	FinishedNotRepeatable // not_repeatable
-	// FinishedWithPrefillFull means that the prefill engines reject many requests.
+	// FinishedWithPrefillFull means that the prefill engines reject many attempts.
 	FinishedWithPrefillFull // prefill_full
 	// FinishedWithoutEndpoint means that no endpoint can take the next attempt.
 	FinishedWithoutEndpoint // no_endpoint
-	// FinishedForLostConnections means that every engine that got the request lost its connection.
+	// FinishedForLostConnections means that every permitted attempt lost its connection.
 	FinishedForLostConnections // lost_connections
 )
 
-// ReleaseKV releases every KV state that engines may retain for a request and that none of its attempts
-// waits for. A later Forward of the request to a prefill engine must wait until the release is confirmed,
-// since the release would take the new state too.
+// ReleaseKV releases all KV states that engines may retain for a request. With
+// Capabilities.ReleaseSparesAttempts, an engine keeps a state that an attempt waits for. A later Forward of
+// the request to a prefill engine must wait until the release is confirmed, since the release would otherwise
+// also take the new state.
 type ReleaseKV struct {
 	ID     RequestID
 	Reason ReleaseReason
 }
 
-// ReleaseReason says why a KV state is released. The zero value is none of the reasons.
+// ReleaseReason is the reason for a ReleaseKV. The zero value is not a valid reason.
 type ReleaseReason uint8
 
-// The reasons of a release.
+// The reasons for a ReleaseKV.
 const (
 	// ReleasedAtFinish means that the request finished before its answer began.
 	ReleasedAtFinish ReleaseReason = iota + 1 // request_finished
-	// ReleasedForLateOutcome means that an attempt ended after its request.
+	// ReleasedForLateOutcome means that an attempt ended when its request was no longer known.
 	ReleasedForLateOutcome // late_outcome
 	// ReleasedAsKVMissing means that a decode engine could not fetch the KV state.
 	ReleasedAsKVMissing // kv_missing
-	// ReleasedWithoutProof means that nothing proves that the attempt for it reached its engine.
+	// ReleasedWithoutProof means that the KV state nears its retention limit and nothing proves that the attempt
+	// that needs it has reached its engine.
 	ReleasedWithoutProof // arrival_not_proven
-	// ReleasedBeforeRetry means that an earlier prefill may have left it and the prompt is computed again.
+	// ReleasedBeforeRetry means that an earlier prefill may have left the KV state and the prompt is computed
+	// again.
 	ReleasedBeforeRetry // before_retry
 )
 
-// CancelAttempt ends an attempt before its answer begins. Its Outcome follows.
+// CancelAttempt ends an attempt whose answer has not begun. Its Outcome follows.
 type CancelAttempt struct {
 	ID      RequestID
 	Attempt AttemptNumber
 }
 
-// SetTimer asks for a Timer event after a delay.
+// SetTimer requests a Timer event with this Token after a delay.
 type SetTimer struct {
 	Token uint64
 	After time.Duration
 }
 
-// HealthCheck asks an engine whether it is alive, and for a load report. A HealthCheckResult follows.
+// HealthCheck requests a health check of an engine, with its load report. A HealthCheckResult follows.
 type HealthCheck struct{ Endpoint EndpointID }
 
-// SubscribeEndpoints asks for the endpoint list and its changes.
+// SubscribeEndpoints subscribes to the endpoint list and its changes.
 type SubscribeEndpoints struct{}
 
-// Log tells operators of a decision. The caller writes the line.
+// Log is a log entry for operators.
 type Log struct {
 	Kind     LogKind
 	Endpoint EndpointID
@@ -104,26 +111,26 @@
 
 // The messages of a Log.
 const (
-	// EndpointEjected means that the endpoint gets nothing but single attempts on probation.
+	// EndpointEjected means that the endpoint gets only single attempts on probation.
 	EndpointEjected LogKind = iota // endpoint ejected
 )
 
-// EjectionReason says why an endpoint was ejected.
+// EjectionReason is the reason why an endpoint was ejected.
 type EjectionReason uint8
 
-// The reasons of an ejection.
+// The reasons for an ejection.
 const (
-	// EjectedForErrors means that too many attempts failed.
+	// EjectedForErrors means that the engine answered too many attempts with an error.
 	EjectedForErrors EjectionReason = iota // errors
 	// EjectedForTimeouts means that too many attempts timed out.
 	EjectedForTimeouts // timeouts
 	// EjectedAsUnreachable means that connections failed or were lost.
 	EjectedAsUnreachable // unreachable
-	// EjectedAsSlow means that the endpoint is far slower than others of its role.
+	// EjectedAsSlow means that the endpoint is far slower than its peers.
 	EjectedAsSlow // slow
 	// EjectedAsUnresponsive means that an attempt made no progress for too long.
 	EjectedAsUnresponsive // unresponsive
-	// EjectedForHealthCheck means that a health check was not answered.
+	// EjectedForHealthCheck means that a health check got no response.
 	EjectedForHealthCheck // health_check_failed
 )
 
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -10,43 +10,45 @@
 )
 
 const (
-	// fullMemory is the share of an engine's memory above which it has no capacity.
+	// fullMemory is the fraction of its KV memory in use above which an engine has no capacity.
 	fullMemory = 0.9
-	// fullQueue is the number of requests queued at an engine with which it has no capacity.
+	// fullQueue is the number of queued requests from which an engine has no capacity.
 	fullQueue = 3.0
-	// shareMargin is the factor on our share of memory, 1/routers. Clients spread unevenly over routers.
+	// shareMargin is the factor by which a router may exceed its equal share of memory, since clients spread
+	// unevenly over routers.
 	shareMargin = 1.3
 	// reportAlpha is the weight of a load report in the mean over all endpoints.
 	reportAlpha = 0.1
-	// reportTTL is the age from which a load report is ignored.
+	// reportTTL is the age from which load reports are ignored.
 	reportTTL = 4 * time.Second
-	// sentDecay is the share of our demand that load reports do not show yet a second later.
+	// sentDecay is multiplied each second with the demand that load reports do not include yet.
 	sentDecay = 0.5
 )
 
-// capacityView is what is known of the KV memory of all decode and colocated engines together.
+// capacityView estimates the KV memory of all decode and colocated engines together.
 type capacityView struct {
-	routers          int                  // of the service
-	reportFields     []ReportField        // the values of a load report, in order
-	meanDemand       ewma.Average[Tokens] // KV memory of a request
-	memoryTokens     Tokens               // of all these engines, by the settings; 0 for unknown
-	engines          int                  // number of these engines
-	reportedFree     ewma.Average[Tokens] // free memory of one of them, by load reports
-	reportedAt       Time                 // latest load report; 0 for never
-	sentSinceReport  Tokens               // demand that load reports do not show yet
-	demand           Tokens               // of our attempts in flight
-	prefillsInFlight int                  // our attempts at prefill engines
-	releaseThreshold float64              // share of a mean request that must be free for a release, from 0 to 1
+	routers           int                  // number of routers of the service
+	reportFields      []ReportField        // the values of a load report, in order
+	meanDemand        ewma.Average[Tokens] // KV memory of a request
+	memoryTokens      Tokens               // KV memory of all engines, by the settings; 0 for unknown
+	engines           int                  // number of engines
+	reportedFree      ewma.Average[Tokens] // free memory of one engine, by load reports
+	reportedAt        Time                 // latest load report; 0 for never
+	sentSinceReport   Tokens               // demand of own attempts that load reports do not include yet
+	demand            Tokens               // demand of own attempts in flight
+	prefillsInFlight  int                  // own attempts in flight at prefill engines
+	dispatchThreshold float64              // capacity needed for the next dispatch, in mean requests, at most 1
 }
 
 // demandPerRequest returns the mean demand of a request, at least one token.
 func (c *capacityView) demandPerRequest() Tokens { return max(c.meanDemand.Value, 1) }
 
-// freeRequests returns how many mean requests fit in our share of the free memory, less our prefills in
-// flight. Load reports come late, so our own attempts bound it too: the lesser of the two counts.
+// freeRequests returns how many mean requests fit in this router's share of the free memory, less its
+// prefills in flight. It returns the lower of two estimates, one by load reports and one by the router's own
+// attempts, because load reports arrive late.
 func (c *capacityView) freeRequests(now Time) float64 {
 	perRequest := c.demandPerRequest()
-	free := c.share(c.memoryTokens) - float64(c.demand/perRequest)
+	free := c.memoryShare(c.memoryTokens) - float64(c.demand/perRequest)
 	if now.Sub(c.reportedAt) < reportTTL && c.reportedAt != 0 {
 		reported := c.reportedFree.Value * Tokens(c.engines) / Tokens(c.routers)
 		free = min(free, float64((reported-c.sentSinceReport)/perRequest))
@@ -54,9 +56,10 @@
 	return free - float64(c.prefillsInFlight)
 }
 
-// share returns our share of an amount of memory, in mean requests. Its slack for chance weighs more the
-// smaller the share is. Memory of unknown size, 0, has no bound.
-func (c *capacityView) share(memory Tokens) float64 {
+// memoryShare returns this router's share of an amount of memory, in mean requests. The share includes slack
+// for random variation, which is relatively larger for a small share. If the memory is unknown, 0, the share
+// is infinite.
+func (c *capacityView) memoryShare(memory Tokens) float64 {
 	if memory <= 0 {
 		return math.Inf(1)
 	}
@@ -65,13 +68,14 @@
 	return min(shareMargin*share+math.Sqrt(share), float64(fullMemory*memory/perRequest))
 }
 
-// drawReleaseThreshold draws the free share of a request that the next release needs. A fixed one would round
-// the last bit of capacity alike at many routers: all down to nothing, or all up to too much.
-func (c *capacityView) drawReleaseThreshold(rng *rand.Rand) {
-	c.releaseThreshold = 1 - rng.Float64()*(1-1/float64(c.routers))
+// drawDispatchThreshold draws the free capacity that the next dispatch needs. With a fixed threshold all
+// routers would round their last fraction of a request the same way, and together leave capacity unused or
+// exceed it.
+func (c *capacityView) drawDispatchThreshold(rng *rand.Rand) {
+	c.dispatchThreshold = 1 - rng.Float64()*(1-1/float64(c.routers))
 }
 
-// addAttempt counts an attempt that is forwarded to an endpoint of a role.
+// addAttempt counts a new attempt at an endpoint of a role.
 func (c *capacityView) addAttempt(role Role, demand Tokens) {
 	if role == RolePrefill {
 		c.prefillsInFlight++
@@ -90,8 +94,9 @@
 	c.demand -= demand
 }
 
-// recordReport adds a load report to the mean over all endpoints. In a large service a router hears too
-// seldom from a single one. Reports of prefill engines and unusable ones have no effect.
+// recordReport adds a load report to the mean over all endpoints. A router of a large service gets too few
+// reports from each endpoint to average them separately. Reports from prefill engines and malformed reports
+// are ignored.
 func (c *capacityView) recordReport(source *endpoint, values []float64, now Time) {
 	report, ok := parseReport(c.reportFields, values)
 	if !ok || source.role == RolePrefill {
@@ -103,9 +108,9 @@
 	}
 }
 
-// freeMemory returns the free memory of an endpoint by its load report. It uses the capacity formula of
-// AIBrix's request for comments if the report has the fields for it, else the known memory less the part in
-// use. It returns false if the report says neither.
+// freeMemory returns the free memory of an endpoint by its load report. It uses the capacity formula of the
+// AIBrix request for comments if the report has the fields for it, else the configured memory less the part
+// in use. It returns false if the report has the fields for neither.
 func (c *capacityView) freeMemory(source *endpoint, report loadReport) (free Tokens, known bool) {
 	utilization := report[ReportUtilization]
 	switch {
@@ -113,21 +118,21 @@
 		return 0, true
 	case report[ReportInFlight]*utilization > 0:
 		free = Tokens(report[ReportInFlight]*(1-utilization)/utilization) * c.meanDemand.Value
-		return free, !math.IsInf(float64(free), 1) // a utilization next to 0 says nothing
+		return free, !math.IsInf(float64(free), 1) // overflow if the utilization is close to 0
 	case source.memoryTokens > 0 && slices.Contains(c.reportFields, ReportMemory):
 		return Tokens(max(fullMemory-report[ReportMemory], 0)) * source.memoryTokens, true
 	}
 	return 0, false
 }
 
-// decay reduces the demand that load reports do not show yet.
+// decay reduces the demand that counts as missing from load reports. It is called once a second.
 func (c *capacityView) decay() { c.sentSinceReport *= sentDecay }
 
-// loadReport is a load report by field.
+// loadReport holds the values of a load report by ReportField. Missing fields are 0.
 type loadReport [ReportBacklog + 1]float64
 
-// parseReport returns the values of a load report by field. It returns false if the report is missing or too
-// short.
+// parseReport assigns the values of a load report to its fields. It returns false if the report is missing or
+// too short.
 func parseReport(fields []ReportField, values []float64) (report loadReport, ok bool) {
 	if len(values) == 0 || len(values) < len(fields) {
 		return report, false
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -7,20 +7,19 @@
 )
 
 const (
-	// expiryInterval is the time between expiries.
+	// expiryInterval is the time between calls of expireAndDecay.
 	expiryInterval = time.Second
-	// healthCheckJitter is the range of the random first check times of endpoints, in microseconds. Each router
-	// checks new endpoints in an order of its own.
+	// healthCheckJitter is the range of the random initial check times of endpoints, in microseconds. It makes
+	// each router check new endpoints in a different order.
 	healthCheckJitter = 1000
 )
 
-// roleCount is the number of roles.
 const roleCount = int(RoleColocated) + 1
 
-// perRole holds a number for each role.
+// perRole holds a number for each Role.
 type perRole [roleCount]float64
 
-// endpoint is an entry of the endpoint list and what this router knows of its engine.
+// endpoint is an entry of the endpoint list with this router's state for it.
 type endpoint struct {
 	listEntry
 	load   endpointLoad
@@ -28,7 +27,7 @@
 	warmUp warmUp
 }
 
-// listEntry is an entry of the endpoint list with the properties of its kind.
+// listEntry is an entry of the endpoint list with the properties of its EngineKind.
 type listEntry struct {
 	Endpoint
 	role         Role
@@ -38,8 +37,8 @@
 // endpointLoad is the load that this router puts on an endpoint.
 type endpointLoad struct {
 	attempts     []*request // requests with an attempt in flight there
-	demand       Tokens     // KV memory that they need; 0 for prefill engines
-	trafficShare float64    // of all requests, that the endpoint should take
+	demand       Tokens     // KV memory that these requests need; 0 for prefill engines
+	trafficShare float64    // target share of all requests, set by Router.rebalance
 }
 
 // addAttempt starts the next attempt of a request at an endpoint.
@@ -61,10 +60,10 @@
 	}
 }
 
-// relativeLoad returns the number of our attempts over the endpoint's weight.
+// relativeLoad returns the number of this router's attempts in flight divided by the endpoint's weight.
 func (e *endpoint) relativeLoad() float64 { return float64(len(e.load.attempts)) / e.Weight }
 
-// update applies an entry of the endpoint list. A new start of the engine voids what was known of its health.
+// update applies an entry of the endpoint list. If the engine has restarted, it resets the health.
 func (e *endpoint) update(entry Endpoint, kind EngineKind) {
 	if entry.StartedAt > e.warmUp.startedAt && entry.State == Ready {
 		e.warmUp.startedAt = entry.StartedAt
@@ -79,17 +78,17 @@
 // endpointTable holds the endpoints that are listed or have an attempt in flight.
 type endpointTable struct {
 	byID  map[EndpointID]*endpoint
-	all   []*endpoint // by id
-	ready []*endpoint // those listed as ready, by id
+	all   []*endpoint // sorted by id
+	ready []*endpoint // endpoints in state Ready, sorted by id
 }
 
-// add adds an endpoint. The caller restores the order by removeGone.
+// add adds an endpoint at the end of all. The caller must call removeGone afterwards, which sorts all.
 func (t *endpointTable) add(id EndpointID, added *endpoint) {
 	t.byID[id] = added
 	t.all = append(t.all, added)
 }
 
-// removeGone drops the endpoints that are gone and have no attempt in flight, and sorts the others.
+// removeGone removes the endpoints that are gone and have no attempt in flight, and sorts the others.
 func (t *endpointTable) removeGone() {
 	slices.SortFunc(t.all, func(a, b *endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	t.all = slices.DeleteFunc(t.all, func(e *endpoint) bool {
@@ -101,8 +100,8 @@
 	})
 }
 
-// ejectionLimitReached reports whether so many endpoints of the target's role are ejected that it may not
-// follow for errors, slowness or unresponsiveness. A fault that most endpoints share is not their own.
+// ejectionLimitReached reports whether too few endpoints of the target's role would remain if the target were
+// ejected. Faults that most endpoints of a role share have a common cause, and ejection does not help.
 func (t *endpointTable) ejectionLimitReached(target *endpoint) bool {
 	all, healthy := 0.0, 0.0
 	for _, e := range t.ready {
@@ -116,8 +115,8 @@
 	return healthy < all*(1-maxEjectedShare)
 }
 
-// medianLoads returns the load of each role with which the loads of its endpoints are compared. Colocated
-// engines are compared with decode engines, if there are any.
+// medianLoads returns for each role that prefills the load with which the loads of its endpoints are
+// compared. Colocated engines are compared with decode engines, if there are any.
 func (t *endpointTable) medianLoads() perRole {
 	colocated := colocatedShare * t.medianLoad(RoleDecode)
 	if !slices.ContainsFunc(t.ready, func(e *endpoint) bool { return e.role == RoleDecode }) {
@@ -126,8 +125,8 @@
 	return perRole{RolePrefill: t.medianLoad(RolePrefill), RoleColocated: colocated}
 }
 
-// medianLoad returns the lower median of the loads of a role's endpoints that are not ejected; 0 if there are
-// none.
+// medianLoad returns the lower median of the loads of a role's endpoints that are ready and not ejected. It
+// returns 0 if there are none.
 func (t *endpointTable) medianLoad(role Role) float64 {
 	loads := []float64{}
 	for _, e := range t.ready {
@@ -140,7 +139,8 @@
 	return loads[(len(loads)-1)/2]
 }
 
-// nextToCheck returns the endpoint whose latest health check is the oldest; nil for none.
+// nextToCheck returns the endpoint whose latest health check is the oldest, or nil if there is none. It skips
+// endpoints with a health check in flight.
 func (t *endpointTable) nextToCheck() *endpoint {
 	var next *endpoint
 	for _, e := range t.all {
@@ -154,8 +154,8 @@
 	return next
 }
 
-// updateEndpoints applies changes of the endpoint list. An endpoint that drains or is gone gets nothing more
-// from this event on.
+// updateEndpoints applies changes of the endpoint list. Endpoints that are draining or gone get no further
+// attempts.
 func (r *Router) updateEndpoints(event EndpointUpdate) {
 	listed := map[EndpointID]bool{}
 	for _, entry := range event.Endpoints {
@@ -176,9 +176,9 @@
 	r.rebalance()
 }
 
-// expireAndDecay drops what is idle and reduces what was counted.
+// expireAndDecay drops idle sessions and updates the rates, decaying counts and traffic shares.
 func (r *Router) expireAndDecay() {
-	r.releases.update(r.now.Sub(r.expiredAt))
+	r.dispatches.update(r.now.Sub(r.expiredAt))
 	r.expiredAt = r.now
 	r.sessions.expire(r.now)
 	r.prefixes.decay()
--- a/control/estimate.go
+++ b/control/estimate.go
@@ -9,49 +9,51 @@
 )
 
 const (
-	// chanceQueue is the length of a queue that chance explains. It says nothing of how fast requests leave.
-	chanceQueue = 3
+	// ignoredQueueLength is the number of queued requests that add no waiting time to the estimate. So short a
+	// queue also forms by chance.
+	ignoredQueueLength = 3
 	// overheadTokens is the fixed cost of a prefill, in prompt tokens.
 	overheadTokens = 500
-	// latencyAlpha is the weight of an observation in averages over a role, an endpoint or our releases.
+	// latencyAlpha is the weight of an observation in averages over a role, over an endpoint or of the
+	// dispatch rate.
 	latencyAlpha = 0.2
-	// bestAlpha is the weight of an observation that is better than the average of the better ones.
+	// bestAlpha is the weight of an observation below an average that follows the lower values.
 	bestAlpha = 0.5
 	// meanAlpha is the weight of an observation in means over all requests.
 	meanAlpha = 0.05
-	// outlierCap is the multiple of the mean as which an observation counts at most.
+	// outlierCap is the multiple of the mean to which an observation is limited.
 	outlierCap = 1.5
-	// estimateMargin is the factor by which an estimate may be too low. A request that is rejected early
-	// costs less than one that fails late.
+	// estimateMargin is multiplied with the best-case estimate of the time to first token. It favors early
+	// rejection, which costs less than a late failure.
 	estimateMargin = 1.25
-	// estimateMax is the longest estimate, in seconds.
+	// estimateMax is the upper bound of the estimate before estimateMargin, in seconds.
 	estimateMax = 60.0
-	// estimateFadeTime is the time constant with which an estimate without new observations fades.
+	// estimateFadeTime is the time constant of the exponential decay of an estimate without new observations.
 	estimateFadeTime = 2 * time.Second
 )
 
-// secondsPerToken is a time to compute or fetch one token.
+// secondsPerToken is the time to compute or fetch one token.
 type secondsPerToken float64
 
-// times returns the seconds for a number of tokens.
+// times returns the time for a number of tokens, in seconds.
 func (s secondsPerToken) times(tokens Tokens) float64 { return float64(s) * float64(tokens) }
 
-// latencyEstimator holds averages of the times that attempts took.
+// latencyEstimator holds averages of the durations of attempts.
 type latencyEstimator struct {
 	roles         [roleCount]roleLatency
-	answerSeconds []ewma.Average[float64] // by class
+	answerSeconds []ewma.Average[float64] // whole answers, by class
 }
 
 // roleLatency holds averages over all endpoints of one role.
 type roleLatency struct {
 	mean            ewma.Average[secondsPerToken]
-	best            ewma.Average[secondsPerToken] // of the better times
-	observedAt      Time                          // latest of these times
-	relativeLatency ewma.Average[float64]         // time of its answers over the mean of their class
+	best            ewma.Average[secondsPerToken] // follows the lower times
+	observedAt      Time                          // latest observation of mean and best
+	relativeLatency ewma.Average[float64]         // ratio of answer times to the mean of their class
 }
 
-// observe records the time that an endpoint of a role took for a prefill, or to a first token. It returns
-// the time for each token.
+// observe records the duration of a prefill, or of the time to first token, at an endpoint of a role. It
+// returns the time per token.
 func (l *latencyEstimator) observe(
 	role Role, elapsed time.Duration, tokens Tokens, now Time,
 ) secondsPerToken {
@@ -64,23 +66,25 @@
 	return perToken
 }
 
-// observeAnswer records the time of a whole answer. It returns that time over the mean of its class.
-func (l *latencyEstimator) observeAnswer(role Role, class int, elapsed time.Duration) (relative float64) {
+// observeAnswer records the duration of a whole answer. It returns the ratio to the previous mean of the
+// class.
+func (l *latencyEstimator) observeAnswer(role Role, class int, elapsed time.Duration) (ratio float64) {
 	seconds := elapsed.Seconds()
 	mean := &l.answerSeconds[class]
-	relative = seconds / cmp.Or(mean.Value, seconds)
-	l.roles[role].relativeLatency.Observe(relative, latencyAlpha)
+	ratio = seconds / cmp.Or(mean.Value, seconds)
+	l.roles[role].relativeLatency.Observe(ratio, latencyAlpha)
 	mean.Observe(seconds, meanAlpha)
-	return relative
+	return ratio
 }
 
-// expectedTime returns a multiple of the mean time that an endpoint of a role takes for a number of tokens.
-func (l *latencyEstimator) expectedTime(role Role, tokens Tokens, multiple float64) time.Duration {
-	perToken := secondsPerToken(multiple) * l.roles[role].mean.Value
+// expectedTime returns the mean time of an endpoint of a role for a number of tokens, multiplied by a factor.
+func (l *latencyEstimator) expectedTime(role Role, tokens Tokens, factor float64) time.Duration {
+	perToken := secondsPerToken(factor) * l.roles[role].mean.Value
 	return time.Duration(perToken.times(tokens) * float64(time.Second))
 }
 
-// timeToFirstToken returns the best-case estimate for a prompt of which a part has to be computed.
+// timeToFirstToken returns a best-case estimate of the time to first token, with estimateMargin. The prefill
+// engine computes the uncached tokens, the decode engine fetches the KV state of the whole prompt.
 func (l *latencyEstimator) timeToFirstToken(uncached, prompt Tokens, now Time) time.Duration {
 	seconds := 0.0
 	for role, tokens := range [...]Tokens{RolePrefill: uncached, RoleDecode: prompt} {
@@ -91,17 +95,18 @@
 	return time.Duration(estimateMargin * min(seconds, estimateMax) * float64(time.Second))
 }
 
-// estimateFirstToken returns the least time in which a request could still get its first token.
+// estimateFirstToken returns the estimated time to first token of a request that is forwarded now.
 func (r *Router) estimateFirstToken(request *request) time.Duration {
 	uncached := request.uncachedTokens(request.session.lastPrefill)
 	return r.latency.timeToFirstToken(uncached, request.PromptTokens, r.now)
 }
 
-// missesObjective reports whether a queued request can't get its first token in time, or its client leaves
-// before the next tick. Only the latter holds for a resumed request, which already got its first token.
+// missesObjective reports whether a queued request is expected to miss its objective for the first token, or
+// its deadline is too near. A resumed request is checked against its deadline only, since its client already
+// has the first token.
 func (r *Router) missesObjective(request *request) bool {
-	ahead := float64(max(request.heapIndex-chanceQueue, 0))
-	firstToken := r.now.Add(r.estimateFirstToken(request) + r.releases.timeFor(ahead))
+	ahead := float64(max(request.heapIndex-ignoredQueueLength, 0))
+	firstToken := r.now.Add(r.estimateFirstToken(request) + r.dispatches.timeFor(ahead))
 	late := firstToken > min(request.firstTokenDue, request.Deadline)
 	return r.now.Add(finishReserve) >= request.Deadline || !request.Resumed && late
 }
--- a/control/events.go
+++ b/control/events.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// Event is something that happened to a router: a Request, AnswerStarted, Outcome, ClientGone, Timer,
+// Event is an input of Router.Handle: a Request, AnswerStarted, Outcome, ClientGone, Timer,
 // HealthCheckResult, ReservationResult, EndpointUpdate or SubscriptionFailed.
 type Event interface{ event() }
 
-// Request is a client's request. It gets exactly one final answer.
+// Request is a new request of a client. Unless the client leaves first, it gets exactly one final answer: an
+// answer from an engine, Reject or Fail.
 type Request struct {
 	ID        RequestID
-	Class     int // index into Settings.Classes
-	Tenant    int // index into Settings.Tenants
-	SessionID uint64
-	Deadline  Time // the client leaves then
-
-	PrefixHash   uint64 // of a beginning that prompts of other sessions share; 0 for none
-	PrefixTokens Tokens // length of that beginning
-	PromptTokens Tokens // length of the prompt
-	MaxTokens    Tokens // greatest length of the answer
-
-	Resumed       bool // its stream broke, and the client asks for the rest
-	PriorAttempts int  // made for it as part of a batch; they count towards its greatest number
-	PriorResets   int  // how many of these ended with their connection
+	Class     int    // index into Settings.Classes
+	Tenant    int    // index into Settings.Tenants
+	SessionID uint64 // 0 for no session
+	Deadline  Time   // the client leaves then
+
+	PrefixHash   uint64 // hash of a prompt prefix shared with other sessions; 0 for none
+	PrefixTokens Tokens // length of that prefix
+	PromptTokens Tokens // length of the prompt, including the prefix
+	MaxTokens    Tokens // maximum length of the answer
+
+	Resumed       bool // continues an answer whose stream broke, so the client already has the first token
+	PriorAttempts int  // earlier attempts as part of a batch, which count towards the maximum
+	PriorResets   int  // number of prior attempts with Result Reset
 }
 
-// AnswerStarted says that the client receives the first token of the answer. No further attempt follows.
+// AnswerStarted reports that the answer's first token is sent to the client. The request then gets no further
+// attempt.
 type AnswerStarted struct {
 	ID       RequestID
 	Endpoint EndpointID
@@ -32,22 +34,22 @@
 	Elapsed  time.Duration // since the attempt was forwarded
 }
 
-// Outcome is the end of an attempt.
+// Outcome reports the end of an attempt.
 type Outcome struct {
 	ID       RequestID
 	Attempt  AttemptNumber
 	Endpoint EndpointID
 	Result   Result
 	Elapsed  time.Duration // since the attempt was forwarded
-	Final    bool          // the request ended with the attempt and needs no further answer
+	Final    bool          // the request ended with the attempt and needs no final answer from the router
 
 	CachedTokens     uint32    // prompt tokens that the engine found in its KV cache
-	KVMissing        bool      // on Rejected: the engine could not fetch the KV state
-	ReusedConnection bool      // lost with a connection that was idle before, which is weak evidence of a fault
-	Report           []float64 // load report by EngineSettings.ReportFields; empty for none
+	KVMissing        bool      // only for Rejected: the engine could not fetch the KV state
+	ReusedConnection bool      // the connection had been idle before, so its loss is weak evidence of a fault
+	Report           []float64 // load report in the order of EngineSettings.ReportFields; empty for none
 }
 
-// Result is how an attempt or a health check ended.
+// Result is the result of an attempt or a health check.
 type Result uint8
 
 // The results.
@@ -60,27 +62,28 @@
 	Failed // failed
 	// Rejected means that the engine was full, or could not fetch the KV state.
 	Rejected // rejected
-	// TimedOut means that no answer came in time. The request may still be executed.
+	// TimedOut means that no response arrived in time. The request may still be executed.
 	TimedOut // timed_out
 	// ConnectFailed means that the attempt never reached the engine.
 	ConnectFailed // connect_failed
 	// Reset means that the connection was lost. The request may have been executed.
 	Reset // reset
-	// Cancelled means ended by CancelAttempt. The request may have been executed.
+	// Cancelled means that CancelAttempt ended the attempt. The request may have been executed.
 	Cancelled // cancelled
 	// NotSent means that the caller did not forward the attempt.
 	NotSent // not_sent
 )
 
-// MayHaveExecuted reports whether an attempt with this result may have executed its request, or still may.
+// MayHaveExecuted reports whether the engine may have executed the request, or may still execute it, although
+// the attempt did not succeed.
 func (r Result) MayHaveExecuted() bool {
 	return r == Failed || r == TimedOut || r == Reset || r == Cancelled
 }
 
-// ClientGone says that the client left. The request needs no further answer.
+// ClientGone reports that the client left. The request needs no final answer.
 type ClientGone struct{ ID RequestID }
 
-// Timer says that a timer expired.
+// Timer reports that a timer expired.
 type Timer struct{ Token uint64 }
 
 // HealthCheckResult is the result of a HealthCheck.
@@ -88,10 +91,10 @@
 	Endpoint EndpointID
 	Result   Result
 	Elapsed  time.Duration
-	Report   []float64 // load report by EngineSettings.ReportFields; empty for none
+	Report   []float64 // load report in the order of EngineSettings.ReportFields; empty for none
 }
 
-// ReservationResult is the result of a reservation of a decode slot. This module makes none and ignores it.
+// ReservationResult is the result of a reservation of a decode slot. The router reserves none and ignores it.
 type ReservationResult struct {
 	ID       RequestID
 	Attempt  AttemptNumber
@@ -99,10 +102,10 @@
 	Held     bool
 }
 
-// EndpointUpdate brings changes of the endpoint list, or all of it.
+// EndpointUpdate contains changed entries of the endpoint list, or the full list.
 type EndpointUpdate struct {
 	Endpoints []Endpoint
-	Full      bool // engines that are not listed are gone
+	Full      bool // endpoints that are missing from Endpoints are gone
 }
 
 // Endpoint is one entry of the endpoint list.
@@ -110,26 +113,26 @@
 	ID        EndpointID
 	State     EndpointState
 	Kind      int     // index into EngineSettings.Kinds
-	Cell      uint16  // engines of one cell have the fastest links between them
-	Zone      uint16  // of the cell
-	Weight    float64 // capacity, compared with other engines of its role
-	StartedAt Time    // latest start; 0 for long ago
+	Cell      uint16  // engines of one cell have the fastest network links between them
+	Zone      uint16  // zone of the cell
+	Weight    float64 // capacity relative to other engines of its role
+	StartedAt Time    // latest start of the engine; 0 for long ago
 }
 
-// EndpointState is the state of an engine by the endpoint list.
+// EndpointState is the state of an engine in the endpoint list.
 type EndpointState uint8
 
 // The states of an engine.
 const (
-	// Gone engines do not exist any more.
+	// Gone engines no longer exist.
 	Gone EndpointState = iota // gone
-	// Ready engines take requests.
+	// Ready engines accept requests.
 	Ready // ready
-	// Draining engines complete their requests and take no others.
+	// Draining engines complete their requests and accept no new ones.
 	Draining // draining
 )
 
-// SubscriptionFailed says that SubscribeEndpoints failed or that its stream ended.
+// SubscriptionFailed reports that SubscribeEndpoints failed or that its stream ended.
 type SubscriptionFailed struct{}
 
 func (Request) event()            {}
--- a/control/hash.go
+++ b/control/hash.go
@@ -1,7 +1,7 @@
 package control
 
-// hashFraction returns a number between 0 and 1 that depends on a key and an endpoint alone, so that all
-// routers compute the same. It is the finalizer of SplitMix64 with its usual constants.
+// hashFraction hashes a key and an endpoint to a number between 0 and 1. The result is the same at all
+// routers. It uses the finalizer and the constants of SplitMix64.
 func hashFraction(key uint64, id EndpointID) float64 {
 	x := key ^ uint64(id)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/control/health.go
+++ b/control/health.go
@@ -11,67 +11,74 @@
 const (
 	// failureAlpha is the weight of one outcome in an endpoint's failure rate.
 	failureAlpha = 0.3
-	// unresponsiveAlpha is the weight of unresponsiveness. It ejects until two attempts succeed.
+	// unresponsiveAlpha is the weight of unresponsiveness in the failure rate. It ejects the endpoint.
 	unresponsiveAlpha = 0.5
-	// certainAlpha is the weight of a failure that ejects at once.
-	certainAlpha = 1.0
-	// ejectionThreshold is the failure rate above which an endpoint is ejected: two failures of the last four.
+	// immediateAlpha is the weight of a failure that ejects an endpoint regardless of the ejection limit, such
+	// as a refused connection.
+	immediateAlpha = 1.0
+	// ejectionThreshold is the failure rate above which an endpoint is ejected. One failure with weight
+	// failureAlpha does not reach it, two in a row do.
 	ejectionThreshold = 0.35
-	// maxEjectedShare is the share of a role that may be ejected for errors, slowness or unresponsiveness.
+	// maxEjectedShare is the ejection limit: the fraction of a role's endpoints that may be ejected for errors,
+	// slowness or unresponsiveness.
 	maxEjectedShare = 0.5
-	// slowLatency is the relative latency above which a time counts as a failure.
+	// slowLatency is the relative latency above which an endpoint is slow, which counts as a failure.
 	slowLatency = 3.0
-	// relativeLatencyCap is the multiple of slowLatency as which a relative latency counts at most. One prefill
-	// that waited behind those of other routers is not slowness.
+	// relativeLatencyCap is the multiple of slowLatency to which an observed relative latency is limited. It
+	// prevents that a single prefill that waited behind those of other routers makes an endpoint slow.
 	relativeLatencyCap = 1.5
-	// probationInterval is the time until an ejected endpoint gets an attempt, and between such attempts.
+	// probationInterval is the time from the latest failure of an ejected endpoint, or from its latest attempt
+	// on probation, to its next attempt.
 	probationInterval = 2 * time.Second
-	// rejectionPause is the time for which an endpoint that rejected an attempt gets none.
+	// rejectionPause is how long an endpoint that rejected an attempt gets no further attempt.
 	rejectionPause = 200 * time.Millisecond
 )
 
 // Progress and health checks.
 const (
-	// unresponsiveFactor is the multiple of its role's usual time that an endpoint gets to make progress.
+	// unresponsiveFactor is the multiple of the time expected for its role that an endpoint gets to make
+	// progress.
 	unresponsiveFactor = 4.0
-	// overtakenLimit is the number of later requests with earlier progress that shows an attempt to be lost.
+	// overtakenLimit is the number of later attempts at the same endpoint that must make progress first for an
+	// attempt to count as lost.
 	overtakenLimit = 2
-	// overtakenDivisor divides the progress time-out of such an attempt.
+	// overtakenDivisor divides the progress time-out of an attempt that counts as lost.
 	overtakenDivisor = 3
 	// healthCheckInterval is the least time between health checks of one endpoint.
 	healthCheckInterval = time.Second
-	// healthChecksPerRequest is the number of health checks that may be sent for each request.
+	// healthChecksPerRequest is the number of health checks that each new request permits.
 	healthChecksPerRequest = 1.0
 )
 
-// endpointHealth is what outcomes, progress and health checks say of an endpoint.
+// endpointHealth is the health of an endpoint as observed by outcomes, progress and health checks.
 type endpointHealth struct {
-	failureRate     float64               // share of recent attempts that failed
-	relativeLatency ewma.Average[float64] // its better times over the mean of its role, or of the answer's class
+	failureRate     float64               // share of recent attempts that failed, from 0 to 1
+	relativeLatency ewma.Average[float64] // ratio of its times to its peers' mean, following the lower ones
 	lastProgress    Time                  // latest outcome or start of an answer
-	nextProbation   Time                  // while ejected, it gets no attempt before
-	rejectingUntil  Time                  // after a rejection, it gets no attempt before
+	nextProbation   Time                  // earliest next attempt while ejected
+	rejectingUntil  Time                  // earliest next attempt after a rejection
 	checkedAt       Time                  // latest health check
 	checkInFlight   bool
 }
 
-// ejected reports whether an endpoint gets no attempts but those of its probation.
+// ejected reports whether an endpoint gets no attempts except on probation.
 func (h *endpointHealth) ejected() bool { return h.failureRate > ejectionThreshold }
 
-// restart forgets what was observed before the engine started anew.
+// restart resets the observations after a restart of the engine.
 func (h *endpointHealth) restart() {
 	h.failureRate = 0
 	h.relativeLatency = ewma.Average[float64]{}
 }
 
-// recordSuccess records an attempt that succeeded. An ejected endpoint may be tried again at once.
+// recordSuccess records a successful attempt. If the endpoint is still ejected, it may get its next attempt
+// on probation at once.
 func (h *endpointHealth) recordSuccess(now Time) {
 	h.failureRate *= 1 - failureAlpha
 	h.nextProbation = now
 }
 
-// recordFailure records a failure. Weight certainAlpha ejects the endpoint at once. It reports whether the
-// failure ejected the endpoint.
+// recordFailure adds a failure with a weight from 0 to 1 to the failure rate. It reports whether this ejected
+// the endpoint.
 func (h *endpointHealth) recordFailure(weight float64, now Time) (ejectedNow bool) {
 	wasEjected := h.ejected()
 	h.failureRate += weight * (1 - h.failureRate)
@@ -79,24 +86,25 @@
 	return !wasEjected && h.ejected()
 }
 
-// recordRejection records that the endpoint rejected an attempt.
+// recordRejection starts the pause after a rejected attempt.
 func (h *endpointHealth) recordRejection(now Time) { h.rejectingUntil = now.Add(rejectionPause) }
 
-// observeLatency records a time over the mean of the endpoint's role. It reports whether the endpoint is
-// slow. The comparison is with its peers, not with its own past, so that an endpoint that slows ever more
-// shows too.
-func (h *endpointHealth) observeLatency(relative float64) (slow bool) {
-	h.relativeLatency.ObserveLow(min(relative, relativeLatencyCap*slowLatency), bestAlpha, latencyAlpha)
-	return min(relative, h.relativeLatency.Value) > slowLatency
+// observeLatency records the ratio of an attempt's time to the mean of the endpoint's peers. It reports
+// whether the endpoint is slow. A comparison with the endpoint's own past would miss an endpoint that slows
+// down gradually.
+func (h *endpointHealth) observeLatency(ratio float64) (slow bool) {
+	h.relativeLatency.ObserveLow(min(ratio, relativeLatencyCap*slowLatency), bestAlpha, latencyAlpha)
+	return min(ratio, h.relativeLatency.Value) > slowLatency
 }
 
-// onProbation reports whether an ejected endpoint may be tried with a request.
+// onProbation reports whether an ejected endpoint may get a request as its attempt on probation.
 func (e *endpoint) onProbation(request *request, now Time) bool {
 	return now >= e.health.nextProbation && len(e.load.attempts) == 0 && request.class.Idempotency == Idempotent
 }
 
-// recordProgress records that an endpoint made progress on a request. Requests sent there earlier without
-// progress may have been lost with their connection while the endpoint lives.
+// recordProgress records that an endpoint made progress on a request, and counts this for each earlier
+// request in flight there. An overtaken request may have been lost with its connection although the endpoint
+// is alive.
 func (e *endpoint) recordProgress(progressed *request, now Time) {
 	e.health.lastProgress = now
 	for _, request := range e.load.attempts {
@@ -106,7 +114,7 @@
 	}
 }
 
-// recordOutcome records what the end of an attempt says of its endpoint's health.
+// recordOutcome updates the endpoint's health and the rejection rate of its role after the end of an attempt.
 func (r *Router) recordOutcome(request *request, target *endpoint, event Outcome) {
 	rejected := 0.0
 	switch event.Result {
@@ -119,8 +127,8 @@
 			r.recordFailure(target, failureAlpha, EjectedForTimeouts)
 		}
 	case ConnectFailed, Reset:
-		weight := certainAlpha
-		if event.ReusedConnection { // engines that close idle connections are not unreachable
+		weight := immediateAlpha
+		if event.ReusedConnection { // the engine may only have closed an idle connection
 			weight = failureAlpha
 		}
 		r.recordFailure(target, weight, EjectedAsUnreachable)
@@ -129,7 +137,7 @@
 			target.health.recordRejection(r.now)
 			rejected = 1
 		}
-	case Cancelled, NotSent: // our own doing
+	case Cancelled, NotSent: // caused by the router or its caller
 	}
 	r.rejectionRates[target.role].Approach(rejected, latencyAlpha)
 	target.health.lastProgress = r.now
@@ -138,26 +146,26 @@
 	}
 }
 
-// recordSuccess records the time of a prefill or of a whole answer.
+// recordSuccess records the time of a prefill or of a whole answer, and whether it was slow.
 func (r *Router) recordSuccess(request *request, target *endpoint, event Outcome) {
 	target.health.recordSuccess(r.now)
-	var relative float64
+	var ratio float64
 	if event.Result == PrefillDone {
-		computed := max(request.PromptTokens-Tokens(event.CachedTokens), 0)
-		perToken := r.latency.observe(target.role, event.Elapsed, computed, r.now)
-		relative = float64(perToken / cmp.Or(r.latency.roles[RolePrefill].mean.Value, perToken))
+		computedTokens := max(request.PromptTokens-Tokens(event.CachedTokens), 0)
+		perToken := r.latency.observe(target.role, event.Elapsed, computedTokens, r.now)
+		ratio = float64(perToken / cmp.Or(r.latency.roles[RolePrefill].mean.Value, perToken))
 	} else {
-		relative = r.latency.observeAnswer(target.role, request.Class, event.Elapsed)
+		ratio = r.latency.observeAnswer(target.role, request.Class, event.Elapsed)
 	}
-	if target.health.observeLatency(relative) {
+	if target.health.observeLatency(ratio) {
 		r.recordFailure(target, failureAlpha, EjectedAsSlow)
 	}
 }
 
-// recordFailure records a failure of an endpoint, unless the ejection limit is reached and the failure is not
-// certain. It logs an ejection.
+// recordFailure records a failure of an endpoint and logs an ejection. While the ejection limit is reached,
+// it ignores failures with a weight below immediateAlpha.
 func (r *Router) recordFailure(target *endpoint, weight float64, reason EjectionReason) {
-	if weight < certainAlpha && r.endpoints.ejectionLimitReached(target) {
+	if weight < immediateAlpha && r.endpoints.ejectionLimitReached(target) {
 		return
 	}
 	if target.health.recordFailure(weight, r.now) {
@@ -165,7 +173,8 @@
 	}
 }
 
-// checkProgress ejects an endpoint that is unresponsive, and cancels the attempts that may be made elsewhere.
+// checkProgress cancels overtaken attempts at an endpoint. If the endpoint is unresponsive, it records a
+// failure and cancels all attempts that may be retried elsewhere.
 func (r *Router) checkProgress(target *endpoint) {
 	r.cancelOvertaken(target)
 	if !r.unresponsive(target) || r.endpoints.ejectionLimitReached(target) {
@@ -178,8 +187,9 @@
 	}
 }
 
-// unresponsive reports whether an attempt at an endpoint has made no progress for longer than its role needs
-// for all that we sent there. Every attempt counts: the client of the first may wait longer than the others.
+// unresponsive reports whether an endpoint has made no progress for longer than an attempt may wait and
+// longer than its role needs for all prompts in flight there. It checks every attempt, not only the oldest,
+// because progress time-outs differ by request.
 func (r *Router) unresponsive(target *endpoint) bool {
 	tokens := Tokens(0)
 	for _, request := range target.load.attempts {
@@ -187,40 +197,41 @@
 			tokens += request.latest.tokensToPrefill + overheadTokens
 		}
 	}
-	usual := r.latency.expectedTime(target.role, tokens, unresponsiveFactor)
+	expected := r.latency.expectedTime(target.role, tokens, unresponsiveFactor)
 	for _, request := range target.load.attempts {
 		sinceProgress := r.now.Sub(max(target.health.lastProgress, request.latest.sentAt))
-		if request.awaitsFirstToken() && sinceProgress >= max(request.progressTimeout(), usual) {
+		if request.awaitsFirstToken() && sinceProgress >= max(request.progressTimeout(), expected) {
 			return true
 		}
 	}
 	return false
 }
 
-// cancelOvertaken cancels attempts that were lost with their connection while their endpoint lives.
+// cancelOvertaken cancels attempts that were probably lost with their connection although the endpoint is
+// alive.
 func (r *Router) cancelOvertaken(target *endpoint) {
 	for _, request := range target.load.attempts {
 		tokens := request.latest.tokensToPrefill + overheadTokens
-		usual := r.latency.expectedTime(target.role, tokens, unresponsiveFactor)
-		waited := r.now.Sub(request.latest.sentAt) >= max(request.progressTimeout()/overtakenDivisor, usual)
+		expected := r.latency.expectedTime(target.role, tokens, unresponsiveFactor)
+		waited := r.now.Sub(request.latest.sentAt) >= max(request.progressTimeout()/overtakenDivisor, expected)
 		if request.awaitsFirstToken() && request.latest.overtakenBy >= overtakenLimit && waited {
 			r.cancelAttempt(request, target)
 		}
 	}
 }
 
-// cancelAttempt cancels the attempt of a request at an endpoint, if the request may have another.
+// cancelAttempt cancels a request's attempt at an endpoint, if the request may have another attempt.
 func (r *Router) cancelAttempt(request *request, target *endpoint) {
 	cancellable := r.settings.Caller.CanCancel && request.awaitsFirstToken() && !request.latest.cancelRequested
-	harmless := target.role == RolePrefill || request.class.Idempotency == Idempotent
-	if cancellable && harmless && request.attempts < request.maxAttempts {
+	repeatable := target.role == RolePrefill || request.class.Idempotency == Idempotent
+	if cancellable && repeatable && request.attempts < request.maxAttempts {
 		request.latest.cancelRequested = true
 		r.emit(CancelAttempt{ID: request.ID, Attempt: AttemptNumber(request.attempts - 1)})
 	}
 }
 
-// sendHealthCheck checks the endpoint whose latest check is the oldest. Checks are no more frequent than
-// requests: among many routers, one check of each endpoint a second would be a load of its own.
+// sendHealthCheck checks the endpoint whose latest health check is the oldest. Health checks are limited to
+// the rate of requests. Otherwise the health checks of many routers would themselves be a significant load.
 func (r *Router) sendHealthCheck() {
 	if !r.settings.Caller.CanHealthCheck || r.healthCheckBudget < 1 {
 		return
@@ -235,7 +246,7 @@
 	r.emit(HealthCheck{Endpoint: next.ID})
 }
 
-// handleHealthCheck processes the result of a health check. Some sites have no other source of load reports.
+// handleHealthCheck processes the result of a health check, including its load report.
 func (r *Router) handleHealthCheck(event HealthCheckResult) {
 	target := r.endpoints.byID[event.Endpoint]
 	if target == nil {
@@ -244,6 +255,6 @@
 	target.health.checkInFlight = false
 	r.capacity.recordReport(target, event.Report, r.now)
 	if event.Result == TimedOut || event.Result == ConnectFailed || event.Result == Reset {
-		r.recordFailure(target, certainAlpha, EjectedForHealthCheck)
+		r.recordFailure(target, immediateAlpha, EjectedForHealthCheck)
 	}
 }
--- a/control/placement.go
+++ b/control/placement.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// minWeight is the least weight of an endpoint, and the least count of a prefix.
+	// minWeight is the lower bound of an endpoint's weight. Prefixes with a lower count are dropped.
 	minWeight = 0.01
-	// overloadMedian is the multiple of the median of our loads above which an endpoint is passed over.
-	overloadMedian = 2.0
-	// fewRequests is the number of our requests at one endpoint that never overload it.
-	fewRequests = 3.0
-	// affinitySpread is the factor by which the candidates of a prefix cover more than its share of requests.
-	// They get other requests too.
+	// overloadFactor is the multiple of the median load of its role above which an endpoint is overloaded.
+	overloadFactor = 2.0
+	// overloadMinRequests is the number of own requests in flight below which an endpoint is not overloaded.
+	overloadMinRequests = 3.0
+	// affinitySpread is the ratio of the traffic share of a prefix's candidates to the prefix's share of
+	// requests. It is above 1 because the candidates also serve requests without this prefix.
 	affinitySpread = 2.0
-	// behindOthers is the factor on the score of an overloaded endpoint, which puts it behind the others.
-	behindOthers = minWeight
-	// popularityPrior is the number of requests of other prefixes that count as seen before ours.
+	// overloadPenalty is multiplied with the score of an overloaded endpoint to rank it behind the others.
+	overloadPenalty = minWeight
+	// popularityPrior is added to the number of all requests, so that a prefix among the first few requests
+	// does not count as popular.
 	popularityPrior = 20.0
-	// popularityDecay is the share of the counts of prefixes that is kept each second.
+	// popularityDecay is multiplied with the request counts of prefixes each second.
 	popularityDecay = 0.97
 )
 
 // placePrefill returns an endpoint for the prefill of a request. It returns nil if none can take it.
 //
-// The endpoint of the session's latest prefill comes first, unless it is overloaded. Otherwise the less
-// loaded of two random candidates is taken. The candidates are the first few in the order of the request's
-// prefix: so many that none takes more of the prefix than its share of all traffic. All routers come to much
+// It prefers the endpoint of the session's latest prefill, unless that is overloaded. Otherwise it returns
+// the less loaded of two random candidates. The candidates are the endpoints that rank highest by rendezvous
+// hashing of the request's prefix, or of its session if it has no prefix. Their number grows with the
+// prefix's share of all requests, so that a popular prefix does not overload them. All routers select nearly
 // the same candidates.
 func (r *Router) placePrefill(request *request) *endpoint {
 	medians := r.endpoints.medianLoads()
@@ -43,14 +45,14 @@
 		}
 		score := rendezvousScore(key, e.ID, e.load.trafficShare)
 		if !r.mayPrefill(e, request, medians) {
-			score *= behindOthers
+			score *= overloadPenalty
 		}
 		candidates = append(candidates, affinityCandidate{endpoint: e, score: score})
 	}
 	if len(candidates) == 0 {
 		return nil
 	}
-	if key != 0 { // a request without prefix and session has no affinity
+	if key != 0 { // a request with neither prefix nor session has no affinity
 		candidates = preferredCandidates(candidates, r.prefixes.share(request.PrefixHash))
 	}
 	first := candidates[r.rng.IntN(len(candidates))]
@@ -58,30 +60,28 @@
 	return lessLoaded(first.endpoint, second.endpoint)
 }
 
-// mayPrefill reports whether an endpoint can take the prefill of a request and is not overloaded.
+// mayPrefill reports whether an endpoint is eligible for the prefill of a request, has capacity and is not
+// overloaded.
 func (r *Router) mayPrefill(e *endpoint, request *request, medians perRole) bool {
 	load := e.relativeLoad()
-	overloaded := load*e.Weight >= fewRequests && load > overloadMedian*medians[e.role]
+	overloaded := load*e.Weight >= overloadMinRequests && load > overloadFactor*medians[e.role]
 	demand := float64(e.load.demand / r.capacity.demandPerRequest())
-	hasCapacity := e.role == RolePrefill || demand < r.capacity.share(e.memoryTokens)
+	hasCapacity := e.role == RolePrefill || demand < r.capacity.memoryShare(e.memoryTokens)
 	return hasCapacity && !overloaded && r.eligible(e, request)
 }
 
-// placeDecode returns the less loaded of two random endpoints for the answer of a request, which has a KV
-// state. It returns nil if none can take it.
-//
-// Decode engines of the cell of the KV state come first, as far as these can take what its prefill engines
-// produce. Those of its zone that have more than their cell needs follow, then all such, then all. Colocated
-// engines take a KV state only if no decode engine can.
+// placeDecode returns an endpoint that streams the answer of a request with a KV state: the less loaded of
+// two random endpoints of the preferred locality. It returns nil if no endpoint can take the request.
+// Colocated engines are used only if no decode engine can take it.
 func (r *Router) placeDecode(request *request) *endpoint {
-	choice := newScopeChoice(&r.topology, r.rng, request.kv.holder)
+	localities := newLocalityChoice(&r.topology, r.rng, request.kv.holder)
 	for _, role := range [...]Role{RoleDecode, RoleColocated} {
 		for _, e := range r.endpoints.ready {
 			if e.role == role && r.eligible(e, request) {
-				choice.add(e)
+				localities.add(e)
 			}
 		}
-		if list := choice.preferred(); len(list) > 0 {
+		if list := localities.preferred(); len(list) > 0 {
 			first := list[r.rng.IntN(len(list))]
 			second := list[r.rng.IntN(len(list))]
 			return lessLoaded(first, second)
@@ -90,8 +90,9 @@
 	return nil
 }
 
-// eligible reports whether a request may go to an endpoint. The endpoint must be ready, healthy or due for
-// probation, and warmed up or admitted in slow start. It must neither reject us nor have failed the request.
+// eligible reports whether a request may be forwarded to an endpoint. The endpoint must be ready, not ejected
+// or due for probation, and warmed up or admitted in slow start. Endpoints that recently rejected an attempt,
+// on which the request failed before or that lie outside its deduplication scope are not eligible.
 func (r *Router) eligible(e *endpoint, request *request) bool {
 	if e.State != Ready || r.now < e.health.rejectingUntil || slices.Contains(request.excluded, e) {
 		return false
@@ -102,8 +103,9 @@
 	return r.warmedUp(e) || r.admittedInSlowStart(e, request)
 }
 
-// inDedupScope reports whether an endpoint drops a repeat of the request, if it may have been executed and
-// has a key. Other requests may go to any endpoint.
+// inDedupScope reports whether an endpoint is in the deduplication scope of a request. Only a request with a
+// key that may already have been executed has one: the zone or cell of that execution, in which engines drop
+// repeats. Prefill engines are always in scope.
 func inDedupScope(e *endpoint, request *request) bool {
 	first := request.firstExecution.endpoint
 	class := request.class
@@ -117,14 +119,14 @@
 	return true
 }
 
-// affinityCandidate is an endpoint that can take a prefill, with its score for the prefix.
+// affinityCandidate is an endpoint that can take a prefill, with its rendezvous score for the prefix.
 type affinityCandidate struct {
 	endpoint *endpoint
 	score    float64
 }
 
-// preferredCandidates returns the first few in the order of their scores, as many as a prefix with this share
-// of all requests needs. It reorders the list.
+// preferredCandidates returns the candidates with the highest scores, as many as are needed for a prefix with
+// this share of all requests. It sorts the list in place.
 func preferredCandidates(candidates []affinityCandidate, prefixShare float64) []affinityCandidate {
 	byScore := func(a, b affinityCandidate) int { return cmp.Compare(b.score, a.score) }
 	slices.SortFunc(candidates, byScore)
@@ -147,18 +149,18 @@
 }
 
 // rendezvousScore returns the score of an endpoint for a key by weighted rendezvous hashing. All routers
-// compute the same order, and an endpoint that leaves moves its own keys only.
+// compute the same order. If an endpoint is removed, only its own keys move to other endpoints.
 func rendezvousScore(key uint64, id EndpointID, weight float64) float64 {
 	return weight / -math.Log(hashFraction(key, id))
 }
 
-// prefixPopularity counts requests by prefix. The counts decay.
+// prefixPopularity counts requests by prefix, with exponential decay.
 type prefixPopularity struct {
-	requests map[uint64]float64
-	total    float64 // includes requests of no prefix
+	requests map[uint64]float64 // by prefix hash
+	total    float64            // includes requests without a prefix
 }
 
-// observe counts a request of a prefix; 0 for none.
+// observe counts a request by its prefix hash, which is 0 for a request without a prefix.
 func (p *prefixPopularity) observe(prefix uint64) {
 	p.total++
 	if prefix != 0 {
@@ -166,12 +168,12 @@
 	}
 }
 
-// share returns the share of all requests that a prefix has.
+// share returns the share of all requests that have a prefix, from 0 to 1.
 func (p *prefixPopularity) share(prefix uint64) float64 {
 	return p.requests[prefix] / (p.total + popularityPrior)
 }
 
-// decay reduces all counts, and drops the prefixes that are rare by then.
+// decay reduces all counts and drops rare prefixes. Without this the map would grow without bound.
 func (p *prefixPopularity) decay() {
 	p.total *= popularityDecay
 	for prefix := range p.requests {
--- a/control/request.go
+++ b/control/request.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// outputShare is the share of MaxTokens that an answer is expected to need. Its length is unknown.
+	// outputShare is the fraction of MaxTokens that an answer is expected to have.
 	outputShare = 0.3
-	// suspectResets is the least number of lost connections, over all attempts, that makes a request suspect of
-	// crashing engines.
-	suspectResets = 2
-	// progressTimeoutFactor is the multiple of a request's objective for the first token that its attempts
-	// get to make progress.
+	// minCrashResets is the least number of attempts with a lost connection from which a request may be
+	// suspected of crashing engines.
+	minCrashResets = 2
+	// progressTimeoutFactor is the multiple of a request's objective for the first token after which an attempt
+	// without progress times out.
 	progressTimeoutFactor = 1.5
 )
 
-// request is a client's request until its final answer and until no attempt is in flight.
+// request is the state of a client's request. It is kept until the request has its final answer and no
+// attempt in flight.
 type request struct {
 	Request
 	class   *Class
@@ -25,31 +26,31 @@
 
 	arrivedAt     Time
 	firstTokenDue Time   // arrival plus the class's objective for the time to first token
-	sequence      uint64 // in order of arrival
+	sequence      uint64 // ascending in order of arrival
 	heapIndex     int    // position in the queue; -1 outside it
-	promoted      bool   // has waited so long that it goes first
-	demand        Tokens // KV memory at a decode engine
+	promoted      bool   // has waited long and precedes all requests that are not promoted
+	demand        Tokens // expected KV memory at a decode engine
 
-	attempts        int
+	attempts        int // made by this router
 	maxAttempts     int
-	connectionsLost int // attempts that ended with their connection, those before this request included
+	connectionsLost int // attempts that ended with their connection, including Request.PriorResets
 	latest          attempt
-	serviceTime     time.Duration
-	hasFirstToken   bool // its answer is being streamed
-	finished        bool // has its final answer; an attempt is still in flight
+	serviceTime     time.Duration // sum over its attempts
+	hasFirstToken   bool          // its answer is being streamed
+	finished        bool          // has its final answer or its client left
 
 	kv             kvRetention
 	firstExecution execution
-	excluded       []*endpoint // on which it failed before
+	excluded       []*endpoint // endpoints on which the request failed
 }
 
 // attempt is the latest attempt of a request.
 type attempt struct {
 	inFlight        bool
 	cancelRequested bool
-	overtakenBy     int // requests sent to the same endpoint later that made progress first
+	overtakenBy     int // number of later attempts at the same endpoint that made progress first
 	sentAt          Time
-	tokensToPrefill Tokens // of the prompt, to compute or to fetch, as far as is known
+	tokensToPrefill Tokens // prompt tokens to compute or to fetch, an estimate
 }
 
 // execution is the earliest attempt that may have executed its request.
@@ -58,7 +59,8 @@
 	sentAt   Time
 }
 
-// newRequest returns a request that has just arrived. A request of a class has maxAttempts at most.
+// newRequest returns a request that arrives now. maxAttempts is the limit of the router, which the class may
+// lower.
 func newRequest(event Request, class *Class, session *session, maxAttempts int, now Time) *request {
 	maxAttempts = min(maxAttempts, cmp.Or(class.MaxAttempts, maxAttempts))
 	return &request{
@@ -73,13 +75,12 @@
 	}
 }
 
-// queued reports whether the request is in the queue.
 func (req *request) queued() bool { return req.heapIndex >= 0 }
 
-// awaitsFirstToken reports whether a client still waits for its answer to begin.
+// awaitsFirstToken reports whether the client still waits for the first token.
 func (req *request) awaitsFirstToken() bool { return !req.hasFirstToken && !req.finished }
 
-// uncachedTokens returns how much of the prompt an endpoint probably has to compute.
+// uncachedTokens estimates how many tokens of the prompt an endpoint has to compute.
 func (req *request) uncachedTokens(target *endpoint) Tokens {
 	cached := req.PrefixTokens
 	if req.session.lastPrefill == target {
@@ -88,12 +89,13 @@
 	return max(req.PromptTokens-cached, 0)
 }
 
-// progressTimeout returns how long an attempt may make no progress.
+// progressTimeout returns how long an attempt may go without progress.
 func (req *request) progressTimeout() time.Duration {
 	return time.Duration(progressTimeoutFactor * float64(req.firstTokenDue.Sub(req.arrivedAt)))
 }
 
-// recordExecution notes that the latest attempt, made at target, may have executed the request.
+// recordExecution records that the latest attempt, made at target, may have executed the request. Only the
+// first such attempt is kept.
 func (req *request) recordExecution(target *endpoint) {
 	if !req.mayHaveExecuted() {
 		req.firstExecution = execution{endpoint: target, sentAt: req.latest.sentAt}
@@ -103,7 +105,8 @@
 // mayHaveExecuted reports whether an attempt may have executed the request.
 func (req *request) mayHaveExecuted() bool { return req.firstExecution.endpoint != nil }
 
-// mayRepeat reports whether a further attempt can't execute the request a second time.
+// mayRepeat reports whether a further attempt is safe: the request has not been executed, may be executed
+// repeatedly, or engines still drop repeats.
 func (req *request) mayRepeat(now Time) bool {
 	switch {
 	case !req.mayHaveExecuted() || req.class.Idempotency == Idempotent:
@@ -114,22 +117,22 @@
 	return false
 }
 
-// clientMayRetry reports whether the client can send the request again, through any router, and have it
-// executed once.
+// clientMayRetry reports whether the client can safely send the request again, through any router.
 func (req *request) clientMayRetry() bool {
 	class := req.class
 	deduplicated := class.Idempotency == IdempotentWithKey && class.DedupScope == DedupScopeAll
 	return !req.mayHaveExecuted() || class.Idempotency == Idempotent || deduplicated
 }
 
-// mayCrashEngines reports whether every permitted attempt ended with its connection.
+// mayCrashEngines reports whether the request is suspected of crashing engines: every permitted attempt ended
+// with its connection, and there were at least minCrashResets of them.
 func (req *request) mayCrashEngines() bool {
-	return req.connectionsLost >= suspectResets && req.connectionsLost >= req.maxAttempts+req.PriorAttempts
+	return req.connectionsLost >= minCrashResets && req.connectionsLost >= req.maxAttempts+req.PriorAttempts
 }
 
-// sendDeadline returns when the last byte of the next attempt must have been sent. A slow connection would
-// otherwise let a KV state outlast its retention limit while one decode engine after another can't be
-// reached, or deliver a repeat after its engines have forgotten the first attempt.
+// sendDeadline returns the time by which the next attempt must be sent in full, or the greatest Time if there
+// is no limit. Without it, slow connections could retain a KV state beyond its retention limit while decode
+// engines are unreachable, or deliver a repeat after its deduplication window.
 func (req *request) sendDeadline(retentionLimit time.Duration) Time {
 	deadline := Time(math.MaxInt64)
 	if req.kv.holder != nil {
--- a/control/retention.go
+++ b/control/retention.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// A retained KV state has to be used or released within a limit. An attempt in flight uses it only if the
-// attempt has reached its engine, and only a response proves that: a connection may be open and accept all
-// that is written without delivering it. So the age of the state counts from the latest proof. As the limit
-// comes near, the state is released although an attempt is in flight. An engine that has the attempt and
-// waits for the state keeps it.
+// A retained KV state has to be used or released within the retention limit. An attempt in flight uses the
+// state only once the attempt has reached its engine. Only a response proves this, because a broken
+// connection may accept all written data without delivering it. The age of a state is therefore measured from
+// the latest such proof. When it nears the limit, the state is released even while an attempt is in flight.
+// The release does not affect an engine that has received the attempt and waits for the state.
 const (
-	// releaseShare is the share of the limit after which a state is released under an attempt without proof.
-	releaseShare = 0.6
-	// attemptTransit is the time for which an attempt may still be on its way to its engine.
+	// unprovenReleaseShare is the fraction of the retention limit after which a state is released while an
+	// attempt without proof of arrival is in flight.
+	unprovenReleaseShare = 0.6
+	// attemptTransit is how long an attempt may take to reach its engine.
 	attemptTransit = tickInterval
 )
 
-// kvRetention is what is known of the KV state that a request's attempts may have left at engines.
+// kvRetention describes the KV states that a request's attempts may have left at engines.
 type kvRetention struct {
-	holder    *endpoint // the prefill engine that retains a usable state; nil for none
+	holder    *endpoint // prefill engine that retains a usable state; nil for none
 	mayRetain bool      // an engine may retain a state, usable or not
 	since     Time      // end of the latest attempt that is known to have reached its engine
-	released  bool      // under the attempt in flight
+	released  bool      // a release was emitted while the latest attempt was in flight
 }
 
-// provesArrival reports whether an attempt with this result had reached its engine.
+// provesArrival reports whether the result proves that the attempt reached its engine.
 func (r Result) provesArrival() bool {
 	return r == OK || r == PrefillDone || r == Failed || r == Rejected
 }
 
-// recordOutcome records the end of an attempt at an endpoint.
+// recordOutcome updates the retention after the end of an attempt at an endpoint.
 func (k *kvRetention) recordOutcome(result Result, target *endpoint, now Time) {
 	k.released = false
 	if !k.mayRetain || result.provesArrival() {
@@ -44,21 +45,22 @@
 	}
 }
 
-// releaseDeadline returns when the release has to be emitted to reach an engine within the retention limit.
-// It is never if there is no limit.
+// releaseDeadline returns the time by which the release has to be emitted to reach an engine within the
+// retention limit. Without a limit, 0, it returns the greatest Time.
 func (k *kvRetention) releaseDeadline(limit time.Duration) Time {
 	if limit <= 0 {
 		return math.MaxInt64
 	}
-	return k.since.Add(max(limit-finishReserve, shareOf(limit, releaseShare)))
+	return k.since.Add(max(limit-finishReserve, shareOf(limit, unprovenReleaseShare)))
 }
 
-// unprovenDeadline returns when the state is released under an attempt without proof of arrival.
+// unprovenDeadline returns the time by which the state is released while an attempt without proof of arrival
+// is in flight.
 func (k *kvRetention) unprovenDeadline(limit time.Duration) Time {
-	return k.since.Add(shareOf(limit, releaseShare))
+	return k.since.Add(shareOf(limit, unprovenReleaseShare))
 }
 
-// releaseUnproven releases the KV states whose age comes near the limit while nothing proves that the attempt
+// releaseUnproven releases the KV states that near the retention limit while nothing proves that the attempt
 // in flight has reached its engine.
 func (r *Router) releaseUnproven() {
 	if !r.settings.Caller.ReleaseSparesAttempts {
@@ -74,8 +76,9 @@
 	}
 }
 
-// mustReleaseUnproven reports whether a request's KV state has to be released before the next tick. If the
-// attempt was sent just now, the state is kept a little longer: most attempts prove to have arrived.
+// mustReleaseUnproven reports whether a request's KV state has to be released before the next tick. An
+// attempt that was sent less than attemptTransit ago gets until the release deadline, since it has probably
+// arrived or will.
 func (r *Router) mustReleaseUnproven(request *request) bool {
 	kv := &request.kv
 	limit := r.settings.Limits.KVRetentionLimit
@@ -89,9 +92,10 @@
 	return nextTick > kv.unprovenDeadline(limit)
 }
 
-// forfeitKV drops a request's KV state if its attempt ended without proof of arrival while the state was
-// released, or has to be. No further attempt may rely on it. It reports whether it dropped the state.
-func (r *Router) forfeitKV(request *request, result Result, wasReleased bool) bool {
+// discardStaleKV releases and forgets a request's KV state if its attempt ended without proof of arrival and
+// the state was released during the attempt or is past its release deadline. It reports whether it did.
+// Further attempts must not rely on such a state.
+func (r *Router) discardStaleKV(request *request, result Result, wasReleased bool) bool {
 	stale := wasReleased || r.now >= request.kv.releaseDeadline(r.settings.Limits.KVRetentionLimit)
 	unproven := result.MayHaveExecuted() && !result.provesArrival()
 	if request.kv.holder == nil || !stale || !unproven {
@@ -101,21 +105,20 @@
 	return true
 }
 
-// releaseBeforePrefill releases what an earlier prefill may have left before the prompt is computed again. A
-// later release would take the new state too.
+// releaseBeforePrefill releases the KV state that an earlier prefill may have left before the prompt is
+// computed again. A later release would also release the new state.
 func (r *Router) releaseBeforePrefill(request *request) {
 	if r.settings.Caller.ReleaseSparesAttempts && request.kv.mayRetain {
 		r.releaseKV(request, ReleasedBeforeRetry)
 	}
 }
 
-// releaseKV releases all KV states of a request, which continues without one.
+// releaseKV releases all KV states of a request. The request continues without one.
 func (r *Router) releaseKV(request *request, reason ReleaseReason) {
 	r.emit(ReleaseKV{ID: request.ID, Reason: reason})
 	request.kv = kvRetention{}
 }
 
-// shareOf returns a share of a duration.
 func shareOf(duration time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(duration))
 }
--- a/control/retry.go
+++ b/control/retry.go
@@ -3,22 +3,21 @@
 import "time"
 
 const (
-	// rejectionLimit is the rejection rate of prefill engines above which two attempts of a request are enough.
+	// rejectionLimit is the rejection rate of prefill engines above which a request that failed on two
+	// endpoints is not retried.
 	rejectionLimit = 0.3
-	// minTimeout is the least time-out of an attempt.
-	minTimeout = time.Millisecond
-	// minRetryAfter is the least Retry-After of a rejected request.
-	minRetryAfter = tickInterval
+	minTimeout     = time.Millisecond // of an attempt
+	minRetryAfter  = tickInterval     // of a rejected request
 )
 
-// attemptInFlight is a request with an attempt in flight, and the endpoint that an event names.
+// attemptInFlight pairs a request that has an attempt in flight with the endpoint named by an event.
 type attemptInFlight struct {
 	request  *request
 	endpoint *endpoint
 }
 
-// findAttempt returns the attempt in flight of a request. It returns false if there is none, or if the
-// endpoint is unknown.
+// findAttempt returns a request's attempt in flight. It returns false if there is none or if the endpoint is
+// unknown.
 func (r *Router) findAttempt(id RequestID, target EndpointID) (found attemptInFlight, ok bool) {
 	found = attemptInFlight{request: r.requests[id], endpoint: r.endpoints.byID[target]}
 	ok = found.request != nil && found.endpoint != nil && found.request.latest.inFlight
@@ -48,7 +47,6 @@
 	r.emit(action)
 }
 
-// handleFirstToken processes the start of an answer.
 func (r *Router) handleFirstToken(event AnswerStarted) {
 	started, ok := r.findAttempt(event.ID, event.Endpoint)
 	if !ok {
@@ -61,11 +59,11 @@
 	request.kv.holder = nil
 }
 
-// handleOutcome processes the outcome of an attempt. The attempt's request may already be finished.
+// handleOutcome processes the end of an attempt. The request may already be finished.
 func (r *Router) handleOutcome(event Outcome) {
 	ended, ok := r.findAttempt(event.ID, event.Endpoint)
 	if !ok {
-		// No request uses what the attempt may have left.
+		// The attempt may have left a KV state that no request uses.
 		r.emit(ReleaseKV{ID: event.ID, Reason: ReleasedForLateOutcome})
 		return
 	}
@@ -87,9 +85,9 @@
 	r.followUp(request, target, event, wasReleased)
 }
 
-// followUp decides what follows an attempt that did not end its request. wasReleased is set if the KV state
-// was released while the attempt was in flight. A prompt is computed again for a forfeited KV state only if
-// the request can still meet its objective.
+// followUp decides how a request continues after an attempt that did not end it. wasReleased is set if the KV
+// state was released while the attempt was in flight. If the KV state had to be discarded, the request is
+// prefilled again only if it can still meet its objective.
 func (r *Router) followUp(request *request, target *endpoint, event Outcome, wasReleased bool) {
 	if event.Result.MayHaveExecuted() && target.role != RolePrefill {
 		request.recordExecution(target)
@@ -98,12 +96,12 @@
 		request.connectionsLost++
 	}
 	if event.Result == Rejected && event.KVMissing {
-		r.releaseKV(request, ReleasedAsKVMissing) // released, or out of this engine's reach
+		r.releaseKV(request, ReleasedAsKVMissing) // it may still exist, unreachable for this engine only
 	}
 	if event.Result != PrefillDone {
 		request.excluded = append(request.excluded, target)
 	}
-	if r.forfeitKV(request, event.Result, wasReleased) && r.missesObjective(request) {
+	if r.discardStaleKV(request, event.Result, wasReleased) && r.missesObjective(request) {
 		reason, blocked := r.retryObstacle(request)
 		if !blocked {
 			reason = FinishedMissingObjective
@@ -114,8 +112,9 @@
 	r.retry(request)
 }
 
-// retry forwards a request again or to its next stage, parks it, or finishes it without service. A KV state
-// that no decode engine takes now stays at its prefill engine until its retention limit is near.
+// retry forwards the next attempt of a request, at the same stage or the next. If it has a KV state but no
+// decode engine can take it, the request is parked until the retention limit or its deadline is near. If no
+// attempt is possible, the request is finished without service.
 func (r *Router) retry(request *request) {
 	if obstacle, blocked := r.retryObstacle(request); blocked {
 		r.finishWithoutService(request, obstacle)
@@ -137,8 +136,8 @@
 	r.finishWithoutService(request, FinishedWithoutEndpoint)
 }
 
-// placeNext returns the endpoint for the next attempt of a request; nil for none. If every decode engine that
-// could take the KV state has failed the request, all of them may be tried again.
+// placeNext returns the endpoint for the next attempt of a request, or nil if there is none. If the request
+// has a KV state and failed on every eligible decode engine, all of them may be tried again.
 func (r *Router) placeNext(request *request) *endpoint {
 	if request.kv.holder == nil {
 		return r.placePrefill(request)
@@ -150,7 +149,7 @@
 	return r.placeDecode(request)
 }
 
-// retryParked tries to place the parked requests, in order.
+// retryParked retries the parked requests, in order.
 func (r *Router) retryParked() {
 	parked := r.parked
 	r.parked = nil
@@ -161,9 +160,9 @@
 	}
 }
 
-// retryObstacle returns why a request may not have another attempt. It returns false if the request may.
-// While prefill engines reject many requests, two rejections of this one are enough: further attempts would
-// add load to the other engines.
+// retryObstacle returns the reason why a request must not have another attempt. blocked is false if it may.
+// While prefill engines reject many attempts, a request that failed on two of them gets no third attempt,
+// which would add load to the remaining engines.
 func (r *Router) retryObstacle(request *request) (reason FinishReason, blocked bool) {
 	rejecting := r.rejectionRates[RolePrefill].Value > rejectionLimit
 	sendDeadline := request.sendDeadline(r.settings.Limits.KVRetentionLimit)
@@ -180,9 +179,8 @@
 	return 0, false
 }
 
-// finishWithoutService emits the final answer of a request: a rejection if the client may safely repeat it,
-// else a failure. A request that lost its connection to every engine fails too, since it may have crashed
-// them.
+// finishWithoutService emits the final answer of a request: Reject if the client may safely repeat it, else
+// Fail. It also emits Fail if every attempt lost its connection, since the request may crash engines.
 func (r *Router) finishWithoutService(request *request, reason FinishReason) {
 	switch {
 	case request.mayCrashEngines():
@@ -197,9 +195,9 @@
 	r.finish(request)
 }
 
-// finish finishes a request and releases the KV states that engines may retain for it, known or not: an
-// engine may keep a state that was reported missing if the link to it was cut. A late outcome releases them
-// again.
+// finish marks a request as finished. If its answer has not begun, it releases the KV states that engines may
+// retain, even if none is known: a KV state that was reported missing may still exist behind a broken
+// network link. If an attempt is still in flight, its outcome releases them again.
 func (r *Router) finish(request *request) {
 	if !request.finished {
 		r.queue.remove(request)
--- a/control/router.go
+++ b/control/router.go
@@ -8,42 +8,43 @@
 )
 
 const (
-	// tickInterval is the period of the router's own timer.
+	// tickInterval is the period of the router's timer.
 	tickInterval = 50 * time.Millisecond
-	// finishReserve is the time before a deadline in which a request is finished without service. A request
-	// that passes one tick just outside it is finished at the next, still a tick before its deadline.
+	// finishReserve is how long before its deadline a waiting request is finished without service. Requests
+	// are checked once per tick, so with two ticks the final answer is due at least one tick before the
+	// deadline.
 	finishReserve = 2 * tickInterval
 )
 
-// Router makes the decisions of one router. It is not safe for concurrent use.
+// Router is the decision logic of one router process. It is not safe for concurrent use.
 type Router struct {
 	settings     Settings
 	rng          *rand.Rand
-	now          Time     // of the events being handled
-	actions      []Action // of this instant, in order
+	now          Time     // time of the current Handle call
+	actions      []Action // emitted by the current Handle call, in order
 	timerStarted bool
 
 	endpoints endpointTable
 	sessions  sessionTable
-	requests  map[RequestID]*request // without a final answer, or with an attempt in flight
-	queue     requestQueue           // not yet released
-	arrivals  []*request             // of this instant
-	parked    []*request             // prefilled, while no decode engine can take them
+	requests  map[RequestID]*request // requests without a final answer or with an attempt in flight
+	queue     requestQueue           // requests that have had no attempt yet
+	arrivals  []*request             // requests that arrived in the current Handle call
+	parked    []*request             // prefilled requests that no decode engine could take so far
 
-	releases releaseCounter
-	latency  latencyEstimator
-	capacity capacityView
-	topology topology
-	prefixes prefixPopularity
+	dispatches dispatchCounter
+	latency    latencyEstimator
+	capacity   capacityView
+	topology   topology
+	prefixes   prefixPopularity
 
 	rejectionRates [roleCount]ewma.Average[float64] // share of recent attempts that were rejected, by role
 
-	lastSequence      uint64  // of the latest request
-	healthCheckBudget float64 // health checks that may be sent
-	expiredAt         Time    // latest expiry and decay
+	lastSequence      uint64  // sequence number of the latest request
+	healthCheckBudget float64 // number of health checks that may be sent
+	expiredAt         Time    // time of the latest expireAndDecay
 }
 
-// New returns a router that knows no endpoint yet.
+// New returns a router without endpoints. They follow in EndpointUpdate events.
 func New(settings Settings, now Time) *Router {
 	settings.Identity.Routers = max(settings.Identity.Routers, 1)
 	settings.Limits.MaxAttempts = max(settings.Limits.MaxAttempts, 1)
@@ -61,8 +62,8 @@
 	}
 }
 
-// Handle processes the events of one instant and returns the actions to carry out, in order. The caller
-// owns the returned slice.
+// Handle processes events that occurred at the same time and returns the actions to carry out, in order. The
+// caller owns the returned slice. If now is earlier than in a previous call, the previous time is used.
 func (r *Router) Handle(now Time, events []Event) []Action {
 	r.now = max(now, r.now)
 	r.actions = nil
@@ -76,12 +77,11 @@
 	for _, event := range events {
 		r.handleEvent(event)
 	}
-	r.release()
+	r.dispatch()
 	r.rejectLateArrivals()
 	return r.actions
 }
 
-// handleEvent passes an event to its handler.
 func (r *Router) handleEvent(event Event) {
 	switch event := event.(type) {
 	case EndpointUpdate:
@@ -105,10 +105,9 @@
 	}
 }
 
-// emit adds an action to those of this instant.
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// tick does the periodic work.
+// tick runs the periodic work on each Timer event.
 func (r *Router) tick() {
 	r.emit(SetTimer{After: tickInterval})
 	r.promote()
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -10,16 +10,16 @@
 	"martenlock/control/internal/ewma"
 )
 
-// promotionRatio is the ratio of a session's waiting time to its service time above which its requests are
-// promoted.
+// promotionRatio is the ratio of a session's waiting time to its service time above which its queued requests
+// are promoted.
 const promotionRatio = 4.0
 
-// requestQueue is a heap of the requests that are not yet released, ordered by servedBefore. It implements
-// heap.Interface. Other code uses add, removeFirst, remove and restoreOrder.
+// requestQueue is a heap of the requests that wait for their first attempt, ordered by servedBefore. Its
+// exported methods implement heap.Interface. Other code uses add, removeFirst, remove and restoreOrder.
 type requestQueue []*request
 
-// servedBefore orders the queue. Promoted requests come first, in order of arrival. The others follow in
-// order of their session's accumulated service time.
+// servedBefore reports whether a leaves the queue before b. Promoted requests come first, in order of
+// arrival. The others follow in ascending order of their session's service time, then in order of arrival.
 func servedBefore(a, b *request) bool {
 	switch {
 	case a.promoted != b.promoted:
@@ -59,38 +59,37 @@
 	return removed
 }
 
-// add puts a request in the queue.
 func (q *requestQueue) add(request *request) { heap.Push(q, request) }
 
-// removeFirst removes and returns the request that is served next. The queue must not be empty.
+// removeFirst removes and returns the first request. The queue must not be empty.
 func (q *requestQueue) removeFirst() *request {
 	return heap.Pop(q).(*request) //nolint:forcetypeassert // Pop returns nothing else
 }
 
-// remove takes a request out of the queue, if it is there.
+// remove removes a request, if it is queued.
 func (q *requestQueue) remove(request *request) {
 	if request.queued() {
 		heap.Remove(q, request.heapIndex)
 	}
 }
 
-// restoreOrder puts the queue in order after promotions.
+// restoreOrder restores the heap order after the promoted fields of requests have changed.
 func (q *requestQueue) restoreOrder() { heap.Init(q) }
 
-// releaseCounter measures how fast requests leave the queue.
-type releaseCounter struct {
+// dispatchCounter measures how many requests leave the queue per second.
+type dispatchCounter struct {
 	perSecond ewma.Average[float64]
-	count     float64 // since the latest update
+	count     float64 // dispatched since the latest update
 }
 
-// update ends an interval of the measurement.
-func (c *releaseCounter) update(elapsed time.Duration) {
+// update adds the rate over the elapsed time since the latest update to the average, and resets the count.
+func (c *dispatchCounter) update(elapsed time.Duration) {
 	c.perSecond.Observe(c.count/elapsed.Seconds(), latencyAlpha)
 	c.count = 0
 }
 
-// timeFor returns how long the release of a number of requests takes. It is 0 while the rate is unknown.
-func (c *releaseCounter) timeFor(requests float64) time.Duration {
+// timeFor returns the expected time to dispatch a number of requests. It is 0 while the rate is unknown.
+func (c *dispatchCounter) timeFor(requests float64) time.Duration {
 	seconds := requests / cmp.Or(c.perSecond.Value, math.Inf(1))
 	return time.Duration(seconds * float64(time.Second))
 }
@@ -98,7 +97,7 @@
 // enqueue adds a new request to the queue.
 func (r *Router) enqueue(event Request) {
 	class := &r.settings.Classes[event.Class]
-	session := r.sessions.open(event.SessionID, r.now)
+	session := r.sessions.findOrCreate(event.SessionID, r.now)
 	added := newRequest(event, class, session, r.settings.Limits.MaxAttempts, r.now)
 	r.lastSequence++
 	added.sequence = r.lastSequence
@@ -110,11 +109,12 @@
 	r.arrivals = append(r.arrivals, added)
 }
 
-// release forwards queued requests while decode engines have capacity. Prefills in flight count as load of
-// the decode engines. Without this, KV states would pile up at the prefill engines.
-func (r *Router) release() {
+// dispatch forwards queued requests while decode engines have capacity. Prefills in flight count towards the
+// load of the decode engines. Otherwise KV states that no decode engine can take would accumulate at the
+// prefill engines.
+func (r *Router) dispatch() {
 	free := r.capacity.freeRequests(r.now)
-	for len(r.queue) > 0 && free >= r.capacity.releaseThreshold {
+	for len(r.queue) > 0 && free >= r.capacity.dispatchThreshold {
 		request := r.queue.removeFirst()
 		if r.missesObjective(request) {
 			r.finishWithoutService(request, FinishedMissingObjective)
@@ -127,14 +127,14 @@
 		}
 		request.session.waitTime += r.now.Sub(request.arrivedAt)
 		r.forward(request, target)
-		r.releases.count++
-		r.capacity.drawReleaseThreshold(r.rng)
+		r.dispatches.count++
+		r.capacity.drawDispatchThreshold(r.rng)
 		free -= float64(request.demand / r.capacity.meanDemand.Value)
 	}
 }
 
-// rejectLateArrivals rejects the arrivals of this instant that miss their objective. It follows release:
-// simultaneous arrivals that all find capacity do not queue.
+// rejectLateArrivals rejects new requests that are still queued and would miss their objective. It must run
+// after dispatch: before that, simultaneous arrivals look queued even if there is capacity for all of them.
 func (r *Router) rejectLateArrivals() {
 	for _, request := range r.arrivals {
 		if !request.finished && request.queued() && r.missesObjective(request) {
@@ -144,8 +144,8 @@
 	r.arrivals = nil
 }
 
-// promote guards against starvation: requests that have waited long go first. It also finishes those that
-// miss their objective.
+// promote prevents starvation by marking queued requests whose session has waited long. It also finishes
+// queued requests that would miss their objective.
 func (r *Router) promote() {
 	var late []*request
 	for _, request := range r.queue {
--- a/control/session.go
+++ b/control/session.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// sessionIdleTimeout is the time without a request after which a session is dropped. It bounds the table.
+// sessionIdleTimeout is the time without a request after which a session is dropped. Without it the session
+// table would grow without bound.
 const sessionIdleTimeout = 60 * time.Second
 
-// session is what the requests of one session share.
+// session is the state that the requests of one session share.
 type session struct {
-	serviceTime  time.Duration // accumulated over its requests
-	waitTime     time.Duration // accumulated in the queue
-	lastPrefill  *endpoint     // computed its latest prompt; nil for none
-	cachedTokens Tokens        // of that prompt
-	seenAt       Time          // latest request
+	serviceTime  time.Duration // sum over its answered requests
+	waitTime     time.Duration // sum over its requests' times in the queue
+	lastPrefill  *endpoint     // endpoint that got its latest prompt; nil for none
+	cachedTokens Tokens        // tokens of that prompt
+	seenAt       Time          // arrival of its latest request
 }
 
-// sessionTable holds the sessions of recent requests by id.
+// sessionTable holds the sessions of recent requests by session id.
 type sessionTable map[uint64]*session
 
-// open returns a session, which is new if the table lacks it. Requests with id 0 belong to no session: each
-// gets one of its own, outside the table.
-func (t sessionTable) open(id uint64, now Time) *session {
+// findOrCreate returns the session with an id, and creates it if the table lacks it. Id 0 means no session:
+// each such request gets a new one that is not added to the table.
+func (t sessionTable) findOrCreate(id uint64, now Time) *session {
 	found := t[id]
 	if found == nil {
 		found = &session{}
@@ -34,7 +35,6 @@
 	return found
 }
 
-// expire drops idle sessions.
 func (t sessionTable) expire(now Time) {
-	maps.DeleteFunc(t, func(_ uint64, row *session) bool { return now.Sub(row.seenAt) > sessionIdleTimeout })
+	maps.DeleteFunc(t, func(_ uint64, s *session) bool { return now.Sub(s.seenAt) > sessionIdleTimeout })
 }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -1,7 +1,7 @@
 package control
 
-// slowStartMargin is the share of an overload that an endpoint in slow start is sent. The rest is a reserve
-// for chance.
+// slowStartMargin is the fraction of its overload traffic that an endpoint in slow start is sent on average.
+// The rest is headroom for random variation.
 const slowStartMargin = 0.4
 
 // warmUp is the state of an endpoint's slow start.
@@ -9,16 +9,16 @@
 	startedAt Time // latest start of the engine; 0 for long ago
 }
 
-// done reports whether the endpoint has its full capacity.
+// done reports whether the slow start is over.
 func (w warmUp) done(now Time, settings SlowStart) bool {
 	return w.startedAt == 0 || now.Sub(w.startedAt) >= settings.Duration
 }
 
-// warmedUp reports whether an endpoint has its full capacity.
+// warmedUp reports whether an endpoint is not in slow start.
 func (r *Router) warmedUp(e *endpoint) bool { return e.warmUp.done(r.now, r.settings.SlowStart) }
 
-// slowStartShare returns the share of others' traffic that an endpoint in slow start may get. It is lower
-// while its role rejects many attempts.
+// slowStartShare returns the traffic of an endpoint in slow start as a fraction of the traffic of a warmed-up
+// endpoint. It is lower while endpoints of the role reject many attempts.
 func (r *Router) slowStartShare(role Role) float64 {
 	accepted := 1 - r.rejectionRates[role].Value
 	return r.settings.SlowStart.InitialShare * r.settings.SlowStart.OverloadMultiple * slowStartMargin * accepted
@@ -27,9 +27,9 @@
 // admittedInSlowStart reports whether a request may go to endpoints in slow start. Without this limit all
 // routers together could overload an engine that has just started.
 //
-// The draw depends on the request and the router alone, and holds for its first attempt at a stage only. So
-// all routers together send such an endpoint a share of what warmed-up ones get, however few requests each
-// has. If all engines of a role have just started, few requests are taken.
+// A request is admitted by a pseudo-random draw that depends only on the request, the router and the role,
+// and only for its first attempt at a stage. The limit therefore holds over all routers together, even if
+// each of them has few requests. If all engines of a role are in slow start, most requests are not admitted.
 func (r *Router) admittedInSlowStart(e *endpoint, request *request) bool {
 	firstOfStage := request.attempts <= min(int(e.role), 1)
 	draw := hashFraction(uint64(request.ID)^r.settings.Identity.Seed, EndpointID(e.role))
--- a/control/status.go
+++ b/control/status.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// EndpointStatus is what a router knows of an endpoint, for operators to compare with its traffic.
+// EndpointStatus is a router's view of an endpoint, for operators.
 type EndpointStatus struct {
 	State           EndpointState
-	InFlight        int           // our attempts there
-	Streaming       int           // those of them whose answer has begun
+	InFlight        int           // this router's attempts in flight
+	Streaming       int           // attempts in flight whose answer has begun
 	FailureRate     float64       // share of recent attempts that failed, from 0 to 1
-	Ejected         bool          // gets nothing but single attempts on probation
-	RelativeLatency float64       // its better times over the mean of its role; 0 for unknown
-	RejectingFor    time.Duration // for which it gets nothing more, since it rejected an attempt
+	Ejected         bool          // gets only single attempts on probation
+	RelativeLatency float64       // ratio of its lower times to its peers' mean; 0 for unknown
+	RejectingFor    time.Duration // remaining pause after it rejected an attempt; 0 for none
 	SlowStart       bool          // started recently and not warmed up
 }
 
--- a/control/topology.go
+++ b/control/topology.go
@@ -9,37 +9,39 @@
 )
 
 const (
-	// prefillSkew is the most that a prefill engine beside many decode engines gets, over its weight.
-	prefillSkew = 1.4
-	// colocatedShare is the weight of a colocated engine's answers over that of a decode engine's.
+	// maxPrefillSkew limits the factor on a prefill engine's traffic share by which skewPrefill moves work. The
+	// factor lies between 1/maxPrefillSkew and maxPrefillSkew.
+	maxPrefillSkew = 1.4
+	// colocatedShare is the share of answers of a colocated engine, relative to a decode engine of the same
+	// weight.
 	colocatedShare = 0.6
-	// colocatedSlowdown is the multiple of a decode engine's time from which a colocated engine gets fewer
-	// answers.
+	// colocatedSlowdown is the ratio of the answer times of colocated engines to those of decode engines above
+	// which colocated engines get fewer answers.
 	colocatedSlowdown = 1.3
 )
 
-// topology holds the shares of all work that cells take and that zones can spare.
+// topology holds the shares of all prefills and answers that each cell serves and that each zone can spare.
 type topology struct {
-	cells map[uint16]*cellShares
-	zones map[uint16]*stageShares
+	cells map[uint16]*cellShares  // by Endpoint.Cell
+	zones map[uint16]*stageShares // by Endpoint.Zone; what the cells of the zone can spare
 }
 
-// stageShares are shares of all prefills and of all answers.
+// stageShares are a share of all prefills and a share of all answers, from 0 to 1.
 type stageShares struct {
 	prefill float64
 	decode  float64
 }
 
-// cellShares are the shares that the endpoints of a cell take.
+// cellShares are the shares that the endpoints of a cell serve.
 type cellShares struct {
 	stageShares
 	zone uint16
 }
 
-// open returns the row of an endpoint's cell. It adds rows for the cell and for the endpoint's zone if they
-// are missing. A faulty list may have one cell in two zones: the cell counts for the first, and both have a
-// row.
-func (t *topology) open(e *endpoint) *cellShares {
+// ensureCell returns the shares of an endpoint's cell. It adds entries for the cell and for the endpoint's
+// zone if they are missing. If a faulty endpoint list has one cell in two zones, the cell belongs to the
+// first zone, but both zones have an entry.
+func (t *topology) ensureCell(e *endpoint) *cellShares {
 	if t.cells[e.Cell] == nil {
 		t.cells[e.Cell] = &cellShares{zone: e.Zone}
 	}
@@ -49,8 +51,9 @@
 	return t.cells[e.Cell]
 }
 
-// poolZones adds to each zone what its cells can spare.
-func (t *topology) poolZones() {
+// sumZoneSpares adds to each zone the surplus of its cells: the prefill share beyond the decode share, or the
+// reverse.
+func (t *topology) sumZoneSpares() {
 	for _, id := range slices.Sorted(maps.Keys(t.cells)) {
 		cell := t.cells[id]
 		zone := t.zones[cell.zone]
@@ -59,8 +62,8 @@
 	}
 }
 
-// rebalance computes the share of all traffic that each endpoint takes, and the shares of prefills and of
-// answers of each cell. Every router computes much the same.
+// rebalance computes the traffic share of each endpoint, and the shares of prefills and answers of each cell
+// and zone. All routers compute nearly the same shares.
 func (r *Router) rebalance() {
 	weights := r.collectReady()
 	decode := max(weights[RoleDecode], minWeight)
@@ -78,21 +81,21 @@
 			e.load.trafficShare *= decode / prefill / all
 		case RoleColocated:
 			e.load.trafficShare *= colocated / all
-		case RoleDecode: // placed by cell and load, not by its share
+		case RoleDecode: // placeDecode does not use the traffic share
 		}
 	}
-	r.topology.poolZones()
+	r.topology.sumZoneSpares()
 }
 
-// collectReady rebuilds the list of ready endpoints and the totals over them. Each endpoint's traffic share
-// becomes its weight for now. It returns the sum of these weights by role.
+// collectReady rebuilds the list of ready endpoints and the totals over them. It sets each endpoint's traffic
+// share to its weight, reduced for decode engines in slow start. It returns the sum of these weights by role.
 func (r *Router) collectReady() (weights perRole) {
 	r.topology = topology{cells: map[uint16]*cellShares{}, zones: map[uint16]*stageShares{}}
 	r.capacity.memoryTokens = 0
 	r.capacity.engines = 0
 	r.endpoints.ready = r.endpoints.ready[:0]
 	for _, e := range r.endpoints.all {
-		cell := r.topology.open(e)
+		cell := r.topology.ensureCell(e)
 		if e.State != Ready {
 			continue
 		}
@@ -115,78 +118,79 @@
 	return weights
 }
 
-// skewPrefill shifts work to prefill engines in cells with many decode engines, as far as the pool has
-// reserves. It returns the sum of the shares of all prefill engines.
+// skewPrefill shifts traffic to prefill engines in cells with many decode engines. It returns the sum of the
+// traffic shares of all prefill engines.
 func (r *Router) skewPrefill(prefillWeight, decodeWeight float64) (sum float64) {
 	for _, e := range r.endpoints.ready {
 		if e.role == RolePrefill {
 			cell := r.topology.cells[e.Cell]
 			skew := math.Sqrt(cell.decode / cell.prefill * prefillWeight / decodeWeight)
-			e.load.trafficShare *= min(max(skew, 1/prefillSkew), prefillSkew)
+			e.load.trafficShare *= min(max(skew, 1/maxPrefillSkew), maxPrefillSkew)
 			sum += e.load.trafficShare
 		}
 	}
 	return sum
 }
 
-// colocatedWeight returns the weight of a colocated engine's answers over that of a decode engine's. It falls
-// while the answers of colocated engines are slow.
+// colocatedWeight returns the share of answers of a colocated engine, relative to a decode engine of the same
+// weight. It is lower while the answers of colocated engines are slow.
 func (r *Router) colocatedWeight() float64 {
 	decode := cmp.Or(r.latency.roles[RoleDecode].relativeLatency.Value, 1)
 	colocated := cmp.Or(r.latency.roles[RoleColocated].relativeLatency.Value, 1)
 	return colocatedShare * min(colocatedSlowdown*decode/colocated, 1)
 }
 
-// scope is a group of endpoints by their distance from the holder of a KV state.
-type scope int
+// locality is a group of endpoints by their distance from the holder of a KV state.
+type locality int
 
-// The scopes, in order of preference.
+// The localities, in order of preference.
 const (
-	scopeSameCell  scope = iota
-	scopeSameZone        // what the other cells of the zone can spare
-	scopeOtherZone       // what all zones can spare
-	scopeAnywhere
-	scopeCount
+	localitySameCell  locality = iota
+	localitySameZone           // cells of the same zone with spare decode capacity
+	localityOtherZone          // cells with spare decode capacity in any zone
+	localityAnywhere           // all endpoints that can take the KV state
+	localityCount
 )
 
-// scopeChoice sorts the endpoints that can take a KV state into scopes. Draws of chance against shares decide
-// whether the state may stay near its holder. So all routers together keep cells and zones balanced.
-type scopeChoice struct {
-	topology *topology
-	rng      *rand.Rand
-	holder   *endpoint
-	cellDraw float64 // decides whether the state may stay in its cell, from 0 to 1
-	zoneDraw float64 // decides whether it may stay in its zone
-	scopes   [scopeCount][]*endpoint
+// localityChoice groups the endpoints that can take a KV state by locality. Random draws weighted with the
+// shares of cells and zones decide whether the state may stay near its holder. Over all requests, no cell or
+// zone then gets more answers than it has decode capacity for.
+type localityChoice struct {
+	topology   *topology
+	rng        *rand.Rand
+	holder     *endpoint
+	cellDraw   float64 // random number from 0 to 1 that decides whether the state may stay in its cell
+	zoneDraw   float64 // random number from 0 to 1 that decides whether it may stay in its zone
+	byLocality [localityCount][]*endpoint
 }
 
-// newScopeChoice returns a choice without endpoints.
-func newScopeChoice(topology *topology, rng *rand.Rand, holder *endpoint) scopeChoice {
-	choice := scopeChoice{topology: topology, rng: rng, holder: holder}
+func newLocalityChoice(topology *topology, rng *rand.Rand, holder *endpoint) localityChoice {
+	choice := localityChoice{topology: topology, rng: rng, holder: holder}
 	choice.cellDraw = rng.Float64()
 	choice.zoneDraw = rng.Float64()
 	return choice
 }
 
-// add sorts an endpoint into the best scope that it may be used in, and into scopeAnywhere.
-func (c *scopeChoice) add(e *endpoint) {
-	c.scopes[scopeAnywhere] = append(c.scopes[scopeAnywhere], e)
+// add adds an endpoint to localityAnywhere and to the most preferred locality that the random draws allow.
+func (c *localityChoice) add(e *endpoint) {
+	c.byLocality[localityAnywhere] = append(c.byLocality[localityAnywhere], e)
 	cell := c.topology.cells[e.Cell]
 	zone := c.topology.zones[e.Zone]
 	spare := c.rng.Float64()*cell.decode < cell.decode-cell.prefill
 	switch {
 	case e.Cell == c.holder.Cell && c.cellDraw*cell.prefill <= cell.decode:
-		c.scopes[scopeSameCell] = append(c.scopes[scopeSameCell], e)
+		c.byLocality[localitySameCell] = append(c.byLocality[localitySameCell], e)
 	case spare && e.Zone == c.holder.Zone && c.zoneDraw*zone.prefill <= zone.decode:
-		c.scopes[scopeSameZone] = append(c.scopes[scopeSameZone], e)
+		c.byLocality[localitySameZone] = append(c.byLocality[localitySameZone], e)
 	case spare && c.rng.Float64()*zone.decode < zone.decode-zone.prefill:
-		c.scopes[scopeOtherZone] = append(c.scopes[scopeOtherZone], e)
+		c.byLocality[localityOtherZone] = append(c.byLocality[localityOtherZone], e)
 	}
 }
 
-// preferred returns the endpoints of the best scope that has any. The list is empty if none was added.
-func (c *scopeChoice) preferred() []*endpoint {
-	for _, list := range c.scopes {
+// preferred returns the endpoints of the most preferred locality that has any. The list is empty if none was
+// added.
+func (c *localityChoice) preferred() []*endpoint {
+	for _, list := range c.byLocality {
 		if len(list) > 0 {
 			return list
 		}
--- a/control/types.go
+++ b/control/types.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Time is a point on the caller's clock, in microseconds from any origin.
+// Time is a point on the caller's clock, in microseconds from an arbitrary origin.
 type Time uint64
 
-// Add returns the time d later.
+// Add returns t plus d, truncated to microseconds.
 func (t Time) Add(d time.Duration) Time { return Time(int64(t) + d.Microseconds()) }
 
 // Sub returns the duration from u to t. It is negative if u is later.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(int64(t)-int64(u)) * time.Microsecond }
 
-// RequestID identifies a request at this router. No id is used twice.
+// RequestID identifies a request at one router. The caller must not use an id twice.
 type RequestID uint32
 
-// AttemptNumber is the position of an attempt among those of its request, from 0.
+// AttemptNumber numbers the attempts of a request at one router, from 0.
 type AttemptNumber int
 
-// EndpointID identifies an engine. It survives restarts of the engine.
+// EndpointID identifies an engine. It stays the same when the engine restarts.
 type EndpointID uint64
 
-// Tokens is a number of tokens. Estimates need not be whole.
+// Tokens is a number of tokens. Estimates may have a fraction.
 type Tokens float64
