--- a/control/capacity.go
+++ b/control/capacity.go
@@ -57,8 +57,8 @@
 }
 
 // memoryShare returns this router's share of an amount of memory, in mean requests. The share includes slack
-// for random variation, which is relatively larger for a small share. If the memory is unknown, 0, the share
-// is infinite.
+// for random variation, which is relatively larger for a small share. For unknown memory (0) the share is
+// infinite.
 func (c *capacityView) memoryShare(memory Tokens) float64 {
 	if memory <= 0 {
 		return math.Inf(1)
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -23,7 +23,7 @@
 			h.finishPrefill(forward, 0)
 		}
 		if taken > 20 {
-			t.Fatalf("prefix %d: %d of 40 answers at the one colocated engine beside two decode engines", prefix, taken)
+			t.Fatalf("prefix %d: the colocated engine got %d of 40 answers beside two decode engines, want at most 20", prefix, taken)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 	h.arrive(10*ms, h.request(2, classIdempotent))
 
 	if actions := h.handle(10*ms, h.request(3, classIdempotent)); len(actions) != 0 {
-		t.Fatalf("released beyond the capacity of the decode engines: %v", actions)
+		t.Fatalf("request dispatched beyond the capacity of the decode engines: %v", actions)
 	}
 }
 
@@ -50,33 +50,33 @@
 		h.startAnswer(0, decode)
 	}
 
-	for range 5 { // reports from before, of an empty engine
+	for range 5 { // outdated reports of an empty engine
 		h.handle(10*ms, HealthCheckResult{Endpoint: 2, Report: []float64{0}})
 	}
 	if actions := h.handle(10*ms, h.request(9, classIdempotent)); len(actions) != 0 {
-		t.Fatalf("released by an old report: %v", actions)
+		t.Fatalf("request dispatched because of outdated load reports: %v", actions)
 	}
 }
 
 func TestCapacityIsSharedAmongManyRouters(t *testing.T) {
-	const fitting = 900
+	const capacity = 900 // requests
 	for _, routers := range []int{3, 300} {
 		settings := testSettings()
-		settings.Engines.Kinds[RoleDecode].MemoryTokens = 20600 // 20 requests a decode engine, 18 under the limit
-		released := 0
+		settings.Engines.Kinds[RoleDecode].MemoryTokens = 20600 // 20 requests per decode engine, 18 with fullMemory
+		dispatched := 0
 		for _, h := range startRouters(t, routers, settings, testEndpoints(10, 50)) {
-			for i := range 4 * fitting / routers {
-				released += count[Forward](h.handle(0, h.request(RequestID(i+1), classIdempotent)))
+			for i := range 4 * capacity / routers {
+				dispatched += count[Forward](h.handle(0, h.request(RequestID(i+1), classIdempotent)))
 			}
 		}
-		if released < 800 || released > 1800 { // slack for chance is the larger the smaller a share is
-			t.Errorf("%d routers released %d where %d fit", routers, released, fitting)
+		if dispatched < 800 || dispatched > 1800 { // many small shares have much slack for random variation
+			t.Errorf("%d routers dispatched %d requests, want 800 to 1800 for a capacity of %d", routers, dispatched, capacity)
 		}
 	}
 }
 
 func TestColocatedEnginesGetLessWhileTheirAnswersAreSlow(t *testing.T) {
-	share := func(colocatedTime time.Duration) (answers int) {
+	countAnswers := func(colocatedTime time.Duration) (colocatedAnswers int) {
 		h := startRouter(t, testSettings())
 		h.handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(4, 4, 4)})
 		for id := RequestID(1); id < 400; id++ {
@@ -85,14 +85,14 @@
 			if forward.Endpoint <= 4 {
 				forward, attempt, elapsed = h.onlyForward(h.finishPrefill(forward, 0)), 1, 100*ms
 			} else if id > 200 {
-				answers++
+				colocatedAnswers++
 			}
 			h.handle(20*ms, Outcome{ID: id, Attempt: attempt, Endpoint: forward.Endpoint, Result: OK, Elapsed: elapsed, Final: true})
 		}
-		return answers
+		return colocatedAnswers
 	}
-	if usual, slow := share(100*ms), share(290*ms); slow == 0 || slow > usual*2/3 {
-		t.Fatalf("%d answers at colocated engines as fast as decode engines, %d at slow ones", usual, slow)
+	if usual, slow := countAnswers(100*ms), countAnswers(290*ms); slow == 0 || slow > usual*2/3 {
+		t.Fatalf("%d answers at colocated engines as fast as decode engines, %d at slow ones; want at most two thirds", usual, slow)
 	}
 }
 
@@ -103,6 +103,6 @@
 		{ID: 2, State: Ready, Kind: int(RoleDecode), Weight: 1, Zone: 1},
 	}})
 	if decode := h.arriveAndPrefill(0, h.request(1, classIdempotent)); decode.Endpoint != 2 {
-		t.Errorf("decoded at %d", decode.Endpoint)
+		t.Errorf("decoded at endpoint %d, want 2", decode.Endpoint)
 	}
 }
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -101,7 +101,7 @@
 }
 
 // ejectionLimitReached reports whether too few endpoints of the target's role would remain if the target were
-// ejected. Faults that most endpoints of a role share have a common cause, and ejection does not help.
+// ejected. If most endpoints of a role fail, they probably share a cause that ejection does not remove.
 func (t *endpointTable) ejectionLimitReached(target *endpoint) bool {
 	all, healthy := 0.0, 0.0
 	for _, e := range t.ready {
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,7 +7,7 @@
 	"martenlock/control"
 )
 
-// A router with one prefill engine and one decode engine takes a request through both stages.
+// A router with one prefill engine and one decode engine forwards a request to both in turn.
 func Example() {
 	settings := control.Settings{
 		Identity: control.RouterIdentity{Routers: 1},
--- a/control/golden_engines_test.go
+++ b/control/golden_engines_test.go
@@ -8,14 +8,14 @@
 
 // The parameters of the engine model.
 const (
-	engineMemory   = 40000.0                 // tokens of KV memory at a decode engine
-	engineStreams  = 24.0                    // concurrent streams at its usual speed
-	prefillToken   = 80 * time.Microsecond   // time to compute a token of a prompt
-	prefillFixed   = 500.0                   // fixed cost of a prefill, in tokens
-	fetchToken     = 10 * time.Microsecond   // time to fetch the KV state of a token
-	decodeToken    = 6 * time.Millisecond    // time of a token of an answer
-	prefillBacklog = 1500 * time.Millisecond // a longer backlog rejects requests
-	networkDelay   = 2 * time.Millisecond
+	engineMemory          = 40000.0                 // tokens of KV memory at a decode engine
+	engineStreams         = 24.0                    // concurrent streams at its usual speed
+	prefillTimePerToken   = 80 * time.Microsecond   // time to compute a token of a prompt
+	prefillOverheadTokens = 500.0                   // fixed cost of a prefill, in tokens
+	fetchTimePerToken     = 10 * time.Microsecond   // time to fetch the KV state of a token
+	decodeTimePerToken    = 6 * time.Millisecond    // time of a token of an answer
+	maxPrefillBacklog     = 1500 * time.Millisecond // a longer backlog rejects requests
+	networkDelay          = 2 * time.Millisecond
 )
 
 // faultKind is what goes wrong at an engine.
@@ -120,15 +120,15 @@
 	case faultNotSent:
 		s.finish(a, delay, control.NotSent, false)
 	case faultKVMissing:
-		s.plan(a.request.router, delay, func() control.Event { return s.missKV(a) })
+		s.scheduleStep(a.request.router, delay, func() control.Event { return s.failKVFetch(a) })
 	case faultSlow, faultBroken, faultNone:
 		return false
 	}
 	return true
 }
 
-// missKV ends an attempt whose engine can't fetch the KV state.
-func (s *simulation) missKV(a *attempt) control.Event {
+// failKVFetch ends an attempt whose engine can't fetch the KV state.
+func (s *simulation) failKVFetch(a *attempt) control.Event {
 	if a.ended {
 		return nil
 	}
@@ -140,7 +140,7 @@
 
 // finish plans the end of an attempt. The earliest end counts.
 func (s *simulation) finish(a *attempt, after time.Duration, result control.Result, final bool) {
-	s.plan(a.request.router, after, func() control.Event { return s.end(a, result, final) })
+	s.scheduleStep(a.request.router, after, func() control.Event { return s.end(a, result, final) })
 }
 
 // end frees what an attempt occupies and makes its outcome.
@@ -166,19 +166,19 @@
 func (s *simulation) prefill(a *attempt, factor float64) {
 	e := a.engine
 	e.busyUntil = max(e.busyUntil, s.now)
-	if e.busyUntil.Sub(s.now) > prefillBacklog {
+	if e.busyUntil.Sub(s.now) > maxPrefillBacklog {
 		s.finish(a, networkDelay, control.Rejected, false)
 		return
 	}
 	cached := e.lookUpPrefix(a.request)
-	work := float64(a.request.PromptTokens-cached+prefillFixed) * factor / max(e.entry.Weight, 0.25)
-	e.busyUntil = e.busyUntil.Add(time.Duration(work * float64(prefillToken)))
+	work := float64(a.request.PromptTokens-cached+prefillOverheadTokens) * factor / max(e.entry.Weight, 0.25)
+	e.busyUntil = e.busyUntil.Add(time.Duration(work * float64(prefillTimePerToken)))
 	wait := e.busyUntil.Sub(s.now)
 	if e.role() == control.RoleColocated {
 		s.decode(a, wait, factor, false)
 		return
 	}
-	s.plan(a.request.router, wait, func() control.Event { return s.finishPrefill(a, cached) })
+	s.scheduleStep(a.request.router, wait, func() control.Event { return s.finishPrefill(a, cached) })
 }
 
 // lookUpPrefix returns how many tokens of a prompt are cached, and caches the prefix of this one.
@@ -213,9 +213,9 @@
 	e.memory += demand
 	a.memory = demand
 	factor *= (1 + float64(e.streams)/engineStreams) * (0.9 + 0.2*s.rng.Float64())
-	firstToken := wait + time.Duration(float64(a.request.PromptTokens+prefillFixed)*factor*float64(fetchToken))
-	stream := time.Duration(float64(a.request.tokens) * factor * float64(decodeToken))
-	s.plan(a.request.router, firstToken, func() control.Event { return s.startAnswer(a) })
+	firstToken := wait + time.Duration(float64(a.request.PromptTokens+prefillOverheadTokens)*factor*float64(fetchTimePerToken))
+	stream := time.Duration(float64(a.request.tokens) * factor * float64(decodeTimePerToken))
+	s.scheduleStep(a.request.router, firstToken, func() control.Event { return s.startAnswer(a) })
 	if breaks {
 		s.finish(a, firstToken+stream/2, control.Failed, false)
 		return
@@ -255,7 +255,7 @@
 	backlog := max(e.busyUntil.Sub(s.now), 0).Seconds()
 	values := make([]float64, 0, len(s.settings.Engines.ReportFields))
 	for _, field := range s.settings.Engines.ReportFields {
-		values = append(values, e.reportValue(field, backlog, s.script.background))
+		values = append(values, e.reportValue(field, backlog, s.script.backgroundMemory))
 	}
 	return values
 }
@@ -293,7 +293,7 @@
 		result = control.Failed
 	case faultRejecting, faultKVMissing, faultNotSent, faultSlow, faultBroken, faultNone: // not of health checks
 	}
-	s.plan(router, after, func() control.Event {
+	s.scheduleStep(router, after, func() control.Event {
 		event := control.HealthCheckResult{Endpoint: e.entry.ID, Result: result, Elapsed: after}
 		if result == control.OK {
 			event.Report = s.report(e)
--- a/control/golden_scripts_test.go
+++ b/control/golden_scripts_test.go
@@ -28,7 +28,7 @@
 	largePrompts      float64 // share of prompts a thousand times as long
 	earlyLeaves       float64 // share of clients that leave early
 	reports           float64 // share of responses with a load report
-	background        float64 // share of KV memory that other routers' requests occupy
+	backgroundMemory  float64 // share of KV memory that other routers' requests occupy
 	subscriptionFails float64 // share of subscriptions that fail
 	quantum           time.Duration
 	promptCancels     bool // every cancellation arrives in time
@@ -228,7 +228,7 @@
 		},
 		{
 			name: "no-state", seed: 19, length: 30 * second, endpoints: pool(6, 5, 1), rate: 60, promptMean: 700,
-			answerMean: 200, sessions: 40, prefixes: 4, reports: 0.5, faults: rejections(), configure: minimalSettings,
+			answerMean: 200, sessions: 40, prefixes: 4, reports: 0.5, faults: rejectionFaults(), configure: minimalSettings,
 		},
 		{
 			name: "relapses", seed: 20, length: 120 * second, endpoints: pool(4, 4, 0), rate: 25, promptMean: 500,
@@ -241,7 +241,7 @@
 		},
 		{
 			name: "stale-reports", seed: 21, length: 60 * second, configure: longDeadlines, endpoints: pool(8, 8, 0), rate: 12,
-			promptMean: 700, answerMean: 100, sessions: 30, prefixes: 4, reports: 0.03, background: 0.92,
+			promptMean: 700, answerMean: 100, sessions: 30, prefixes: 4, reports: 0.03, backgroundMemory: 0.92,
 		},
 		{
 			name: "lost-connections", seed: 22, length: 30 * second, endpoints: pool(6, 6, 2), rate: 40, promptMean: 700,
@@ -299,8 +299,8 @@
 	return list
 }
 
-// rejections has engines reject requests or miss their KV state.
-func rejections() []fault {
+// rejectionFaults has engines reject requests or miss their KV state.
+func rejectionFaults() []fault {
 	const second = time.Second
 	list := alternateFaults(1, 6, faultRejecting, 3*second, 12*second, 0.8)
 	list = append(list, alternateFaults(7, 12, faultKVMissing, 8*second, 16*second, 0.4)...)
--- a/control/golden_simulation_test.go
+++ b/control/golden_simulation_test.go
@@ -29,20 +29,20 @@
 	step   func() control.Event // makes the event at delivery, or nil for none; nil if event is set
 }
 
-// agenda is a heap of deliveries by time, router and number. It implements heap.Interface.
-type agenda []*delivery
+// deliveryHeap is a heap of deliveries by time, router and number. It implements heap.Interface.
+type deliveryHeap []*delivery
 
-func (h agenda) Len() int { return len(h) }
-func (h agenda) Less(i, j int) bool {
+func (h deliveryHeap) Len() int { return len(h) }
+func (h deliveryHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.router, b.router), cmp.Compare(a.number, b.number)) < 0
 }
-func (h agenda) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *agenda) Push(x any) {
+func (h deliveryHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *deliveryHeap) Push(x any) {
 	*h = append(*h, x.(*delivery)) //nolint:forcetypeassert // only simulation.schedule pushes
 }
 
-func (h *agenda) Pop() any {
+func (h *deliveryHeap) Pop() any {
 	last := len(*h) - 1
 	first := (*h)[last]
 	*h = (*h)[:last]
@@ -56,7 +56,7 @@
 	rng        *rand.Rand
 	startedAt  control.Time
 	now        control.Time
-	agenda     agenda
+	pending    deliveryHeap
 	deliveries int
 	routers    []*control.Router
 	engines    []*engine
@@ -125,7 +125,7 @@
 	}
 	s.deliveries++
 	d.number = s.deliveries
-	heap.Push(&s.agenda, d)
+	heap.Push(&s.pending, d)
 }
 
 // send delivers an event to a router.
@@ -133,29 +133,29 @@
 	s.schedule(&delivery{router: router, event: event}, after)
 }
 
-// plan delivers an event that a step makes by then.
-func (s *simulation) plan(router int, after time.Duration, step func() control.Event) {
+// scheduleStep delivers an event that a step makes by then.
+func (s *simulation) scheduleStep(router int, after time.Duration, step func() control.Event) {
 	s.schedule(&delivery{router: router, step: step}, after)
 }
 
 // run plays the script to its end.
 func (s *simulation) run() {
 	for _, change := range s.script.changes {
-		s.plan(0, change.at, func() control.Event { change.apply(s); return nil })
+		s.scheduleStep(0, change.at, func() control.Event { change.apply(s); return nil })
 	}
-	s.plan(0, s.interval(), s.arrivals)
-	for s.elapsed() < s.script.length && len(s.agenda) > 0 {
+	s.scheduleStep(0, s.interval(), s.arrivals)
+	for s.elapsed() < s.script.length && len(s.pending) > 0 {
 		s.step()
 	}
 }
 
 // step passes one router all events of one instant.
 func (s *simulation) step() {
-	at, router := s.agenda[0].at, s.agenda[0].router
+	at, router := s.pending[0].at, s.pending[0].router
 	s.now = at
 	var events []control.Event
-	for len(s.agenda) > 0 && s.agenda[0].at == at && s.agenda[0].router == router {
-		next := heap.Pop(&s.agenda).(*delivery) //nolint:forcetypeassert // Pop returns nothing else
+	for len(s.pending) > 0 && s.pending[0].at == at && s.pending[0].router == router {
+		next := heap.Pop(&s.pending).(*delivery) //nolint:forcetypeassert // Pop returns nothing else
 		if next.step != nil {
 			next.event = next.step()
 		}
@@ -179,7 +179,7 @@
 	case control.Forward:
 		s.start(s.requests[action.ID], s.byID[action.Endpoint], action.Timeout)
 	case control.Reject:
-		s.rejected(s.requests[action.ID], action.RetryAfter)
+		s.handleRejection(s.requests[action.ID], action.RetryAfter)
 	case control.Fail:
 		s.requests[action.ID].finished = true
 	case control.CancelAttempt:
@@ -195,7 +195,7 @@
 
 // subscribe answers a subscription with the whole list, or breaks it.
 func (s *simulation) subscribe(router int) {
-	s.plan(router, 50*time.Millisecond, func() control.Event {
+	s.scheduleStep(router, 50*time.Millisecond, func() control.Event {
 		if s.chance(s.script.subscriptionFails) {
 			return control.SubscriptionFailed{}
 		}
@@ -228,7 +228,7 @@
 	if every := s.script.pauseEvery; every > 0 && s.elapsed()%every > every/5 {
 		pause = every - s.elapsed()%every + time.Duration(s.rng.Float64()*float64(every/10))
 	}
-	s.plan(0, pause, s.arrivals)
+	s.scheduleStep(0, pause, s.arrivals)
 	return nil
 }
 
@@ -266,11 +266,11 @@
 	if s.chance(s.script.earlyLeaves) {
 		timeout = time.Duration(s.rng.Float64() * float64(timeout) / 2)
 	}
-	s.plan(c.router, timeout, func() control.Event { return s.leave(c) })
+	s.scheduleStep(c.router, timeout, func() control.Event { return s.leaveClient(c) })
 }
 
-// leave makes the event that a client left, if it still waits.
-func (s *simulation) leave(c *clientRequest) control.Event {
+// leaveClient makes the event that a client left, if it still waits.
+func (s *simulation) leaveClient(c *clientRequest) control.Event {
 	if c.finished {
 		return nil
 	}
@@ -278,8 +278,8 @@
 	return control.ClientGone{ID: c.ID}
 }
 
-// rejected lets some clients send the request again after Retry-After.
-func (s *simulation) rejected(c *clientRequest, retryAfter time.Duration) {
+// handleRejection lets some clients send the request again after Retry-After.
+func (s *simulation) handleRejection(c *clientRequest, retryAfter time.Duration) {
 	c.finished = true
 	if !s.chance(0.3) || retryAfter > 10*time.Second {
 		return
@@ -288,5 +288,5 @@
 	if s.chance(0.2) { // continued as part of a batch
 		again.PriorAttempts, again.PriorResets = min(len(c.attempts), 2), min(c.resets, len(c.attempts), 2)
 	}
-	s.plan(c.router, retryAfter, func() control.Event { s.arrive(again); return nil })
+	s.scheduleStep(c.router, retryAfter, func() control.Event { s.arrive(again); return nil })
 }
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// harness drives a Router through its public interface, on a clock of its own. It keeps all actions.
+// harness drives a Router through its public interface on a virtual clock. It records all actions.
 type harness struct {
 	t       *testing.T
 	router  *Router
@@ -13,18 +13,17 @@
 	actions []Action
 }
 
-// ms makes durations short to write.
 const ms = time.Millisecond
 
 // The classes of testSettings.
 const (
 	classIdempotent = iota
 	classNotIdempotent
-	classWithKey // deduplicated within a cell for 1 s
+	classWithKey // deduplicated in a cell for 1 s
 )
 
-// testSettings has a kind of engine for each role, with the number of the role, and a class for each kind of
-// idempotency.
+// testSettings returns settings with an engine kind for each role, whose index is the role, and with a class
+// for each kind of idempotency.
 func testSettings() Settings {
 	return Settings{
 		Identity: RouterIdentity{Seed: 1, Routers: 1},
@@ -55,7 +54,7 @@
 	}
 }
 
-// testClass is a class with an objective that tests rarely miss.
+// testClass returns a class with an objective that is long for the times of most tests.
 func testClass(idempotency Idempotency) Class {
 	class := Class{TTFTObjective: 800 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: idempotency}
 	if idempotency == IdempotentWithKey {
@@ -64,7 +63,7 @@
 	return class
 }
 
-// startRouter starts a router whose engines 1, 2, ... have these roles.
+// startRouter starts a router with one endpoint for each of the roles. Their ids are 1, 2 and so on.
 func startRouter(t *testing.T, settings Settings, roles ...Role) *harness {
 	t.Helper()
 	h := &harness{t: t, router: New(settings, 1e6), now: 1e6}
@@ -76,7 +75,7 @@
 	return h
 }
 
-// handle passes events after a while and returns the actions.
+// handle advances the clock, passes events to the router and returns its actions.
 func (h *harness) handle(after time.Duration, events ...Event) []Action {
 	h.now = h.now.Add(after)
 	actions := h.router.Handle(h.now, events)
@@ -84,7 +83,7 @@
 	return actions
 }
 
-// ticks lets time pass tick by tick and returns all actions meanwhile.
+// ticks advances the clock by a duration, with a Timer event at each tick. It returns all actions.
 func (h *harness) ticks(duration time.Duration) (actions []Action) {
 	for ; duration > 0; duration -= tickInterval {
 		actions = append(actions, h.handle(tickInterval, Timer{})...)
@@ -92,7 +91,7 @@
 	return actions
 }
 
-// request returns a request of a session of its own.
+// request returns a request with its own session.
 func (h *harness) request(id RequestID, class int) Request {
 	return Request{
 		ID: id, Class: class, SessionID: uint64(id), PromptTokens: 1000, MaxTokens: 100,
@@ -100,48 +99,49 @@
 	}
 }
 
-// arrive passes a request after a while and returns its first attempt, which must follow at once.
+// arrive advances the clock and passes a request, which must be forwarded at once. It returns the Forward.
 func (h *harness) arrive(after time.Duration, request Request) Forward {
 	h.t.Helper()
 	return h.onlyForward(h.handle(after, request))
 }
 
-// arriveAndPrefill passes a request, completes its prefill and returns its decode attempt.
+// arriveAndPrefill is like arrive, but also completes the prefill. It returns the Forward to a decode engine.
 func (h *harness) arriveAndPrefill(after time.Duration, request Request) Forward {
 	h.t.Helper()
 	return h.onlyForward(h.finishPrefill(h.arrive(after, request), 0))
 }
 
-// finishPrefill ends a prefill well after 20 ms.
+// finishPrefill completes a prefill after 20 ms.
 func (h *harness) finishPrefill(forward Forward, attempt AttemptNumber) []Action {
 	return h.end(20*ms, forward, attempt, PrefillDone)
 }
 
-// startAnswer starts the answer of a decode attempt, the second of its request, after a while.
+// startAnswer advances the clock and starts the answer of a decode attempt, which must be the second attempt of
+// its request.
 func (h *harness) startAnswer(after time.Duration, decode Forward) {
 	h.handle(after, AnswerStarted{ID: decode.ID, Endpoint: decode.Endpoint, Attempt: 1, Elapsed: after})
 }
 
-// answer ends an attempt with a whole answer after a while.
+// answer advances the clock and ends an attempt with a whole answer.
 func (h *harness) answer(after time.Duration, forward Forward, attempt AttemptNumber) []Action {
 	return h.handle(after, Outcome{
 		ID: forward.ID, Attempt: attempt, Endpoint: forward.Endpoint, Result: OK, Elapsed: after, Final: true,
 	})
 }
 
-// end ends an attempt, which did not end its request, after a while.
+// end advances the clock and ends an attempt with a result that does not end its request.
 func (h *harness) end(after time.Duration, forward Forward, attempt AttemptNumber, result Result) []Action {
 	return h.handle(after, Outcome{
 		ID: forward.ID, Attempt: attempt, Endpoint: forward.Endpoint, Result: result, Elapsed: after,
 	})
 }
 
-// onlyForward returns the one Forward among the actions.
+// onlyForward returns the Forward among the actions. It fails the test unless there is exactly one.
 func (h *harness) onlyForward(actions []Action) Forward {
 	h.t.Helper()
 	forwards := actionsOf[Forward](actions)
 	if len(forwards) != 1 {
-		h.t.Fatalf("want one Forward, got %v", actions)
+		h.t.Fatalf("want one Forward, got %d in %v", len(forwards), actions)
 	}
 	return forwards[0]
 }
@@ -159,7 +159,7 @@
 // count returns the number of actions of one type.
 func count[T Action](actions []Action) int { return len(actionsOf[T](actions)) }
 
-// startRouters starts the routers of one service, which share nothing but the endpoint list.
+// startRouters starts the routers of one service. They have the same endpoint list and different seeds.
 func startRouters(t *testing.T, routers int, settings Settings, list []Endpoint) (all []*harness) {
 	t.Helper()
 	for i := range routers {
@@ -171,7 +171,8 @@
 	return all
 }
 
-// testEndpoints lists a number of engines of each role, with ids from 1 in order of role, over eight cells.
+// testEndpoints returns a number of ready endpoints for each role in turn, with ids from 1. The id modulo 8 is
+// the cell.
 func testEndpoints(counts ...int) (list []Endpoint) {
 	for role, n := range counts {
 		for range n {
@@ -182,8 +183,8 @@
 	return list
 }
 
-// playRequests passes n requests to each router in turn and completes all of them. It returns how many attempts
-// all routers together forwarded to each engine.
+// playRequests passes n requests to each router, in rounds of one request per router, and completes each of
+// them. It returns the number of attempts at each endpoint, over all routers.
 func playRequests(all []*harness, n int, next func(h *harness, id RequestID) Request) map[EndpointID]int {
 	forwards := map[EndpointID]int{}
 	id := RequestID(1000)
--- a/control/health_test.go
+++ b/control/health_test.go
@@ -10,10 +10,10 @@
 	prefill := h.arrive(0, h.request(1, classIdempotent))
 
 	if cancels := actionsOf[CancelAttempt](h.ticks(1300 * ms)); len(cancels) != 1 {
-		t.Fatalf("cancels: %v", cancels)
+		t.Fatalf("want one cancelled attempt, got %v", cancels)
 	}
 	if retry := h.onlyForward(h.end(0, prefill, 0, Cancelled)); retry.Endpoint == prefill.Endpoint {
-		t.Fatal("forwarded to the unresponsive engine again")
+		t.Fatal("the retry goes to the unresponsive engine again")
 	}
 }
 
@@ -21,7 +21,7 @@
 	h := startRouter(t, testSettings(), RolePrefill, RolePrefill, RoleDecode)
 	h.handle(0, h.request(1, classIdempotent))
 	if logs := actionsOf[Log](h.ticks(700 * ms)); len(logs) != 0 {
-		t.Fatalf("a first prefill of 0.7 s is taken for unresponsiveness: %v", logs)
+		t.Fatalf("the engine is ejected during its first prefill, after 0.7 s: %v", logs)
 	}
 }
 
@@ -30,7 +30,7 @@
 	decode := h.arriveAndPrefill(0, h.request(1, classIdempotent))
 	h.startAnswer(10*ms, decode)
 	if logs := actionsOf[Log](h.ticks(5 * time.Second)); len(logs) != 0 {
-		t.Fatalf("got %v", logs)
+		t.Fatalf("an engine that streams an answer is ejected: %v", logs)
 	}
 }
 
@@ -47,7 +47,7 @@
 		h.finishPrefill(forward, attempt)
 	}
 	if attemptsAtFailing == 0 || attemptsAtFailing > 5 {
-		t.Fatalf("%d attempts at an engine that fails them all", attemptsAtFailing)
+		t.Fatalf("%d attempts at an engine that fails all of them, want 1 to 5", attemptsAtFailing)
 	}
 }
 
@@ -56,19 +56,18 @@
 	h := startRouter(t, testSettings(), RolePrefill, RolePrefill, RoleDecode)
 	first := h.arrive(0, h.request(1, classIdempotent))
 	if logs := actionsOf[Log](h.ticks(1300 * ms)); len(logs) != 1 {
-		t.Fatalf("not ejected: %v", logs)
+		t.Fatalf("want the engine ejected, got %v", logs)
 	}
 	h.finishPrefill(first, 0)
 
-	// When it is the only one left, then it gets every request.
+	// When it is the only prefill engine left, then it gets every request.
 	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 3 - first.Endpoint, State: Gone, Weight: 1}}})
 	h.finishPrefill(h.arrive(2*time.Second, h.request(2, classIdempotent)), 0)
 	h.finishPrefill(h.arrive(10*ms, h.request(3, classIdempotent)), 0)
 	h.arrive(10*ms, h.request(4, classIdempotent))
 }
 
-// servePrefills serves a number of requests. elapsed returns how long the prefill of each takes. Endpoint 4
-// decodes.
+// servePrefills serves a number of requests. elapsed returns the duration of each prefill. Endpoint 4 decodes.
 func (h *harness) servePrefills(requests int, elapsed func(Forward) time.Duration) {
 	h.t.Helper()
 	for range requests {
@@ -89,7 +88,7 @@
 		return 300 * ms
 	})
 	if slowPrefills == 0 || slowPrefills > 12 {
-		t.Fatalf("%d of 59 prefills at a prefill engine 15 times slower", slowPrefills)
+		t.Fatalf("%d of 59 prefills at an engine that is 15 times slower than the others, want 1 to 12", slowPrefills)
 	}
 }
 
@@ -113,11 +112,11 @@
 	}
 
 	if n := serve(30, true); n != 1 {
-		t.Fatalf("%d attempts in under a second at an engine that can't be reached", n)
+		t.Fatalf("%d attempts in under a second at an unreachable engine, want 1", n)
 	}
 	h.ticks(2 * time.Second)
 	if n := serve(30, false); n == 0 {
-		t.Fatal("no attempts at an engine that is back")
+		t.Fatal("no attempts at the engine after it became reachable again")
 	}
 }
 
@@ -129,11 +128,11 @@
 			actions = h.end(ms, h.onlyForward(actions), attempt, Failed)
 		}
 		if len(h.actions) == 0 || count[Reject](actions) != 1 {
-			t.Fatalf("request %d: %v", id, actions)
+			t.Fatalf("request %d: want a Reject, got %v", id, actions)
 		}
 	}
 	if logs := actionsOf[Log](h.actions); len(logs) != 1 {
-		t.Fatalf("more than half of the prefill engines ejected: %v", logs)
+		t.Fatalf("want one of two prefill engines ejected, got %v", logs)
 	}
 }
 
@@ -143,13 +142,13 @@
 	h.onlyForward(h.end(0, rejected, 1, Rejected))
 	for id := RequestID(2); id < 6; id++ {
 		if decode := h.arriveAndPrefill(10*ms, h.request(id, classIdempotent)); decode.Endpoint == rejected.Endpoint {
-			t.Fatal("forwarded to an engine that has just rejected us")
+			t.Fatal("request forwarded to an engine that has just rejected an attempt")
 		}
 	}
 }
 
 func TestEndpointWithUnansweredHealthCheckIsEjected(t *testing.T) {
-	// Given a router that checks its engines no more often than requests come.
+	// Given a router whose health checks are limited by the rate of requests.
 	settings := testSettings()
 	settings.Caller.CanHealthCheck = true
 	h := startRouter(t, settings, RolePrefill, RolePrefill, RoleDecode)
@@ -159,25 +158,25 @@
 		checks += count[HealthCheck](h.ticks(100 * ms))
 	}
 	if checks != 3 {
-		t.Fatalf("%d health checks in 0.7 s of 3 engines", checks)
+		t.Fatalf("%d health checks of 3 engines in 0.7 s, want 3", checks)
 	}
 	if more := count[HealthCheck](h.ticks(3 * time.Second)); more > 1 {
-		t.Fatalf("%d health checks without a request", more)
+		t.Fatalf("%d health checks without new requests, want at most 1", more)
 	}
 
-	// When a check is not answered, then its engine gets nothing.
+	// When a health check times out, then its engine gets no requests.
 	h.handle(0, HealthCheckResult{Endpoint: 1, Result: TimedOut})
 	for id := RequestID(1); id < 10; id++ {
 		forward := h.arrive(10*ms, h.request(id, classIdempotent))
 		if forward.Endpoint == 1 {
-			t.Fatal("forwarded to an engine whose health check was not answered")
+			t.Fatal("request forwarded to an engine whose health check timed out")
 		}
 		h.finishPrefill(forward, 0)
 	}
 }
 
-// TestQueueingBehindOthersIsNotSlowness: two short prefills in a row that waited behind long ones of other
-// routers don't make their prefill engine slow. TestSlowEndpointIsEjected holds the other side.
+// TestQueueingBehindOthersIsNotSlowness: two short prefills in a row that waited behind long prefills of other
+// routers do not eject their engine. TestSlowEndpointIsEjected checks the opposite case.
 func TestQueueingBehindOthersIsNotSlowness(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[classIdempotent].TTFTObjective = 10 * time.Second // nothing is rejected for its objective
@@ -196,13 +195,13 @@
 			return 20 * ms
 		})
 		if h.router.endpoints.byID[1].health.ejected() {
-			t.Fatalf("request %d: ejected after %d waits", h.router.lastSequence, waits)
+			t.Fatalf("request %d: endpoint 1 is ejected after %d slow prefills in a row", h.router.lastSequence, waits)
 		}
 	}
 }
 
-// TestLostReusedConnectionsEjectNoEndpoint: requests lost with connections that were idle before don't eject a
-// role. Each that is lost with a new connection ejects its engine.
+// TestLostReusedConnectionsEjectNoEndpoint: the loss of a reused connection does not eject its engine at once.
+// The loss of a new connection does.
 func TestLostReusedConnectionsEjectNoEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		reused      bool
@@ -221,16 +220,15 @@
 			}
 		}
 		if ejected != c.wantEjected {
-			t.Errorf("reused %v: %d prefill engines ejected, want %d", c.reused, ejected, c.wantEjected)
+			t.Errorf("reused connection %v: %d prefill engines ejected, want %d", c.reused, ejected, c.wantEjected)
 		}
 	}
 }
 
-// TestUnresponsivenessIsJudgedByTheShortestObjective: a request with a long objective that was forwarded first
-// does not make those behind it wait as long. At an unresponsive engine these are cancelled by their own
-// objective.
+// TestUnresponsivenessIsJudgedByTheShortestObjective: a request with a long objective does not delay the
+// cancellation of later requests with shorter objectives at an unresponsive engine.
 func TestUnresponsivenessIsJudgedByTheShortestObjective(t *testing.T) {
-	// Given an engine with a request of a long objective, and behind it one of a short objective.
+	// Given an engine with a request with a long objective, followed by one with a short objective.
 	settings := testSettings()
 	settings.Classes[classNotIdempotent].TTFTObjective = 6 * time.Second
 	h := startRouter(t, settings, RolePrefill, RolePrefill, RoleDecode)
@@ -240,7 +238,7 @@
 	h.arrive(0, patient)
 	h.arrive(0, h.request(2, classIdempotent))
 
-	// When there is another engine and the first makes no progress.
+	// When another engine is ready and the first makes no progress.
 	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Kind: int(RolePrefill), Weight: 1}}})
 	cancelled := map[RequestID]bool{}
 	for _, cancel := range actionsOf[CancelAttempt](h.ticks(1300 * ms)) {
@@ -249,13 +247,13 @@
 
 	// Then the second request is cancelled.
 	if !cancelled[2] {
-		t.Errorf("cancelled: %v", cancelled)
+		t.Errorf("request 2 is not cancelled, only %v", cancelled)
 	}
 }
 
-// TestOvertakenAttemptIsCancelled: a prefill that two later ones at its engine have overtaken is cancelled
-// though the engine lives, and the engine is not ejected for it. A prefill that nobody overtook waits on, and so
-// does a request that is not idempotent at a decode engine.
+// TestOvertakenAttemptIsCancelled: a prefill is cancelled if two later prefills at its engine finish first, and
+// the engine is not ejected. With fewer, it is not cancelled. A request that is not idempotent is never
+// cancelled at a decode engine.
 func TestOvertakenAttemptIsCancelled(t *testing.T) {
 	for later := range 4 {
 		h := startRouter(t, testSettings(), RolePrefill, RoleDecode)
@@ -269,7 +267,7 @@
 		isCancelled := len(cancelled) == 1 && cancelled[0].ID == 1
 		ejected := h.router.endpoints.byID[1].health.ejected()
 		if isCancelled != (later >= overtakenLimit) || ejected {
-			t.Errorf("%d later ones: %v, ejected %v", later, cancelled, ejected)
+			t.Errorf("overtaken by %d prefills: cancelled %v, engine ejected %v", later, cancelled, ejected)
 		}
 	}
 
@@ -279,7 +277,7 @@
 		h.startAnswer(ms, h.arriveAndPrefill(0, h.request(id, classIdempotent)))
 	}
 	if cancelled := actionsOf[CancelAttempt](h.ticks(600 * ms)); len(cancelled) != 0 {
-		t.Errorf("a request that is not idempotent at a decode engine: %v", cancelled)
+		t.Errorf("a request that is not idempotent was cancelled at a decode engine: %v", cancelled)
 	}
 }
 
@@ -295,6 +293,6 @@
 		checks += count[HealthCheck](h.ticks(time.Second))
 	}
 	if checks < 3 || checks > 5 {
-		t.Fatalf("%d health checks for 5 requests", checks)
+		t.Fatalf("%d health checks for 5 requests, want 3 to 5", checks)
 	}
 }
--- a/control/manyrouters_test.go
+++ b/control/manyrouters_test.go
@@ -94,8 +94,8 @@
 // secondsOf returns a number of seconds as a duration.
 func secondsOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// after schedules an action.
-func (s *simulatedService) after(delay time.Duration, act func()) {
+// schedule schedules an action.
+func (s *simulatedService) schedule(delay time.Duration, act func()) {
 	s.lastSequence++
 	heap.Push(&s.queue, timedAction{s.now.Add(delay), s.lastSequence, act})
 }
@@ -149,16 +149,16 @@
 		perSecond := rate(s.now.Sub(s.startedAt))
 		s.lastID++
 		s.handle(i, next(s.lastID))
-		s.after(time.Duration(s.rng.ExpFloat64()/perSecond*float64(time.Second)), arrive)
+		s.schedule(time.Duration(s.rng.ExpFloat64()/perSecond*float64(time.Second)), arrive)
 	}
-	s.after(time.Duration(s.rng.Float64()*float64(time.Second)), arrive)
+	s.schedule(time.Duration(s.rng.Float64()*float64(time.Second)), arrive)
 }
 
 // handle gives events to router i and carries out its actions.
 func (s *simulatedService) handle(i int, events ...Event) {
 	start := s.starts[i]
 	later := func(delay time.Duration, event Event) {
-		s.after(delay, func() {
+		s.schedule(delay, func() {
 			if s.starts[i] == start {
 				s.handle(i, event)
 			}
@@ -205,8 +205,8 @@
 	return outcome
 }
 
-// mostWithin returns the greatest number of arrivals within a time, counted from those at or after since.
-func (e *simulatedEngine) mostWithin(duration time.Duration, since Time) (most int) {
+// maxArrivalsWithin returns the greatest number of arrivals within a time, counted from those at or after since.
+func (e *simulatedEngine) maxArrivalsWithin(duration time.Duration, since Time) (most int) {
 	from := 0
 	for to := range e.arrivals {
 		for e.arrivals[to].Sub(e.arrivals[from]) > duration {
@@ -255,9 +255,9 @@
 				s.startSkewedClients(total, c.skew, c.burst)
 
 				// When engines start anew, and perhaps routers soon after.
-				s.after(4*time.Second, func() { s.restartEngines(c.restarted, c.engines) })
+				s.schedule(4*time.Second, func() { s.restartEngines(c.restarted, c.engines) })
 				if c.routersRestart {
-					s.after(5500*ms, s.restartMost)
+					s.schedule(5500*ms, s.restartMost)
 				}
 				s.run(14 * time.Second)
 
@@ -310,7 +310,7 @@
 		rate := rates[s.settings.Engines.Kinds[e.Kind].Role]
 		n := rate * slowStart.InitialShare * slowStart.OverloadMultiple * slowStart.OverloadDuration.Seconds()
 		bound := n + 2*math.Sqrt(n) + 2
-		most := s.engines[e.ID].mostWithin(slowStart.OverloadDuration, e.StartedAt)
+		most := s.engines[e.ID].maxArrivalsWithin(slowStart.OverloadDuration, e.StartedAt)
 		worst = max(worst, float64(most)/bound)
 	}
 	return worst
@@ -340,10 +340,10 @@
 				s.run(20 * time.Second)
 
 				// Then large requests get their share, and every session some answers.
-				share, ofLarge, shut := mix.shares()
-				t.Logf("answered %.3f, of the largest %.3f, %d of %d sessions not at all", share, ofLarge, shut, len(mix.sessions))
-				if share < 0.9 || ofLarge < share*2/3 || shut > 0 {
-					t.Errorf("answered %.3f, of the largest %.3f, %d of %d sessions not at all", share, ofLarge, shut, len(mix.sessions))
+				share, ofLarge, unanswered := mix.shares()
+				t.Logf("answered %.3f, of the largest %.3f, %d of %d sessions not at all", share, ofLarge, unanswered, len(mix.sessions))
+				if share < 0.9 || ofLarge < share*2/3 || unanswered > 0 {
+					t.Errorf("answered %.3f, of the largest %.3f, %d of %d sessions not at all", share, ofLarge, unanswered, len(mix.sessions))
 				}
 			})
 		}
--- a/control/retention_test.go
+++ b/control/retention_test.go
@@ -14,9 +14,9 @@
 	return startRouter(t, settings, roles...)
 }
 
-// TestKVStateReleasedUnderSilentAttempt: while nothing proves that a decode attempt has reached its engine, the
+// TestKVStateIsReleasedDuringUnprovenAttempt: while nothing proves that a decode attempt has reached its engine, the
 // release is emitted, once, so early that it can arrive within the limit.
-func TestKVStateReleasedUnderSilentAttempt(t *testing.T) {
+func TestKVStateIsReleasedDuringUnprovenAttempt(t *testing.T) {
 	for class := range 3 {
 		h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode)
 		h.arriveAndPrefill(0, h.request(1, class))
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestKVStateKeptOnceItsAttemptIsProven: no release follows the start of an answer, and none if it would take the
+// TestKVStateIsKeptOnceItsAttemptHasArrived: no release follows the start of an answer, and none if it would take the
 // state from an attempt that waits for it.
-func TestKVStateKeptOnceItsAttemptIsProven(t *testing.T) {
+func TestKVStateIsKeptOnceItsAttemptHasArrived(t *testing.T) {
 	h := startReleasing(t, RolePrefill, RoleDecode)
 	h.startAnswer(10*ms, h.arriveAndPrefill(0, h.request(1, classIdempotent)))
 	if releases := actionsOf[ReleaseKV](h.ticks(2 * time.Second)); len(releases) != 0 {
@@ -94,10 +94,10 @@
 	}
 }
 
-// TestForfeitedKVStateIsNotCountedOn: after a release under an attempt that then ends without proof, the state
+// TestStaleKVStateIsReleasedAgainAndNotReused: after a release under an attempt that then ends without proof, the state
 // is released again, since the attempt may have kept it. The prompt is computed again if the request can meet
 // its objective. Otherwise it is rejected at once.
-func TestForfeitedKVStateIsNotCountedOn(t *testing.T) {
+func TestStaleKVStateIsReleasedAgainAndNotReused(t *testing.T) {
 	for after, isRetried := range map[time.Duration]bool{350 * ms: true, 900 * ms: false} {
 		h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode)
 		decode := h.arriveAndPrefill(0, h.request(1, classIdempotent))
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestForfeitedKVStateOfNotIdempotentRequestFails: the request may have been executed, and is not rejected.
-func TestForfeitedKVStateOfNotIdempotentRequestFails(t *testing.T) {
+// TestNotIdempotentRequestWithStaleKVStateFails: the request may have been executed, and is not rejected.
+func TestNotIdempotentRequestWithStaleKVStateFails(t *testing.T) {
 	h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode)
 	decode := h.arriveAndPrefill(0, h.request(1, classNotIdempotent))
 	h.ticks(350 * ms)
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestAttemptsInQuickSuccessionDoNotPutOffTheRelease: an attempt that was sent just now has a moment to prove its
+// TestQuickRetriesDoNotDelayTheRelease: an attempt that was sent just now has a moment to prove its
 // arrival, but not beyond the time by which the release must be on its way.
-func TestAttemptsInQuickSuccessionDoNotPutOffTheRelease(t *testing.T) {
+func TestQuickRetriesDoNotDelayTheRelease(t *testing.T) {
 	h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode, RoleDecode, RoleDecode)
 	first := h.arriveAndPrefill(0, h.request(1, classIdempotent))
 	retainedSince := h.now
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestRequestRejectedTwiceIsRejectedWhileManyAre(t *testing.T) {
+func TestSecondRejectionIsFinalWhileManyAttemptsAreRejected(t *testing.T) {
 	// Given engines that reject every attempt, then the second rejection is final.
 	h := startRouter(t, testSettings())
 	h.handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(20, 20)})
--- a/control/statemachine_test.go
+++ b/control/statemachine_test.go
@@ -55,7 +55,7 @@
 	m.router = control.New(m.settings, m.now)
 	m.releases = kvrelease.NewScheduler(m.settings.Limits.KVRetentionLimit)
 	for id := control.EndpointID(1); id <= listedEngines; id++ {
-		m.listed[id] = m.listing(id)
+		m.listed[id] = m.listEntry(id)
 	}
 	m.revision = 1
 	m.apply(membership.Update{Revision: m.revision, Complete: true, Endpoints: m.listedEndpoints()})
@@ -267,8 +267,8 @@
 	m.handle(request.Request)
 }
 
-// draw draws one of the requests that match. It skips the step if there is none.
-func (m *stateMachine) draw(matches func(*modelRequest) bool) *modelRequest {
+// drawRequest draws one of the requests that match. It skips the step if there is none.
+func (m *stateMachine) drawRequest(matches func(*modelRequest) bool) *modelRequest {
 	ids := slices.DeleteFunc(m.requestIDs(), func(id control.RequestID) bool { return !matches(m.requests[id]) })
 	if len(ids) == 0 {
 		m.t.Skip("none")
@@ -284,13 +284,13 @@
 	return m.settings.Engines.Kinds[m.listed[id].Kind].Role
 }
 
-// drawListing draws an engine and returns its entry in the endpoint list.
-func (m *stateMachine) drawListing() membership.Endpoint {
-	return m.listing(control.EndpointID(rapid.IntRange(1, listedEngines).Draw(m.t, "endpoint")))
+// drawEntry draws an engine and returns its entry in the endpoint list.
+func (m *stateMachine) drawEntry() membership.Endpoint {
+	return m.listEntry(control.EndpointID(rapid.IntRange(1, listedEngines).Draw(m.t, "endpoint")))
 }
 
-// listing returns an engine's entry in the endpoint list. An engine that is not listed yet is ready.
-func (m *stateMachine) listing(id control.EndpointID) membership.Endpoint {
+// listEntry returns an engine's entry in the endpoint list. An engine that is not listed yet is ready.
+func (m *stateMachine) listEntry(id control.EndpointID) membership.Endpoint {
 	state, startedAt := control.Ready, control.Time(0)
 	if listed, ok := m.listed[id]; ok {
 		state, startedAt = listed.State, listed.StartedAt
@@ -315,7 +315,7 @@
 
 // changeEndpoint changes the state of an engine, which may have started anew, and lists it.
 func (m *stateMachine) changeEndpoint() {
-	entry := m.drawListing()
+	entry := m.drawEntry()
 	entry.State = control.EndpointState(rapid.IntRange(0, 2).Draw(m.t, "state"))
 	if entry.State == control.Ready && rapid.Bool().Draw(m.t, "started anew") {
 		entry.StartedAt = m.now
@@ -331,14 +331,14 @@
 	m.apply(membership.Update{
 		Revision:  m.revision - min(m.revision, age),
 		Complete:  rapid.Bool().Draw(m.t, "complete"),
-		Endpoints: []membership.Endpoint{m.drawListing()},
+		Endpoints: []membership.Endpoint{m.drawEntry()},
 	})
 }
 
-// TestNoAttemptKeepsKVStatePastTheLimit plays requests whose attempts end at random times in random ways. Many
+// TestUnusedKVStateIsReleasedWithinTheLimit plays requests whose attempts end at random times in random ways. Many
 // never reach an engine, which the router can't see. It must ask for the release of each unused KV state
 // within the retention limit.
-func TestNoAttemptKeepsKVStatePastTheLimit(t *testing.T) {
+func TestUnusedKVStateIsReleasedWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newStateMachine(t)
 		for range rapid.IntRange(1, 4).Draw(t, "requests") {
@@ -371,7 +371,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"change endpoint": func(*rapid.T) { m.changeEndpoint() },
 			"client leaves": func(*rapid.T) {
-				request := m.draw(func(request *modelRequest) bool { return !request.answered && !request.clientGone })
+				request := m.drawRequest(func(request *modelRequest) bool { return !request.answered && !request.clientGone })
 				request.clientGone = true
 				m.handle(control.ClientGone{ID: request.ID})
 			},
@@ -385,7 +385,7 @@
 			},
 			"old update": func(*rapid.T) { m.replayOldUpdate() },
 			"outcome": func(t *rapid.T) {
-				request := m.draw(func(request *modelRequest) bool { return request.attemptInFlight })
+				request := m.drawRequest(func(request *modelRequest) bool { return request.attemptInFlight })
 				result := drawResult(t)
 				if request.hasFirstToken && result != control.OK {
 					result = control.Reset
@@ -397,7 +397,7 @@
 				m.arrive(class, time.Duration(rapid.IntRange(20, 3000).Draw(t, "timeout ms"))*time.Millisecond)
 			},
 			"start of an answer": func(*rapid.T) {
-				m.startAnswer(m.draw(func(request *modelRequest) bool {
+				m.startAnswer(m.drawRequest(func(request *modelRequest) bool {
 					waits := request.attemptInFlight && !request.hasFirstToken && !request.clientGone
 					return waits && request.arrived && m.role(request.endpoint) != control.RolePrefill
 				}))
--- a/control/topology.go
+++ b/control/topology.go
@@ -153,8 +153,8 @@
 )
 
 // localityChoice groups the endpoints that can take a KV state by locality. Random draws weighted with the
-// shares of cells and zones decide whether the state may stay near its holder. Over all requests, no cell or
-// zone then gets more answers than it has decode capacity for.
+// shares of cells and zones decide whether the state may stay near its holder. This balances the load of
+// cells and zones over the requests of all routers.
 type localityChoice struct {
 	topology   *topology
 	rng        *rand.Rand
