--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -23,8 +23,8 @@
 
 var updateGolden = flag.Bool("update", false, "write the golden file of decisions")
 
-// recorder writes the decisions of one script: each window's actions by kind, and a running hash of every action
-// so far.
+// recorder writes the decisions of one script: each window's actions by kind, and a running hash of every
+// action so far.
 type recorder struct {
 	t         *testing.T
 	lines     []string
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -116,8 +116,8 @@
 	return h.end(20*ms, forward, attempt, PrefillDone)
 }
 
-// startAnswer advances the clock and starts the answer of a decode attempt, which must be the second attempt of
-// its request.
+// startAnswer advances the clock and starts the answer of a decode attempt, which must be the second attempt
+// of its request.
 func (h *harness) startAnswer(after time.Duration, decode Forward) {
 	h.handle(after, AnswerStarted{ID: decode.ID, Endpoint: decode.Endpoint, Attempt: 1, Elapsed: after})
 }
@@ -171,8 +171,8 @@
 	return all
 }
 
-// testEndpoints returns a number of ready endpoints for each role in turn, with ids from 1. The id modulo 8 is
-// the cell.
+// testEndpoints returns a number of ready endpoints for each role in turn, with ids from 1. The id modulo 8
+// is the cell.
 func testEndpoints(counts ...int) (list []Endpoint) {
 	for role, n := range counts {
 		for range n {
--- a/control/health_test.go
+++ b/control/health_test.go
@@ -67,7 +67,8 @@
 	h.arrive(10*ms, h.request(4, classIdempotent))
 }
 
-// servePrefills serves a number of requests. elapsed returns the duration of each prefill. Endpoint 4 decodes.
+// servePrefills serves a number of requests. elapsed returns the duration of each prefill. Endpoint 4
+// decodes.
 func (h *harness) servePrefills(requests int, elapsed func(Forward) time.Duration) {
 	h.t.Helper()
 	for range requests {
@@ -175,8 +176,8 @@
 	}
 }
 
-// TestQueueingBehindOthersIsNotSlowness: two short prefills in a row that waited behind long prefills of other
-// routers do not eject their engine. TestSlowEndpointIsEjected checks the opposite case.
+// TestQueueingBehindOthersIsNotSlowness: two short prefills in a row that waited behind long prefills of
+// other routers do not eject their engine. TestSlowEndpointIsEjected checks the opposite case.
 func TestQueueingBehindOthersIsNotSlowness(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[classIdempotent].TTFTObjective = 10 * time.Second // nothing is rejected for its objective
@@ -200,8 +201,8 @@
 	}
 }
 
-// TestLostReusedConnectionsEjectNoEndpoint: the loss of a reused connection does not eject its engine at once.
-// The loss of a new connection does.
+// TestLostReusedConnectionsEjectNoEndpoint: the loss of a reused connection does not eject its engine at
+// once. The loss of a new connection does.
 func TestLostReusedConnectionsEjectNoEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		reused      bool
@@ -251,8 +252,8 @@
 	}
 }
 
-// TestOvertakenAttemptIsCancelled: a prefill is cancelled if two later prefills at its engine finish first, and
-// the engine is not ejected. With fewer, it is not cancelled. A request that is not idempotent is never
+// TestOvertakenAttemptIsCancelled: a prefill is cancelled if two later prefills at its engine finish first,
+// and the engine is not ejected. With fewer, it is not cancelled. A request that is not idempotent is never
 // cancelled at a decode engine.
 func TestOvertakenAttemptIsCancelled(t *testing.T) {
 	for later := range 4 {
--- a/control/manyrouters_test.go
+++ b/control/manyrouters_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// timedAction is an action at a time of a virtual clock.
+// timedAction is a function to run at a time of the virtual clock.
 type timedAction struct {
 	at       Time
-	sequence int
+	sequence int // order among actions at the same time
 	act      func()
 }
 
-// timedActions is a heap by time, then by sequence. It implements heap.Interface.
+// timedActions is a heap ordered by time, then by sequence. It implements heap.Interface.
 type timedActions []timedAction
 
 func (h timedActions) Len() int { return len(h) }
@@ -37,19 +37,19 @@
 	return first
 }
 
-// simulatedEngine answers requests one after another. It is slower in slow start, and rejects what would wait
-// behind too many.
+// simulatedEngine serves requests one after another. It is slower in slow start, and rejects requests while
+// its backlog is above maxBacklog.
 type simulatedEngine struct {
 	Endpoint
-	serviceTime time.Duration
+	serviceTime time.Duration // of a request of the usual size, when warmed up
 	idleAt      Time
-	arrivals    []Time // of all attempts, rejected ones included
+	arrivals    []Time // of all attempts, including rejected ones
 }
 
-// maxBacklog is the number of service times of requests that wait at an engine.
+// maxBacklog is the longest backlog of an engine, as a multiple of the service time of the new request.
 const maxBacklog = 40
 
-// simulatedService is many routers and engines on a virtual clock.
+// simulatedService simulates the routers and engines of one service on a virtual clock.
 type simulatedService struct {
 	settings     Settings
 	rng          *rand.Rand
@@ -58,16 +58,16 @@
 	queue        timedActions
 	lastSequence int
 	routers      []*Router
-	starts       []int // of each router
+	starts       []int // number of starts of each router
 	engines      map[EndpointID]*simulatedEngine
 	endpoints    []Endpoint
 	lastID       RequestID
 	served       int
-	relativeSize map[RequestID]float64 // work of a request over the usual; 1 if it is missing
-	answered     map[RequestID]bool    // in time
+	relativeSize map[RequestID]float64 // service time of a request relative to the usual; 1 if it is missing
+	answered     map[RequestID]bool    // requests that were answered in time
 }
 
-// startService starts a service whose engines have one service time for each role.
+// startService starts a service. serviceTime is the service time of the engines of each role, in seconds.
 func startService(settings Settings, rng *rand.Rand, endpoints []Endpoint, serviceTime perRole) *simulatedService {
 	s := &simulatedService{
 		settings:     settings,
@@ -91,7 +91,6 @@
 	return s
 }
 
-// secondsOf returns a number of seconds as a duration.
 func secondsOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // schedule schedules an action.
@@ -100,7 +99,7 @@
 	heap.Push(&s.queue, timedAction{s.now.Add(delay), s.lastSequence, act})
 }
 
-// run acts until a time after the start.
+// run runs the scheduled actions up to a time after the start.
 func (s *simulatedService) run(duration time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at < s.startedAt.Add(duration) {
 		next := heap.Pop(&s.queue).(timedAction) //nolint:forcetypeassert // Pop returns nothing else
@@ -109,7 +108,7 @@
 	}
 }
 
-// restart starts router i anew. It forgets all but the endpoint list.
+// restart replaces router i with a new one that knows only the endpoint list.
 func (s *simulatedService) restart(i int) {
 	s.starts[i]++
 	settings := s.settings
@@ -118,7 +117,7 @@
 	s.handle(i, EndpointUpdate{Endpoints: slices.Clone(s.endpoints), Full: true})
 }
 
-// restartMost restarts seven of ten routers.
+// restartMost restarts 70 % of the routers.
 func (s *simulatedService) restartMost() {
 	for i := range s.routers {
 		if i%10 < 7 {
@@ -127,7 +126,8 @@
 	}
 }
 
-// restartEngines starts the last engines of each role anew, of which there are perRole, and tells all routers.
+// restartEngines restarts the last count engines of each role and updates all routers. Each role has perRole
+// engines.
 func (s *simulatedService) restartEngines(count, perRole int) {
 	var changes []Endpoint
 	for i := range s.endpoints {
@@ -142,7 +142,8 @@
 	}
 }
 
-// startClients sends router i requests at a rate that may change with the time since the start.
+// startClients sends requests to router i at random intervals. rate returns the mean number per second, which
+// may change with the time since the start.
 func (s *simulatedService) startClients(i int, rate func(since time.Duration) float64, next func(id RequestID) Request) {
 	var arrive func()
 	arrive = func() {
@@ -154,7 +155,7 @@
 	s.schedule(time.Duration(s.rng.Float64()*float64(time.Second)), arrive)
 }
 
-// handle gives events to router i and carries out its actions.
+// handle passes events to router i and carries out its actions.
 func (s *simulatedService) handle(i int, events ...Event) {
 	start := s.starts[i]
 	later := func(delay time.Duration, event Event) {
@@ -177,7 +178,7 @@
 	}
 }
 
-// serve returns the outcome of an attempt.
+// serve adds an attempt to the backlog of its engine and returns the outcome.
 func (s *simulatedService) serve(action Forward) Outcome {
 	e := s.engines[action.Endpoint]
 	e.arrivals = append(e.arrivals, s.now)
@@ -205,30 +206,32 @@
 	return outcome
 }
 
-// maxArrivalsWithin returns the greatest number of arrivals within a time, counted from those at or after since.
-func (e *simulatedEngine) maxArrivalsWithin(duration time.Duration, since Time) (most int) {
+// maxArrivalsWithin returns the greatest number of arrivals within any interval of a duration that begins at
+// or after since.
+func (e *simulatedEngine) maxArrivalsWithin(duration time.Duration, since Time) (arrivals int) {
 	from := 0
 	for to := range e.arrivals {
 		for e.arrivals[to].Sub(e.arrivals[from]) > duration {
 			from++
 		}
 		if e.arrivals[from] >= since {
-			most = max(most, to-from+1)
+			arrivals = max(arrivals, to-from+1)
 		}
 	}
-	return most
+	return arrivals
 }
 
-// TestRoutersTogetherDoNotOverloadEndpointsInSlowStart: what all routers together send an engine that has just
-// started stays within N + 2 root N + 2 requests in the time in which it would be overloaded, N being what the
-// settings allow it. This must hold with many routers, of which some see several times the mean, under a
-// burst, with most engines of a role in slow start, and with routers that start again and forget.
+// TestRoutersTogetherDoNotOverloadEndpointsInSlowStart: within SlowStart.OverloadDuration, all routers
+// together send an engine in slow start at most N + 2*sqrt(N) + 2 requests, where N is the number that the
+// settings allow. This holds for many routers with unequal traffic, during a burst, with most engines of a
+// role in slow start, and after restarts of routers.
 func TestRoutersTogetherDoNotOverloadEndpointsInSlowStart(t *testing.T) {
 	for _, c := range []struct {
-		routers, engines, restarted int // engines of each role
-		load, burst                 float64
+		routers, engines, restarted int     // engines and restarted engines are numbers per role
+		load                        float64 // request rate as a fraction of the engines' capacity
+		burst                       float64 // factor on the rate during the burst
 		routersRestart              bool
-		skew                        float64 // what every tenth router sees, over the mean of the others
+		skew                        float64 // request rate of every tenth router, relative to the others
 	}{
 		{25, 12, 3, 0.6, 1.5, false, 6},
 		{25, 12, 9, 0.6, 1.5, false, 6},
@@ -243,7 +246,7 @@
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%+v/%d", c, seed), func(t *testing.T) {
 				t.Parallel()
-				// Given a service whose engines each do so many requests a second.
+				// Given a service whose engines have fixed rates, in requests per second.
 				settings := testSettings()
 				settings.Identity.Routers, settings.Caller.CanHealthCheck = c.routers, true
 				settings.SlowStart.InitialShare, settings.SlowStart.Duration = 0.35, 10*time.Second
@@ -254,7 +257,7 @@
 				total := c.load * min(rates[RolePrefill], rates[RoleDecode]) * float64(c.engines)
 				s.startSkewedClients(total, c.skew, c.burst)
 
-				// When engines start anew, and perhaps routers soon after.
+				// When engines restart, and in some cases most routers soon after.
 				s.schedule(4*time.Second, func() { s.restartEngines(c.restarted, c.engines) })
 				if c.routersRestart {
 					s.schedule(5500*ms, s.restartMost)
@@ -263,17 +266,17 @@
 
 				// Then no engine in slow start gets more than its bound.
 				worst := s.worstOverload(rates)
-				t.Logf("most: %.2f of the bound; %d served of %d", worst, s.served, s.lastID)
+				t.Logf("an engine in slow start got at most %.2f of its bound; %d of %d requests served", worst, s.served, s.lastID)
 				if worst > 1 || s.served == 0 {
-					t.Errorf("an engine in slow start got %.2f of what overloads it; %d served", worst, s.served)
+					t.Errorf("an engine in slow start got %.2f of its bound, want at most 1; %d requests served", worst, s.served)
 				}
 			})
 		}
 	}
 }
 
-// startSkewedClients starts clients with a total rate. Every tenth router gets skew times the requests of the
-// others. From 5 s to 9 s the rate is burst times as high.
+// startSkewedClients starts clients with a total rate, in requests per second. Every tenth router gets skew
+// times the requests of the others. From 5 s to 9 s after the start, the rate is multiplied by burst.
 func (s *simulatedService) startSkewedClients(total, skew, burst float64) {
 	weights, sum := make([]float64, len(s.routers)), 0.0
 	for i := range weights {
@@ -299,8 +302,8 @@
 	}
 }
 
-// worstOverload returns the most that an engine in slow start got, over its bound. Engines of each role do so
-// many requests a second.
+// worstOverload returns the greatest ratio of the requests that an engine in slow start got to its bound.
+// rates are the requests per second of an engine of each role.
 func (s *simulatedService) worstOverload(rates perRole) (worst float64) {
 	slowStart := s.settings.SlowStart
 	for _, e := range s.endpoints {
@@ -316,9 +319,9 @@
 	return worst
 }
 
-// TestLargePromptsAndSessionsAreServedFairly: under light load the tenth of the requests with the longest
-// prompts gets two thirds of its class's share of answers at least, and no session is rejected throughout, by 5
-// to 300 routers.
+// TestLargePromptsAndSessionsAreServedFairly: under light load, with 5 to 300 routers, the answered share of
+// the requests with large prompts is at least two thirds of that of all requests, and no session is left
+// without answers.
 func TestLargePromptsAndSessionsAreServedFairly(t *testing.T) {
 	for _, c := range []struct{ routers, engines int }{{5, 6}, {25, 12}, {300, 40}} {
 		for seed := range uint64(2) {
@@ -336,28 +339,28 @@
 					s.startClients(i, rate, func(id RequestID) Request { return mix.next(i, id) })
 				}
 
-				// When it has run for a while.
+				// When it has run for 20 s.
 				s.run(20 * time.Second)
 
-				// Then large requests get their share, and every session some answers.
+				// Then large requests get their share of answers, and every session gets some.
 				share, ofLarge, unanswered := mix.shares()
-				t.Logf("answered %.3f, of the largest %.3f, %d of %d sessions not at all", share, ofLarge, unanswered, len(mix.sessions))
+				t.Logf("answered: %.3f overall, %.3f of large requests; no answer for %d of %d sessions", share, ofLarge, unanswered, len(mix.sessions))
 				if share < 0.9 || ofLarge < share*2/3 || unanswered > 0 {
-					t.Errorf("answered %.3f, of the largest %.3f, %d of %d sessions not at all", share, ofLarge, unanswered, len(mix.sessions))
+					t.Errorf("answered: %.3f overall, %.3f of large requests; no answer for %d of %d sessions", share, ofLarge, unanswered, len(mix.sessions))
 				}
 			})
 		}
 	}
 }
 
-// requestMix draws requests, of which a tenth is large, and remembers them.
+// requestMix draws requests, a tenth of them with a large prompt, and records them.
 type requestMix struct {
 	service  *simulatedService
 	large    map[RequestID]bool
-	sessions map[uint64][]RequestID
+	sessions map[uint64][]RequestID // requests by session
 }
 
-// next draws a request of one of the twenty sessions of router i.
+// next draws a request for router i, of one of its 20 sessions.
 func (m *requestMix) next(i int, id RequestID) Request {
 	rng, prompt := m.service.rng, Tokens(1000)
 	if rng.IntN(10) == 0 {
@@ -372,8 +375,8 @@
 	}
 }
 
-// shares returns the share of requests that were answered, that of large requests, and the number of sessions
-// with several requests and no answer.
+// shares returns the answered share of all requests, the answered share of the large requests, and the number
+// of sessions with at least four requests and no answer.
 func (m *requestMix) shares() (answered, ofLarge float64, sessionsWithoutAnswer int) {
 	for id := RequestID(1); id <= m.service.lastID; id++ {
 		if m.service.answered[id] {
--- a/control/placement_test.go
+++ b/control/placement_test.go
@@ -15,12 +15,12 @@
 	second := h.request(2, classIdempotent)
 	second.SessionID, second.PrefixHash = 77, 6
 	if again := h.arrive(time.Second, second); again.Endpoint != prefill.Endpoint {
-		t.Fatalf("first request prefilled at %d, second at %d", prefill.Endpoint, again.Endpoint)
+		t.Fatalf("requests of one session prefilled at endpoints %d and %d", prefill.Endpoint, again.Endpoint)
 	}
 }
 
 func TestRetryWithKeyStaysInItsCellAndWindow(t *testing.T) {
-	// Given three cells of two decode engines, from endpoint 10 on.
+	// Given three cells with two decode engines each, endpoints 10 to 15.
 	h := startRouter(t, testSettings(), RolePrefill)
 	var decodeEngines []Endpoint
 	for i := range 6 {
@@ -30,25 +30,26 @@
 	}
 	h.handle(0, EndpointUpdate{Endpoints: decodeEngines})
 
-	// When an attempt fails within the window, then its retry goes to the same cell, and nothing follows.
+	// When an attempt fails within the window, then its retry goes to the same cell, and nothing follows its
+	// answer.
 	for id := RequestID(1); id < 4; id++ {
 		decode := h.arriveAndPrefill(0, h.request(id, classWithKey))
 		retry := h.onlyForward(h.end(10*ms, decode, 1, Failed))
 		if (retry.Endpoint-10)/2 != (decode.Endpoint-10)/2 {
-			t.Fatalf("executed at %d, repeated at %d", decode.Endpoint, retry.Endpoint)
+			t.Fatalf("first executed at endpoint %d, repeated at %d in another cell", decode.Endpoint, retry.Endpoint)
 		}
 		actions := h.handle(2*time.Second, Outcome{ID: id, Attempt: 2, Endpoint: retry.Endpoint, Result: OK, Final: true})
 		h.ticks(6 * time.Second)
 		if count[Forward](actions) != 0 {
-			t.Fatalf("forwarded after its end: %v", actions)
+			t.Fatalf("forwarded after the request was answered: %v", actions)
 		}
 	}
 
-	// When it fails after the window, then there is no retry.
+	// When an attempt fails after the window, then there is no retry.
 	decode := h.arriveAndPrefill(0, h.request(10, classWithKey))
 	actions := h.end(2*time.Second, decode, 1, Failed)
 	if count[Forward](actions) != 0 || count[Fail](actions) != 1 {
-		t.Fatalf("repeated after the window: %v", actions)
+		t.Fatalf("want a Fail and no Forward after the window, got %v", actions)
 	}
 }
 
@@ -57,13 +58,13 @@
 	prefill := h.arrive(0, h.request(1, classIdempotent))
 	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Kind: int(RoleColocated), Weight: 1}}})
 	if decode := h.onlyForward(h.finishPrefill(prefill, 0)); decode.Endpoint != 2 {
-		t.Fatalf("forwarded to %d", decode.Endpoint)
+		t.Fatalf("forwarded to endpoint %d, want 2", decode.Endpoint)
 	}
 }
 
-// TestColocatedPoolSpreadsRequestsOfNoSession: requests of no session, such as embeddings, spread over the pool
-// though only one is in flight at a time, and leave no session. The load of one key is bounded though there
-// are no decode engines to compare with.
+// TestColocatedPoolSpreadsRequestsOfNoSession: requests without a session, such as embeddings, spread over
+// the pool even if only one is in flight at a time, and create no session. Without decode engines, the load
+// that one session puts on a colocated engine is still bounded.
 func TestColocatedPoolSpreadsRequestsOfNoSession(t *testing.T) {
 	h := startRouter(t, testSettings(), RoleColocated, RoleColocated, RoleColocated, RoleColocated)
 	attempts := map[EndpointID]int{}
@@ -76,11 +77,11 @@
 	}
 	for id, n := range attempts {
 		if n > 40 {
-			t.Errorf("endpoint %d has %d of 80", id, n)
+			t.Errorf("endpoint %d got %d of 80 requests, want at most 40", id, n)
 		}
 	}
 	if len(attempts) != 4 || len(h.router.sessions) != 0 {
-		t.Errorf("%d endpoints used, %d sessions kept", len(attempts), len(h.router.sessions))
+		t.Errorf("%d endpoints used, want 4; %d sessions created, want 0", len(attempts), len(h.router.sessions))
 	}
 
 	clear(attempts)
@@ -91,7 +92,7 @@
 	}
 	for id, n := range attempts {
 		if n > 30 {
-			t.Errorf("endpoint %d holds %d of 60 at once", id, n)
+			t.Errorf("endpoint %d has %d of 60 requests in flight, want at most 30", id, n)
 		}
 	}
 }
@@ -112,11 +113,11 @@
 				busy++
 			}
 			if forwards[id] > 240 {
-				t.Errorf("%d routers: a prefill engine got %d of 1200 prefills", routers, forwards[id])
+				t.Errorf("%d routers: prefill engine %d got %d of 1200 prefills, want at most 240", routers, id, forwards[id])
 			}
 		}
 		if busy < 4 {
-			t.Errorf("%d routers: half of the traffic was prefilled at %d prefill engines", routers, busy)
+			t.Errorf("%d routers: only %d prefill engines got more than 60 prefills, want at least 4", routers, busy)
 		}
 	}
 }
@@ -130,7 +131,7 @@
 		used[h.arrive(10*ms, request).Endpoint] = true
 	}
 	if len(used) > 2 {
-		t.Fatalf("60 routers prefilled a rare prefix at %d prefill engines", len(used))
+		t.Fatalf("60 routers prefilled a rare prefix at %d prefill engines, want at most 2", len(used))
 	}
 }
 
@@ -141,7 +142,7 @@
 		prefill := h.arrive(10*ms, h.request(id, classIdempotent))
 		decode := h.onlyForward(h.finishPrefill(prefill, 0))
 		if prefill.Endpoint%8 != decode.Endpoint%8 {
-			t.Fatalf("prefilled at %d, decoded at %d, in another cell", prefill.Endpoint, decode.Endpoint)
+			t.Fatalf("prefilled at endpoint %d, decoded at %d in another cell", prefill.Endpoint, decode.Endpoint)
 		}
 		h.answer(10*ms, decode, 1)
 	}
@@ -149,14 +150,14 @@
 
 func TestCellWithoutDecodeEnginesUsesWhatOthersSpare(t *testing.T) {
 	list := testEndpoints(8, 8)
-	for i := range list[8:] { // cells 0 to 3 lose their decode engines to cells 4 to 7
+	for i := range list[8:] { // all decode engines are in cells 4 to 7
 		list[8+i].Cell = uint16(4 + i%4)
 	}
 	routers := startRouters(t, 3, testSettings(), list)
 	forwards := playRequests(routers, 200, func(h *harness, id RequestID) Request { return h.request(id, classIdempotent) })
 	for id := EndpointID(9); id <= 16; id++ {
 		if forwards[id] < 40 || forwards[id] > 120 {
-			t.Errorf("decode engine %d got %d of 600 answers", id, forwards[id])
+			t.Errorf("decode engine %d got %d of 600 answers, want 40 to 120", id, forwards[id])
 		}
 	}
 }
--- a/control/requestmodel_test.go
+++ b/control/requestmodel_test.go
@@ -8,7 +8,7 @@
 	"martenlock/control"
 )
 
-// modelRequest is a request as its client and the engines see it.
+// modelRequest is the expected state of a request, from the view of its client and of the engines.
 type modelRequest struct {
 	control.Request
 	class *control.Class
@@ -21,36 +21,35 @@
 	endpoint        control.EndpointID // of the latest attempt
 	sentAt          control.Time       // of the latest attempt
 	executedAt      control.Time       // start of the first attempt that may have executed it; 0 for none
-	executedOn      control.Endpoint
-	retained        bool // an engine may retain KV state, as far as the caller knows
+	executedOn      control.Endpoint   // endpoint of that attempt
+	retained        bool               // an engine may retain KV state, as far as the caller knows
 
-	arrived        bool         // the attempt in flight has reached its engine; the router can't see it
-	unusedSince    control.Time // an engine retains KV state that no attempt has used since then; 0 for none
-	releaseAskedAt control.Time // of that state; 0 for never
+	arrived        bool         // the attempt in flight has reached its engine, which the router can't observe
+	unusedSince    control.Time // time since which an engine retains KV state without a use; 0 for none
+	releaseAskedAt control.Time // time of the ReleaseKV for that state; 0 for none
 }
 
-// latestAttempt returns the number of the latest attempt.
 func (r *modelRequest) latestAttempt() control.AttemptNumber {
 	return control.AttemptNumber(r.attempts - 1)
 }
 
-// retainKV records that an engine retains KV state that no attempt uses from now on.
+// retainKV records that an engine retains KV state that is unused from now on.
 func (r *modelRequest) retainKV(now control.Time) {
 	r.unusedSince = now
 	r.releaseAskedAt = 0
 }
 
-// hasUnusedKV reports whether an engine may retain KV state while no attempt that waits for it has arrived.
+// hasUnusedKV reports whether an engine may retain KV state although no attempt that needs it has arrived.
 func (r *modelRequest) hasUnusedKV() bool {
 	return r.unusedSince != 0 && (!r.attemptInFlight || !r.arrived)
 }
 
-// needsNoAttempt reports whether the request has its answer, or nobody waits for it.
+// needsNoAttempt reports whether the request has its answer, or at least the first token, or its client left.
 func (r *modelRequest) needsNoAttempt() bool {
 	return r.answered || r.clientGone || r.hasFirstToken
 }
 
-// mayBeRejected reports whether the client can repeat the request without a second execution.
+// mayBeRejected reports whether the client can safely repeat the request through any router.
 func (r *modelRequest) mayBeRejected() bool {
 	switch {
 	case r.executedAt == 0 || r.class.Idempotency == control.Idempotent:
@@ -61,7 +60,7 @@
 	return false
 }
 
-// mayRepeatAt reports whether an attempt that executes the request at an endpoint is harmless now.
+// mayRepeatAt reports whether the request may safely be executed at an endpoint now.
 func (r *modelRequest) mayRepeatAt(target control.Endpoint, now control.Time) bool {
 	switch {
 	case r.executedAt == 0 || r.class.Idempotency == control.Idempotent:
@@ -85,7 +84,7 @@
 	return false
 }
 
-// possibleResult returns the result that an attempt can have in place of one that was drawn.
+// possibleResult returns the drawn result, or another one if the attempt can't end with the drawn result.
 func (r *modelRequest) possibleResult(drawn control.Result, role control.Role) control.Result {
 	switch {
 	case !r.arrived && drawn != control.TimedOut && drawn != control.Cancelled && drawn != control.ConnectFailed:
@@ -114,7 +113,7 @@
 	}
 }
 
-// recordRetention records what the end of an attempt means for the KV state at the engines.
+// recordRetention updates the KV state that engines retain after the end of an attempt.
 func (r *modelRequest) recordRetention(result control.Result, role control.Role, now control.Time) {
 	isReleased := r.releaseAskedAt != 0 && r.releaseAskedAt <= r.sentAt
 	switch {
@@ -123,13 +122,13 @@
 	case result == control.PrefillDone:
 		r.retainKV(now)
 	case r.arrived && role == control.RolePrefill && result.MayHaveExecuted():
-		r.retainKV(now) // it may have succeeded just as its connection broke
+		r.retainKV(now) // the prefill may have finished before the attempt failed
 	case r.arrived && r.unusedSince != 0 && !isReleased:
 		r.retainKV(now) // another attempt can use it
 	}
 }
 
-// drawSettings draws settings with a class of each kind of idempotency and each scope.
+// drawSettings draws settings with a class for each kind of idempotency and each deduplication scope.
 func drawSettings(t *rapid.T) control.Settings {
 	t.Helper()
 	const ms = time.Millisecond
@@ -163,7 +162,6 @@
 	return settings
 }
 
-// drawResult draws the result of an attempt.
 func drawResult(t *rapid.T) control.Result {
 	t.Helper()
 	return rapid.SampledFrom([]control.Result{
--- a/control/retention_test.go
+++ b/control/retention_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// startReleasing starts a router whose releases may be emitted under an attempt.
+// startReleasing starts a router with ReleaseSparesAttempts, so that it may emit ReleaseKV while an attempt
+// is in flight.
 func startReleasing(t *testing.T, roles ...Role) *harness {
 	t.Helper()
 	settings := testSettings()
@@ -14,8 +15,8 @@
 	return startRouter(t, settings, roles...)
 }
 
-// TestKVStateIsReleasedDuringUnprovenAttempt: while nothing proves that a decode attempt has reached its engine, the
-// release is emitted, once, so early that it can arrive within the limit.
+// TestKVStateIsReleasedDuringUnprovenAttempt: while nothing proves that a decode attempt has reached its
+// engine, the release is emitted exactly once, early enough to arrive within the retention limit.
 func TestKVStateIsReleasedDuringUnprovenAttempt(t *testing.T) {
 	for class := range 3 {
 		h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode)
@@ -27,34 +28,34 @@
 			for _, release := range actionsOf[ReleaseKV](h.ticks(50 * ms)) {
 				released++
 				if age := h.now.Sub(retainedSince); age > 400*ms || release.Reason != ReleasedWithoutProof {
-					t.Errorf("class %d: released after %v, %v", class, age, release.Reason)
+					t.Errorf("class %d: released after %v for %v, want at most 400ms for %v", class, age, release.Reason, ReleasedWithoutProof)
 				}
 			}
 		}
 		if released != 1 {
-			t.Errorf("class %d: %d releases", class, released)
+			t.Errorf("class %d: %d releases, want 1", class, released)
 		}
 	}
 }
 
-// TestKVStateIsKeptOnceItsAttemptHasArrived: no release follows the start of an answer, and none if it would take the
-// state from an attempt that waits for it.
+// TestKVStateIsKeptOnceItsAttemptHasArrived: no release is emitted after the start of an answer, nor, without
+// ReleaseSparesAttempts, while an attempt is in flight.
 func TestKVStateIsKeptOnceItsAttemptHasArrived(t *testing.T) {
 	h := startReleasing(t, RolePrefill, RoleDecode)
 	h.startAnswer(10*ms, h.arriveAndPrefill(0, h.request(1, classIdempotent)))
 	if releases := actionsOf[ReleaseKV](h.ticks(2 * time.Second)); len(releases) != 0 {
-		t.Errorf("released under a stream: %v", releases)
+		t.Errorf("released while the answer is streamed: %v", releases)
 	}
 
 	h = startRouter(t, testSettings(), RolePrefill, RoleDecode)
 	h.arriveAndPrefill(0, h.request(1, classNotIdempotent))
 	if releases := actionsOf[ReleaseKV](h.ticks(2 * time.Second)); len(releases) != 0 {
-		t.Errorf("released though that takes the state from the attempt: %v", releases)
+		t.Errorf("released while an attempt may wait for the KV state: %v", releases)
 	}
 }
 
-// TestAgeOfKVStateCountsFromTheLatestProof: an attempt that ends without proof of arrival does not make the
-// state younger. One that was answered does.
+// TestAgeOfKVStateCountsFromTheLatestProof: an attempt that ends without proof of arrival does not reset the
+// age of the KV state. An attempt that got a response does.
 func TestAgeOfKVStateCountsFromTheLatestProof(t *testing.T) {
 	for result, isProof := range map[Result]bool{Reset: false, Cancelled: false, ConnectFailed: false, NotSent: false, Failed: true, Rejected: true} {
 		h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode, RoleDecode)
@@ -66,17 +67,17 @@
 		}
 		for count[ReleaseKV](h.ticks(50*ms)) == 0 {
 			if h.now > retainedSince.Add(time.Second) {
-				t.Fatalf("%v: never released", result)
+				t.Fatalf("%v: not released within a second", result)
 			}
 		}
 		if age := h.now.Sub(retainedSince); age < 200*ms || age > 400*ms {
-			t.Errorf("%v: released after %v", result, age)
+			t.Errorf("%v: released after %v, want 200ms to 400ms", result, age)
 		}
 	}
 }
 
-// TestKVStateOfEarlierPrefillReleasedBeforeRetry: a prefill that was lost with its connection may have left KV
-// state, and its retry may reach nobody. The release precedes the retry, since it would take that one's state.
+// TestKVStateOfEarlierPrefillReleasedBeforeRetry: a failed prefill may have left a KV state. It is released
+// before the retry, since a later release would also take the KV state of the retry.
 func TestKVStateOfEarlierPrefillReleasedBeforeRetry(t *testing.T) {
 	for result, mayRetain := range map[Result]bool{Reset: true, Cancelled: true, Failed: true, ConnectFailed: false, NotSent: false, Rejected: false} {
 		h := startReleasing(t, RolePrefill, RolePrefill, RoleDecode)
@@ -86,17 +87,18 @@
 		isForward := func(action Action) bool { _, ok := action.(Forward); return ok }
 		before := actions[:slices.IndexFunc(actions, isForward)]
 		if count[ReleaseKV](actions) > 1 || (count[ReleaseKV](before) == 1) != mayRetain {
-			t.Errorf("%v: %v", result, actions)
+			t.Errorf("%v: want a ReleaseKV before the Forward: %v, got %v", result, mayRetain, actions)
 		}
 		if releases := actionsOf[ReleaseKV](h.ticks(600 * ms)); len(releases) != 0 {
-			t.Errorf("%v: released under the retry: %v", result, releases)
+			t.Errorf("%v: released while the retry is in flight: %v", result, releases)
 		}
 	}
 }
 
-// TestStaleKVStateIsReleasedAgainAndNotReused: after a release under an attempt that then ends without proof, the state
-// is released again, since the attempt may have kept it. The prompt is computed again if the request can meet
-// its objective. Otherwise it is rejected at once.
+// TestStaleKVStateIsReleasedAgainAndNotReused: if a KV state is released while an attempt is in flight, and
+// the attempt ends without proof of arrival, the state is released again, since the attempt may have kept it.
+// The prompt is computed again if the request can still meet its objective. Otherwise the request is
+// rejected.
 func TestStaleKVStateIsReleasedAgainAndNotReused(t *testing.T) {
 	for after, isRetried := range map[time.Duration]bool{350 * ms: true, 900 * ms: false} {
 		h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode)
@@ -104,33 +106,34 @@
 		h.ticks(after)
 		actions := h.handle(0, Outcome{ID: 1, Attempt: 1, Endpoint: decode.Endpoint, Result: Reset, Elapsed: after})
 		if count[ReleaseKV](actions) == 0 {
-			t.Errorf("reset after %v: not released again", after)
+			t.Errorf("reset after %v: the KV state is not released again", after)
 		}
 		if !isRetried {
 			if rejects := actionsOf[Reject](actions); len(rejects) != 1 || rejects[0].Reason != FinishedMissingObjective {
-				t.Errorf("reset after %v: %v", after, actions)
+				t.Errorf("reset after %v: want Reject for %v, got %v", after, FinishedMissingObjective, actions)
 			}
 			continue
 		}
 		if retry := h.onlyForward(actions); retry.Endpoint != 1 {
-			t.Errorf("reset after %v: forwarded to %d, want the prefill engine", after, retry.Endpoint)
+			t.Errorf("reset after %v: forwarded to endpoint %d, want the prefill engine, 1", after, retry.Endpoint)
 		}
 	}
 }
 
-// TestNotIdempotentRequestWithStaleKVStateFails: the request may have been executed, and is not rejected.
+// TestNotIdempotentRequestWithStaleKVStateFails: the request may have been executed, so its client must not
+// repeat it.
 func TestNotIdempotentRequestWithStaleKVStateFails(t *testing.T) {
 	h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode)
 	decode := h.arriveAndPrefill(0, h.request(1, classNotIdempotent))
 	h.ticks(350 * ms)
 	actions := h.handle(0, Outcome{ID: 1, Attempt: 1, Endpoint: decode.Endpoint, Result: Reset, Elapsed: 350 * ms})
 	if fails := actionsOf[Fail](actions); len(fails) != 1 || fails[0].Reason != FinishedNotRepeatable || count[Forward](actions) != 0 {
-		t.Errorf("got %v", actions)
+		t.Errorf("want Fail for %v and no Forward, got %v", FinishedNotRepeatable, actions)
 	}
 }
 
-// TestQuickRetriesDoNotDelayTheRelease: an attempt that was sent just now has a moment to prove its
-// arrival, but not beyond the time by which the release must be on its way.
+// TestQuickRetriesDoNotDelayTheRelease: a new attempt has some time to prove its arrival, but it does not
+// delay the release past its deadline.
 func TestQuickRetriesDoNotDelayTheRelease(t *testing.T) {
 	h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode, RoleDecode, RoleDecode)
 	first := h.arriveAndPrefill(0, h.request(1, classIdempotent))
@@ -138,6 +141,6 @@
 	second := h.onlyForward(h.end(330*ms, first, 1, ConnectFailed))
 	h.onlyForward(h.end(30*ms, second, 2, ConnectFailed))
 	if releases := count[ReleaseKV](h.handle(20*ms, Timer{})); releases != 1 {
-		t.Errorf("%v after the prefill: %d releases", h.now.Sub(retainedSince), releases)
+		t.Errorf("%d releases %v after the prefill, want 1", releases, h.now.Sub(retainedSince))
 	}
 }
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -9,10 +9,10 @@
 	decode := h.arriveAndPrefill(0, h.request(1, classNotIdempotent))
 	actions := h.end(10*ms, decode, 1, Failed)
 	if count[Fail](actions) != 1 || count[Forward](actions) != 0 || count[Reject](actions) != 0 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want only a Fail as final answer, got %v", actions)
 	}
 	if count[ReleaseKV](actions) != 1 {
-		t.Fatalf("the KV state stays: %v", actions)
+		t.Fatalf("want one ReleaseKV, got %v", actions)
 	}
 }
 
@@ -21,7 +21,7 @@
 	decode := h.arriveAndPrefill(0, h.request(1, classNotIdempotent))
 	retry := h.onlyForward(h.end(10*ms, decode, 1, ConnectFailed))
 	if retry.Endpoint == decode.Endpoint || retry.Endpoint == 1 {
-		t.Fatalf("forwarded to %d after %d failed", retry.Endpoint, decode.Endpoint)
+		t.Fatalf("forwarded to endpoint %d after %d failed, want the other decode engine", retry.Endpoint, decode.Endpoint)
 	}
 }
 
@@ -30,7 +30,7 @@
 	prefill := h.arrive(0, h.request(1, classIdempotent))
 	h.handle(10*ms, ClientGone{ID: 1})
 	if actions := h.finishPrefill(prefill, 0); count[ReleaseKV](actions) != 1 || count[Forward](actions) != 0 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want one ReleaseKV and no Forward after the client left, got %v", actions)
 	}
 }
 
@@ -40,7 +40,7 @@
 	h.handle(10*ms, ClientGone{ID: 1})
 	actions := h.handle(10*ms, Outcome{ID: 1, Attempt: 1, Endpoint: decode.Endpoint, Result: Rejected, Final: true})
 	if count[ReleaseKV](actions) != 1 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want one ReleaseKV, got %v", actions)
 	}
 }
 
@@ -48,7 +48,7 @@
 	h := startRouter(t, testSettings(), RolePrefill)
 	h.finishPrefill(h.arrive(0, h.request(1, classIdempotent)), 0)
 	if actions := h.ticks(450 * ms); count[ReleaseKV](actions) != 1 || count[Reject](actions) != 1 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want one ReleaseKV and one Reject, got %v", actions)
 	}
 }
 
@@ -58,19 +58,20 @@
 	decode := h.arriveAndPrefill(0, h.request(1, classIdempotent))
 	actions := h.handle(10*ms, Outcome{ID: 1, Attempt: 1, Endpoint: decode.Endpoint, Result: Rejected, KVMissing: true})
 
-	// Then the prompt is computed again, and the state released in case that only this engine can't reach it.
+	// Then the prompt is computed again, and the KV state is released, since it may only be unreachable for this
+	// engine.
 	retry := h.onlyForward(actions)
 	if retry.Endpoint != 1 {
-		t.Fatalf("forwarded to %d", retry.Endpoint)
+		t.Fatalf("forwarded to endpoint %d, want the prefill engine, 1", retry.Endpoint)
 	}
 	if count[ReleaseKV](actions) != 1 {
-		t.Fatalf("a KV state that only this decode engine can't reach stays: %v", actions)
+		t.Fatalf("want one ReleaseKV, got %v", actions)
 	}
 
-	// And it is released at the end of the request, in case that it was behind a cut link.
+	// And it is released again at the end of the request, since the first release may not have arrived.
 	timedOut := Outcome{ID: 1, Attempt: 2, Endpoint: retry.Endpoint, Result: TimedOut, Elapsed: 10 * ms}
 	if done := h.handle(10*ms, timedOut, ClientGone{ID: 1}); count[ReleaseKV](done) == 0 {
-		t.Fatal("the first state stays if it was behind a cut link")
+		t.Fatalf("no ReleaseKV at the end of the request: %v", done)
 	}
 }
 
@@ -80,19 +81,19 @@
 	request.Deadline = h.now.Add(300 * ms)
 	h.finishPrefill(h.arrive(0, request), 0)
 	if actions := h.ticks(250 * ms); count[Reject](actions) != 1 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want one Reject before the deadline, got %v", actions)
 	}
 }
 
 func TestKVStateOfUnknownRequestIsReleased(t *testing.T) {
 	h := startRouter(t, testSettings(), RolePrefill, RoleDecode)
 	if actions := h.end(0, Forward{ID: 99, Endpoint: 1}, 0, PrefillDone); count[ReleaseKV](actions) != 1 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want one ReleaseKV, got %v", actions)
 	}
 }
 
-// TestDecodeEngineThatMissedKVStateIsExcluded: the engine may be the only one that can't reach the prefill engine,
-// or may say so of every state.
+// TestDecodeEngineThatMissedKVStateIsExcluded: a decode engine that could not fetch a KV state may be unable
+// to fetch the next one too, so the request goes to another.
 func TestDecodeEngineThatMissedKVStateIsExcluded(t *testing.T) {
 	for id := RequestID(1); id <= 10; id++ {
 		h := startRouter(t, testSettings(), RolePrefill, RoleDecode, RoleDecode)
@@ -100,17 +101,17 @@
 		missing := Outcome{ID: id, Attempt: 1, Endpoint: decode.Endpoint, Result: Rejected, KVMissing: true}
 		prefill := h.onlyForward(h.handle(ms, missing))
 		if prefill.Endpoint != 1 {
-			t.Fatalf("not prefilled again but forwarded to %d", prefill.Endpoint)
+			t.Fatalf("forwarded to endpoint %d, want the prefill engine, 1", prefill.Endpoint)
 		}
 		if retry := h.onlyForward(h.end(ms, prefill, 2, PrefillDone)); retry.Endpoint == decode.Endpoint {
-			t.Fatalf("forwarded to decode engine %d again", decode.Endpoint)
+			t.Fatalf("forwarded to decode engine %d again, want the other", decode.Endpoint)
 		}
 	}
 }
 
-// TestRequestThatCrashesEnginesFailsAtItsMaxAttempts: a request that crashes each engine it meets takes no more
-// of them than its class may, and fails. Its client is not told to come again. One that lost an engine and then
-// met a full one is rejected.
+// TestRequestThatCrashesEnginesFailsAtItsMaxAttempts: a request that loses its connection at every attempt
+// gets no more attempts than its class allows, and ends with Fail, so that its client does not repeat it. If
+// one of the attempts was rejected instead, the request ends with Reject.
 func TestRequestThatCrashesEnginesFailsAtItsMaxAttempts(t *testing.T) {
 	for _, second := range []Result{Reset, Rejected} {
 		settings := testSettings()
@@ -121,17 +122,17 @@
 
 		actions := h.end(ms, retry, 1, second)
 		if count[Forward](actions) != 0 {
-			t.Fatalf("a third engine: %v", actions)
+			t.Fatalf("forwarded a third time: %v", actions)
 		}
 		fails, rejections := count[Fail](actions), count[Reject](actions)
 		if (fails == 1) != (second == Reset) || fails+rejections != 1 {
-			t.Fatalf("second attempt ended with %v: %d failures, %d rejections", second, fails, rejections)
+			t.Fatalf("second attempt ended with %v: %d Fail, %d Reject", second, fails, rejections)
 		}
 	}
 }
 
-// TestPriorAttemptsAndResetsCount: attempts that a request had in a batch count towards its greatest number. A
-// request that loses the rest too fails, since a repeat would crash more engines.
+// TestPriorAttemptsAndResetsCount: the attempts of a request as part of a batch count towards its maximum. If
+// all of its attempts lost their connection, it ends with Fail, since a repeat could crash more engines.
 func TestPriorAttemptsAndResetsCount(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[classIdempotent].MaxAttempts = 2
@@ -145,22 +146,22 @@
 		request.PriorAttempts, request.PriorResets = c.attempts, c.resets
 		actions := h.end(ms, h.arrive(0, request), 0, c.result)
 		if count[Forward](actions) > 0 || count[Fail](actions) > 0 != c.fails || count[Reject](actions) > 0 == c.fails {
-			t.Errorf("%+v: %v", c, actions)
+			t.Errorf("%+v: want no Forward and one Fail or Reject, got %v", c, actions)
 		}
 	}
 
 	settings.Classes[classIdempotent].MaxAttempts = 3
 	h := startRouter(t, settings, RoleColocated, RoleColocated, RoleColocated, RoleColocated)
 	request := h.request(1, classIdempotent)
-	request.PriorAttempts = 1 // that one lost nothing
+	request.PriorAttempts = 1 // which did not lose its connection
 	second := h.onlyForward(h.end(ms, h.arrive(0, request), 0, Reset))
 	if actions := h.end(ms, second, 1, Reset); count[Reject](actions) != 1 {
-		t.Errorf("two of three attempts lost: %v", actions)
+		t.Errorf("two of three attempts lost their connection: want one Reject, got %v", actions)
 	}
 }
 
-// TestKVStateIsNotRetainedWhileDecodeEnginesAreUnreachable: the retention limit of a KV state runs on while one
-// decode engine after another can't be reached, and SendWithin of each attempt is what is left of it.
+// TestKVStateIsNotRetainedWhileDecodeEnginesAreUnreachable: unreachable decode engines do not extend the
+// retention of a KV state. SendWithin of each attempt is the time left until the release deadline.
 func TestKVStateIsNotRetainedWhileDecodeEnginesAreUnreachable(t *testing.T) {
 	for class := range 3 {
 		h := startRouter(t, testSettings(), RolePrefill, RoleDecode, RoleDecode, RoleDecode, RoleDecode)
@@ -169,40 +170,40 @@
 		for attempt := AttemptNumber(1); count[Forward](actions) > 0; attempt++ {
 			forward := actionsOf[Forward](actions)[0]
 			if left := retainedSince.Add(400 * ms).Sub(h.now); forward.SendWithin != left || left <= 0 {
-				t.Fatalf("class %d, attempt %d: must be sent within %v, and its KV state must be released in %v", class, attempt, forward.SendWithin, left)
+				t.Fatalf("class %d, attempt %d: SendWithin %v, want the %v left until the release deadline", class, attempt, forward.SendWithin, left)
 			}
 			after := min(forward.SendWithin, 200*ms)
 			actions = h.handle(after, Outcome{ID: 1, Attempt: attempt, Endpoint: forward.Endpoint, Result: ConnectFailed})
 		}
 		if count[ReleaseKV](actions) == 0 || count[Reject](actions) != 1 || h.now > retainedSince.Add(400*ms) {
-			t.Errorf("class %d, %v after the prefill: %v", class, h.now.Sub(retainedSince), actions)
+			t.Errorf("class %d: want ReleaseKV and one Reject within 400ms of the prefill, got %v after %v", class, actions, h.now.Sub(retainedSince))
 		}
 	}
 
-	// A decode engine that rejected the request was reached: the time begins anew.
+	// A rejection proves that the attempt reached its engine, so the retention time starts again.
 	h := startRouter(t, testSettings(), RolePrefill, RoleDecode, RoleDecode)
 	decode := h.arriveAndPrefill(0, h.request(1, classIdempotent))
 	rejected := Outcome{ID: 1, Attempt: 1, Endpoint: decode.Endpoint, Result: Rejected}
 	if retry := h.onlyForward(h.handle(400*ms, rejected)); retry.SendWithin != 400*ms {
-		t.Errorf("after a decode engine's answer: must be sent within %v", retry.SendWithin)
+		t.Errorf("SendWithin %v after a rejection, want 400ms", retry.SendWithin)
 	}
 }
 
-// TestRetryIsSentWithinItsDedupWindow: a request with a key that may have been executed is forwarded again only
-// as long as its engines drop repeats. The time that a connection takes counts.
+// TestRetryIsSentWithinItsDedupWindow: a request with a key that may have been executed is repeated only
+// within its deduplication window. SendWithin also limits the time to connect and to send.
 func TestRetryIsSentWithinItsDedupWindow(t *testing.T) {
 	h := startRouter(t, testSettings(), RoleColocated, RoleColocated)
 	first := h.arrive(0, h.request(1, classWithKey))
 	if first.SendWithin != 0 {
-		t.Errorf("a first attempt must be sent within %v", first.SendWithin)
+		t.Errorf("SendWithin of the first attempt is %v, want 0", first.SendWithin)
 	}
 	if retry := h.onlyForward(h.end(700*ms, first, 0, Reset)); retry.SendWithin != 300*ms {
-		t.Errorf("a repeat must be sent within %v of the 300ms left", retry.SendWithin)
+		t.Errorf("SendWithin of the repeat is %v, want the 300ms left in the window", retry.SendWithin)
 	}
 }
 
 func TestSecondRejectionIsFinalWhileManyAttemptsAreRejected(t *testing.T) {
-	// Given engines that reject every attempt, then the second rejection is final.
+	// When engines reject every attempt, then a second rejection is final.
 	h := startRouter(t, testSettings())
 	h.handle(0, EndpointUpdate{Full: true, Endpoints: testEndpoints(20, 20)})
 	actions := h.handle(0, h.request(1, classIdempotent))
@@ -210,16 +211,16 @@
 		actions = h.end(ms, h.onlyForward(actions), attempt, Rejected)
 	}
 	if count[Reject](actions) != 1 {
-		t.Fatalf("a third attempt where all engines are full: %v", actions)
+		t.Fatalf("want a Reject after two rejected attempts, got %v", actions)
 	}
 
-	// When hardly any are rejected, then others may have capacity.
+	// When few attempts are rejected, then a rejected request is retried, since other engines may have capacity.
 	playRequests([]*harness{h}, 30, func(h *harness, id RequestID) Request { return h.request(id, classIdempotent) })
 	actions = h.handle(0, h.request(2, classIdempotent))
 	for attempt := range AttemptNumber(2) {
 		actions = h.end(ms, h.onlyForward(actions), attempt, Rejected)
 		if count[Forward](actions) != 1 && attempt == 0 {
-			t.Fatalf("rejected after one attempt: %v", actions)
+			t.Fatalf("not retried after one rejected attempt: %v", actions)
 		}
 	}
 }
--- a/control/router_test.go
+++ b/control/router_test.go
@@ -12,13 +12,13 @@
 	prefill := h.arrive(0, h.request(1, classIdempotent))
 	decode := h.onlyForward(h.finishPrefill(prefill, 0))
 	if prefill.Endpoint != 1 || decode.Endpoint != 2 {
-		t.Fatalf("prefilled at %d, decoded at %d", prefill.Endpoint, decode.Endpoint)
+		t.Fatalf("prefilled at endpoint %d, want 1; decoded at %d, want 2", prefill.Endpoint, decode.Endpoint)
 	}
 
 	h.startAnswer(10*ms, decode)
 	actions := h.answer(time.Second, decode, 1)
 	if count[Forward](actions)+count[Reject](actions)+count[Fail](actions) != 0 {
-		t.Fatalf("something was done for an answered request: %v", actions)
+		t.Fatalf("want no Forward, Reject or Fail after the answer, got %v", actions)
 	}
 }
 
@@ -34,6 +34,6 @@
 		return h.actions
 	}
 	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
-		t.Fatal("two runs of the same events differ")
+		t.Fatal("the same events gave different actions")
 	}
 }
--- a/control/scheduling_test.go
+++ b/control/scheduling_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestQueuedRequestIsRejectedBeforeItsDeadline(t *testing.T) {
-	h := startRouter(t, testSettings()) // no engine at all
+	h := startRouter(t, testSettings()) // no endpoints
 	request := h.request(1, classIdempotent)
 	request.Resumed = true
 	request.Deadline = h.now.Add(300 * ms)
@@ -14,10 +14,10 @@
 
 	h.ticks(250 * ms)
 	if n := count[Reject](h.actions); n != 1 {
-		t.Fatalf("%d final answers before the client left", n)
+		t.Fatalf("%d Reject before the deadline, want 1", n)
 	}
 	if actions := h.ticks(time.Second); count[Reject](actions) != 0 {
-		t.Fatal("answered twice")
+		t.Fatalf("rejected a second time: %v", actions)
 	}
 }
 
@@ -27,7 +27,7 @@
 	request.Resumed = true
 	request.Deadline = h.now.Add(10 * ms)
 	if actions := h.handle(0, request); count[Reject](actions) != 1 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want one Reject, got %v", actions)
 	}
 }
 
@@ -41,7 +41,7 @@
 	}
 	actions := h.handle(10*ms, h.request(9, classIdempotent))
 	if count[Reject](actions) != 1 || count[Forward](actions) != 0 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want one Reject and no Forward, got %v", actions)
 	}
 }
 
@@ -55,19 +55,19 @@
 		return request
 	}
 
-	// Given session 7 with a service time of 60 ms, whose next request waits for long behind session 8.
+	// Given session 7 with a service time of 60 ms, whose next request waits 400 ms for a request of session 8.
 	h.answer(40*ms, h.arriveAndPrefill(0, requestOf(1, 7)), 1)
 	occupying := h.arriveAndPrefill(0, requestOf(2, 8))
 	h.handle(0, requestOf(3, 7))
 	h.ticks(400 * ms)
 
-	// When capacity is free after the arrival of session 9, which has no service time at all.
+	// When a request of session 9, which has no service time, arrives and then capacity becomes free.
 	h.handle(0, requestOf(4, 9))
 	actions := h.handle(10*ms, Outcome{ID: 2, Attempt: 1, Endpoint: occupying.Endpoint, Result: OK, Elapsed: 400 * ms, Final: true})
 
-	// Then the request that waited long goes first.
+	// Then the request that has waited long is forwarded first.
 	if forward := h.onlyForward(actions); forward.ID != 3 {
-		t.Fatalf("request %d goes before the one that waits for long", forward.ID)
+		t.Fatalf("request %d is forwarded first, want 3, which has waited long", forward.ID)
 	}
 }
 
@@ -76,17 +76,17 @@
 	settings.Engines.Kinds[RoleDecode].MemoryTokens = 1500 // capacity for one request
 	h := startRouter(t, settings, RolePrefill, RoleDecode)
 	h.handle(0, h.request(1, classIdempotent))
-	h.ticks(1100 * ms) // one release a second, as far as is known
+	h.ticks(1100 * ms) // the router then expects one dispatch per second
 	for id := RequestID(2); id < 9; id++ {
 		actions := h.handle(0, h.request(id, classIdempotent))
 		if rejected := count[Reject](actions) == 1; rejected != (id > 5) {
-			t.Fatalf("request %d: %v", id, actions)
+			t.Fatalf("request %d: rejected %v, want %v: %v", id, rejected, id > 5, actions)
 		}
 	}
 }
 
-// TestBurstWithinCapacityIsForwarded: after a quiet time, when few are released a second, many requests that
-// arrive in one instant do not queue as long as there is capacity for them.
+// TestBurstWithinCapacityIsForwarded: a low dispatch rate during a quiet time does not cause the rejection of
+// a burst of requests for which there is capacity.
 func TestBurstWithinCapacityIsForwarded(t *testing.T) {
 	h := startRouter(t, testSettings(), RoleColocated)
 	id := RequestID(0)
@@ -102,25 +102,25 @@
 		burst = append(burst, h.request(id, classIdempotent))
 	}
 	if actions := h.handle(ms, burst...); count[Forward](actions) != 100 {
-		t.Fatalf("%d forwarded, %d rejected", count[Forward](actions), count[Reject](actions))
+		t.Fatalf("%d of 100 requests forwarded, %d rejected", count[Forward](actions), count[Reject](actions))
 	}
 }
 
-// TestPromptThatMissesItsDeadlineIsRejectedAtOnce: this holds though the objective of so long a prompt lies past
-// the deadline.
+// TestPromptThatMissesItsDeadlineIsRejectedAtOnce: a prompt that is too long to be prefilled before the
+// deadline is rejected, even if its objective lies after the deadline.
 func TestPromptThatMissesItsDeadlineIsRejectedAtOnce(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[classIdempotent].TTFTPer1000Tokens = 200 * ms
 	for _, c := range []struct {
 		prompt   Tokens
 		rejected bool
-	}{{100_000, true}, {10_000, false}} { // 12 s and 1.3 s, at the speed of the first
+	}{{100_000, true}, {10_000, false}} { // estimated at 12 s and 1.3 s from the prefill of the first request
 		h := startRouter(t, settings, RolePrefill, RoleDecode)
 		h.end(150*ms, h.arrive(0, h.request(1, classIdempotent)), 0, PrefillDone)
 		request := h.request(2, classIdempotent)
 		request.PromptTokens = c.prompt
 		if actions := h.handle(0, request); count[Reject](actions) > 0 != c.rejected {
-			t.Errorf("%v tokens: %v", c.prompt, actions)
+			t.Errorf("prompt of %v tokens: want rejected %v, got %v", c.prompt, c.rejected, actions)
 		}
 	}
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -25,7 +25,7 @@
 	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Kind: int(RolePrefill), StartedAt: h.now, Weight: 1}}})
 	slowStarting := serve(100)
 	if warmedUp < 20 || slowStarting == 0 || slowStarting > warmedUp/2 {
-		t.Fatalf("%d attempts while warmed up, %d in slow start", warmedUp, slowStarting)
+		t.Fatalf("%d prefills while warmed up, want at least 20; %d in slow start, want 1 to half of that", warmedUp, slowStarting)
 	}
 }
 
@@ -39,7 +39,7 @@
 		}
 		forwards := playRequests(all, 1200/routers, func(h *harness, id RequestID) Request { return h.request(id, classIdempotent) })
 		if forwards[1] == 0 || forwards[1] > forwards[2]/2 {
-			t.Errorf("%d routers sent %d to a prefill engine in slow start, %d to one that was warmed up", routers, forwards[1], forwards[2])
+			t.Errorf("%d routers: %d prefills at the engine in slow start, want 1 to half of the %d at a warmed-up engine", routers, forwards[1], forwards[2])
 		}
 	}
 }
@@ -57,7 +57,7 @@
 			actions = h.end(ms, forward, attempt, Rejected)
 		}
 	}
-	if attemptsInSlowStart > 11 { // a quarter of the requests may go there, each at its first attempt alone
-		t.Fatalf("60 requests rejected by warmed-up prefill engines were sent %d times to the one in slow start", attemptsInSlowStart)
+	if attemptsInSlowStart > 11 { // a quarter of the requests may go there, only at their first attempt
+		t.Fatalf("%d attempts of 60 rejected requests at the engine in slow start, want at most 11", attemptsInSlowStart)
 	}
 }
--- a/control/statemachine_test.go
+++ b/control/statemachine_test.go
@@ -19,13 +19,13 @@
 func init() { proptest.SetDefault("rapid.checks", "1500") }
 
 const (
-	listedEngines = 8 // at first, about a third of each role
+	listedEngines = 8 // initially; their roles alternate
 	tick          = 50 * time.Millisecond
-	maxCalls      = 24 // calls of kvrelease in flight
+	maxCalls      = 24 // limit of kvrelease for calls in flight
 )
 
-// stateMachine plays events in any order to the pure modules together. It checks their actions against the
-// service's five rules on a model of the requests and the engines.
+// stateMachine passes random events to control, membership and kvrelease, and checks the resulting actions
+// against a model of the requests and the engines.
 type stateMachine struct {
 	t        *rapid.T
 	now      control.Time
@@ -36,12 +36,12 @@
 	calls    []kvrelease.Call // in flight
 	revision uint64
 	lastID   control.RequestID
-	listed   map[control.EndpointID]membership.Endpoint   // by service discovery
-	notified map[control.EndpointID]control.EndpointState // the latest that the router was told
+	listed   map[control.EndpointID]membership.Endpoint   // current endpoint list of service discovery
+	notified map[control.EndpointID]control.EndpointState // latest states that were passed to the router
 	requests map[control.RequestID]*modelRequest
 }
 
-// newStateMachine returns one with drawn settings, whose router knows all engines.
+// newStateMachine returns a stateMachine with random settings. Its router knows all engines.
 func newStateMachine(t *rapid.T) *stateMachine {
 	t.Helper()
 	m := &stateMachine{
@@ -62,7 +62,7 @@
 	return m
 }
 
-// handle gives events to the router and carries out its actions.
+// handle passes events to the router, and checks and carries out its actions.
 func (m *stateMachine) handle(events ...control.Event) {
 	for _, action := range m.router.Handle(m.now, events) {
 		switch action := action.(type) {
@@ -82,50 +82,51 @@
 	}
 }
 
-// finish records a final answer and checks that it is due.
+// finish records a final answer and checks that the request needs one and that it is not late.
 func (m *stateMachine) finish(id control.RequestID) *modelRequest {
 	request := m.requests[id]
 	if request == nil || request.answered || request.clientGone || request.attemptInFlight {
-		m.t.Fatalf("an answer for request %d: %+v", id, request)
+		m.t.Fatalf("unexpected final answer for request %d: %+v", id, request)
 	}
 	if m.now > request.Deadline.Add(m.settings.Limits.AnswerGrace+tick) {
-		m.t.Fatalf("request %d answered %v late", id, m.now.Sub(request.Deadline))
+		m.t.Fatalf("final answer for request %d comes %v after its deadline", id, m.now.Sub(request.Deadline))
 	}
 	request.answered = true
 	return request
 }
 
-// forward records an attempt and checks that it may be made.
+// forward records an attempt and checks that it is allowed.
 func (m *stateMachine) forward(action control.Forward) {
 	request := m.requests[action.ID]
 	role := m.role(action.Endpoint)
 	switch {
 	case request == nil || request.needsNoAttempt():
-		m.t.Fatalf("request %d forwarded though nobody waits: %+v", action.ID, request)
+		m.t.Fatalf("request %d forwarded although it needs no attempt: %+v", action.ID, request)
 	case request.attemptInFlight:
 		m.t.Fatalf("request %d has two attempts in flight", action.ID)
 	case m.notified[action.Endpoint] != control.Ready:
 		m.t.Fatalf("request %d forwarded to endpoint %d, which is not ready", action.ID, action.Endpoint)
 	case request.attempts >= m.settings.Limits.MaxAttempts:
-		m.t.Fatalf("request %d: attempt %d", action.ID, request.attempts)
+		m.t.Fatalf("request %d forwarded after all %d permitted attempts", action.ID, request.attempts)
 	case m.now >= request.Deadline:
 		m.t.Fatalf("request %d forwarded after its deadline", action.ID)
 	}
 	target, _ := m.view.Get(action.Endpoint)
 	if role != control.RolePrefill && !request.mayRepeatAt(target.Endpoint, m.now) {
-		m.t.Fatalf("request %d, %v, forwarded again", action.ID, request.class.Idempotency)
+		m.t.Fatalf("request %d may be executed twice, its class is %v", action.ID, request.class.Idempotency)
 	}
 	request.attemptInFlight, request.endpoint, request.sentAt = true, action.Endpoint, m.now
 	if role == control.RoleDecode && m.releases.Withdraw(fmt.Sprint(action.ID)) {
 		request.retained = true
 		request.releaseAskedAt = 0
 	}
-	isDeferred := m.releases.IsPending(fmt.Sprint(action.ID)) // until a release is confirmed, which the model leaves out
+	// The attempt waits for a pending release. The model does not send it later, so it never arrives.
+	isDeferred := m.releases.IsPending(fmt.Sprint(action.ID))
 	request.arrived = !isDeferred && rapid.IntRange(0, 3).Draw(m.t, "arrives") > 0
 	request.attempts++
 }
 
-// releaseKV enqueues a release.
+// releaseKV enqueues a release if an engine may retain KV state.
 func (m *stateMachine) releaseKV(action control.ReleaseKV) {
 	request := m.requests[action.ID]
 	if request == nil || !request.retained {
@@ -169,7 +170,7 @@
 	}
 }
 
-// startAnswer begins the answer of an attempt.
+// startAnswer reports to the router that the answer of an attempt has begun.
 func (m *stateMachine) startAnswer(request *modelRequest) {
 	request.hasFirstToken = true
 	m.handle(control.AnswerStarted{
@@ -177,7 +178,7 @@
 	})
 }
 
-// checkRetention checks that the release of each KV state was asked for within the retention limit.
+// checkRetention checks that each unused KV state was released within the retention limit.
 func (m *stateMachine) checkRetention() {
 	limit := m.settings.Limits.KVRetentionLimit
 	if !m.settings.Caller.ReleaseSparesAttempts || limit <= 0 {
@@ -186,12 +187,12 @@
 	for _, id := range m.requestIDs() {
 		request := m.requests[id]
 		if age := m.now.Sub(request.unusedSince); request.hasUnusedKV() && request.releaseAskedAt == 0 && age > limit {
-			m.t.Fatalf("request %d: KV state retained for %v without a release: %+v", id, age, request)
+			m.t.Fatalf("request %d: KV state retained for %v without a ReleaseKV: %+v", id, age, request)
 		}
 	}
 }
 
-// apply applies a message of service discovery.
+// apply applies a service discovery message and passes the change to the router.
 func (m *stateMachine) apply(update membership.Update) {
 	change, err := m.view.Apply(m.now, update)
 	if err != nil {
@@ -200,7 +201,7 @@
 	m.notify(change)
 }
 
-// notify passes a change of the endpoint list to the router.
+// notify passes a change of the endpoint list to the router and the release scheduler.
 func (m *stateMachine) notify(change membership.Change) {
 	if change.IsEmpty() {
 		return
@@ -225,7 +226,7 @@
 	m.releases.SetEndpoints(ready)
 }
 
-// advance lets time pass. The router gets its timer each tick.
+// advance advances the clock by a duration, in steps of at most a tick.
 func (m *stateMachine) advance(duration time.Duration) {
 	for ; duration > tick; duration -= tick {
 		m.step(tick)
@@ -233,7 +234,7 @@
 	m.step(duration)
 }
 
-// step lets time pass up to the next event of the timer.
+// step advances the clock, times out attempts and passes a Timer event to the router.
 func (m *stateMachine) step(duration time.Duration) {
 	m.now = m.now.Add(duration)
 	m.notify(m.view.Poll(m.now))
@@ -255,7 +256,7 @@
 	m.calls = nil
 }
 
-// arrive adds a request of a class, whose client leaves after a time.
+// arrive passes a new request of a class to the router. timeout is the time until its deadline.
 func (m *stateMachine) arrive(class int, timeout time.Duration) {
 	m.lastID++
 	request := &modelRequest{class: &m.settings.Classes[class], Request: control.Request{
@@ -267,7 +268,7 @@
 	m.handle(request.Request)
 }
 
-// drawRequest draws one of the requests that match. It skips the step if there is none.
+// drawRequest draws one of the requests that match. If there is none, it skips the event.
 func (m *stateMachine) drawRequest(matches func(*modelRequest) bool) *modelRequest {
 	ids := slices.DeleteFunc(m.requestIDs(), func(id control.RequestID) bool { return !matches(m.requests[id]) })
 	if len(ids) == 0 {
@@ -276,7 +277,7 @@
 	return m.requests[rapid.SampledFrom(ids).Draw(m.t, "request")]
 }
 
-// requestIDs returns the ids of all requests, in order.
+// requestIDs returns the ids of all requests in ascending order.
 func (m *stateMachine) requestIDs() []control.RequestID { return slices.Sorted(maps.Keys(m.requests)) }
 
 // role returns the role of a listed engine.
@@ -284,12 +285,12 @@
 	return m.settings.Engines.Kinds[m.listed[id].Kind].Role
 }
 
-// drawEntry draws an engine and returns its entry in the endpoint list.
+// drawEntry returns the endpoint list entry of a random engine.
 func (m *stateMachine) drawEntry() membership.Endpoint {
 	return m.listEntry(control.EndpointID(rapid.IntRange(1, listedEngines).Draw(m.t, "endpoint")))
 }
 
-// listEntry returns an engine's entry in the endpoint list. An engine that is not listed yet is ready.
+// listEntry returns the endpoint list entry of an engine. An engine that is not listed yet is ready.
 func (m *stateMachine) listEntry(id control.EndpointID) membership.Endpoint {
 	state, startedAt := control.Ready, control.Time(0)
 	if listed, ok := m.listed[id]; ok {
@@ -300,7 +301,7 @@
 	}}
 }
 
-// engineAddr is the address of every engine. Nothing connects to it.
+// engineAddr is the address of every engine. The test never connects to it.
 var engineAddr = netip.MustParseAddrPort("127.0.0.1:80")
 
 // listedEndpoints returns the engines that are listed and not gone.
@@ -313,7 +314,7 @@
 	return list
 }
 
-// changeEndpoint changes the state of an engine, which may have started anew, and lists it.
+// changeEndpoint sends an update of a random engine, whose state changes and which may have restarted.
 func (m *stateMachine) changeEndpoint() {
 	entry := m.drawEntry()
 	entry.State = control.EndpointState(rapid.IntRange(0, 2).Draw(m.t, "state"))
@@ -325,7 +326,7 @@
 	m.apply(membership.Update{Revision: m.revision, Endpoints: []membership.Endpoint{entry}})
 }
 
-// replayOldUpdate sends a message with a revision that the router has seen.
+// replayOldUpdate sends a service discovery message with an old revision.
 func (m *stateMachine) replayOldUpdate() {
 	age := uint64(rapid.IntRange(1, 3).Draw(m.t, "revisions back"))
 	m.apply(membership.Update{
@@ -335,9 +336,9 @@
 	})
 }
 
-// TestUnusedKVStateIsReleasedWithinTheLimit plays requests whose attempts end at random times in random ways. Many
-// never reach an engine, which the router can't see. It must ask for the release of each unused KV state
-// within the retention limit.
+// TestUnusedKVStateIsReleasedWithinTheLimit: the router releases each unused KV state within the retention
+// limit, although attempts end at random times with random results, and many never reach an engine, which the
+// router can't observe.
 func TestUnusedKVStateIsReleasedWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newStateMachine(t)
@@ -363,8 +364,8 @@
 	})
 }
 
-// TestRandomEventsKeepTheRules plays random events. Rapid shrinks events that break a rule to a short script.
-// At the end every request must have its one answer and every table must be empty.
+// TestRandomEventsKeepTheRules passes random events to the modules, whose actions the stateMachine checks. At
+// the end every request must have exactly one final answer and every table must be empty.
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newStateMachine(t)
@@ -411,7 +412,7 @@
 			},
 			"": func(t *rapid.T) {
 				if n := len(m.calls); n > maxCalls {
-					t.Fatalf("%d calls in flight", n)
+					t.Fatalf("%d release calls in flight, want at most %d", n, maxCalls)
 				}
 			},
 		})
@@ -419,8 +420,8 @@
 	})
 }
 
-// checkDrained ends all that is in flight and checks that every request has its answer and that the modules
-// remember none.
+// checkDrained ends all attempts and release calls in flight. It then checks that every request has its final
+// answer or lost its client, and that no module keeps an entry.
 func (m *stateMachine) checkDrained() {
 	m.endAllAttempts()
 	for range 80 {
@@ -429,7 +430,7 @@
 	}
 	for _, request := range m.requests {
 		if !request.answered && !request.clientGone {
-			m.t.Fatalf("request %d has no answer", request.ID)
+			m.t.Fatalf("request %d has no final answer", request.ID)
 		}
 	}
 	only := membership.Endpoint{Addr: engineAddr, Endpoint: control.Endpoint{ID: 9, State: control.Ready, Weight: 1}}
@@ -439,6 +440,6 @@
 		m.completeCalls()
 	}
 	if n := m.router.EntryCount(); n != 0 || m.releases.Len() != 0 {
-		m.t.Fatalf("%d entries remain, %d KV states to release", n, m.releases.Len())
+		m.t.Fatalf("%d router entries and %d KV releases remain", n, m.releases.Len())
 	}
 }
