--- a/control/golden_engines_test.go
+++ b/control/golden_engines_test.go
@@ -8,52 +8,52 @@
 
 // The parameters of the engine model.
 const (
-	engineMemory          = 40000.0                 // tokens of KV memory at a decode engine
-	engineStreams         = 24.0                    // concurrent streams at its usual speed
+	engineMemory          = 40000.0                 // KV memory of a decode or colocated engine, in tokens
+	engineStreams         = 24.0                    // number of streams that doubles the time per token
 	prefillTimePerToken   = 80 * time.Microsecond   // time to compute a token of a prompt
-	prefillOverheadTokens = 500.0                   // fixed cost of a prefill, in tokens
+	prefillOverheadTokens = 500.0                   // fixed cost of a prefill, in prompt tokens
 	fetchTimePerToken     = 10 * time.Microsecond   // time to fetch the KV state of a token
-	decodeTimePerToken    = 6 * time.Millisecond    // time of a token of an answer
+	decodeTimePerToken    = 6 * time.Millisecond    // time to generate a token of an answer
 	maxPrefillBacklog     = 1500 * time.Millisecond // a longer backlog rejects requests
 	networkDelay          = 2 * time.Millisecond
 )
 
-// faultKind is what goes wrong at an engine.
+// faultKind is a kind of engine fault.
 type faultKind int
 
 // The kinds of faults.
 const (
 	faultUnreachable  faultKind = iota // connections fail
-	faultUnresponsive                  // accepts attempts and never answers
-	faultError                         // answers with an error
-	faultReset                         // drops connections
-	faultRejecting                     // rejects attempts
-	faultKVMissing                     // can't fetch the KV state
+	faultUnresponsive                  // the engine accepts attempts and never responds
+	faultError                         // the engine responds with an error
+	faultReset                         // the engine drops connections
+	faultRejecting                     // the engine rejects attempts
+	faultKVMissing                     // the engine can't fetch the KV state
 	faultNotSent                       // attempts end before they are sent
-	faultSlow                          // takes several times as long
-	faultBroken                        // breaks streams that have begun
+	faultSlow                          // attempts take several times as long
+	faultBroken                        // streams break after they have begun
 	faultNone
 )
 
-// faultCount is the number of kinds of faults.
+// faultCount is the number of kinds of faults, without faultNone.
 const faultCount = int(faultNone)
 
-// fault holds at an engine for a while and meets a share of its attempts.
+// fault affects attempts at an engine during a period.
 type fault struct {
-	engine   control.EndpointID // 0 for all
+	engine   control.EndpointID // 0 for all engines
 	kind     faultKind
-	from, to time.Duration
-	chance   float64
-	factor   float64 // of faultSlow
+	from, to time.Duration // since the start of the simulation
+	chance   float64       // probability that an attempt is affected
+	factor   float64       // of faultSlow, on the times of the engine
 }
 
 // engine is a simulated engine.
 type engine struct {
 	entry       control.Endpoint
-	busyUntil   control.Time // end of the prefills accepted so far
+	busyUntil   control.Time // end of all accepted prefills
 	streams     int
-	memory      control.Tokens            // in use
-	prefixCache map[uint64]control.Tokens // only looked up by key
+	memory      control.Tokens            // KV memory in use
+	prefixCache map[uint64]control.Tokens // cached tokens by prefix hash
 }
 
 func (e *engine) role() control.Role { return control.Role(e.entry.Kind) }
@@ -66,10 +66,10 @@
 	sentAt  control.Time
 	started bool // its answer has begun
 	ended   bool
-	memory  control.Tokens // that it occupies at the engine
+	memory  control.Tokens // KV memory that it occupies at the engine
 }
 
-// outcome makes the event that ends an attempt.
+// outcome returns an Outcome of the attempt.
 func (a *attempt) outcome(result control.Result, elapsed time.Duration, final bool, report []float64) control.Outcome {
 	return control.Outcome{
 		ID: a.request.ID, Attempt: a.number, Endpoint: a.engine.entry.ID, Result: result, Elapsed: elapsed,
@@ -93,7 +93,7 @@
 	}
 }
 
-// drawFault draws the fault that an attempt at an engine meets now, and the factor on its times.
+// drawFault draws the fault that affects a new attempt at an engine, and the factor on the attempt's times.
 func (s *simulation) drawFault(e *engine) (kind faultKind, factor float64) {
 	for _, f := range s.script.faults {
 		at := s.elapsed()
@@ -104,13 +104,13 @@
 	return faultNone, 1
 }
 
-// applyFault ends an attempt by a fault. It reports whether the engine does nothing else with it.
+// applyFault applies a fault to an attempt. It reports whether the fault prevents any work on the attempt.
 func (s *simulation) applyFault(a *attempt, kind faultKind) bool {
 	delay := networkDelay + time.Duration(s.rng.IntN(20))*time.Millisecond
 	switch kind {
 	case faultUnreachable:
 		s.finish(a, delay, control.ConnectFailed, false)
-	case faultUnresponsive: // the time-out ends it
+	case faultUnresponsive: // the time-out ends the attempt
 	case faultError:
 		s.finish(a, delay, control.Failed, false)
 	case faultReset:
@@ -127,7 +127,7 @@
 	return true
 }
 
-// failKVFetch ends an attempt whose engine can't fetch the KV state.
+// failKVFetch ends an attempt whose engine can't fetch the KV state, and returns the Outcome.
 func (s *simulation) failKVFetch(a *attempt) control.Event {
 	if a.ended {
 		return nil
@@ -138,12 +138,12 @@
 	return event
 }
 
-// finish plans the end of an attempt. The earliest end counts.
+// finish schedules the end of an attempt. If several are scheduled, the earliest ends it.
 func (s *simulation) finish(a *attempt, after time.Duration, result control.Result, final bool) {
 	s.scheduleStep(a.request.router, after, func() control.Event { return s.end(a, result, final) })
 }
 
-// end frees what an attempt occupies and makes its outcome.
+// end ends an attempt, frees its KV memory and returns the Outcome, or nil if the attempt has already ended.
 func (s *simulation) end(a *attempt, result control.Result, final bool) control.Event {
 	if a.ended {
 		return nil
@@ -162,7 +162,7 @@
 	return event
 }
 
-// prefill computes a prompt after those already accepted. A colocated engine goes on to decode.
+// prefill adds a prompt to the engine's backlog, or rejects it. A colocated engine then decodes.
 func (s *simulation) prefill(a *attempt, factor float64) {
 	e := a.engine
 	e.busyUntil = max(e.busyUntil, s.now)
@@ -181,7 +181,7 @@
 	s.scheduleStep(a.request.router, wait, func() control.Event { return s.finishPrefill(a, cached) })
 }
 
-// lookUpPrefix returns how many tokens of a prompt are cached, and caches the prefix of this one.
+// lookUpPrefix returns the number of cached tokens of a request's prefix, and caches the prefix.
 func (e *engine) lookUpPrefix(c *clientRequest) control.Tokens {
 	if c.PrefixHash == 0 {
 		return 0
@@ -191,7 +191,7 @@
 	return cached
 }
 
-// finishPrefill ends a prefill that succeeded.
+// finishPrefill ends a successful prefill and returns the Outcome.
 func (s *simulation) finishPrefill(a *attempt, cached control.Tokens) control.Event {
 	if a.ended {
 		return nil
@@ -202,7 +202,8 @@
 	return event
 }
 
-// decode streams an answer. It begins after a wait and the fetch of the KV state.
+// decode streams an answer, or rejects the attempt if the engine lacks memory. The answer begins after a wait
+// and the fetch of the KV state.
 func (s *simulation) decode(a *attempt, wait time.Duration, factor float64, breaks bool) {
 	e, demand := a.engine, a.request.PromptTokens+a.request.tokens
 	if e.memory+demand > engineMemory {
@@ -223,7 +224,7 @@
 	s.finish(a, firstToken+stream, control.OK, true)
 }
 
-// startAnswer makes the event that an answer begins.
+// startAnswer returns the AnswerStarted of an attempt, or nil if the attempt has already ended.
 func (s *simulation) startAnswer(a *attempt) control.Event {
 	if a.ended {
 		return nil
@@ -234,7 +235,8 @@
 	}
 }
 
-// cancel cancels an attempt. Sometimes the cancellation is lost, or races with the end of the attempt.
+// cancel cancels an attempt. Some cancellations are lost, and some are followed by duplicate and unexpected
+// events.
 func (s *simulation) cancel(c *clientRequest, number control.AttemptNumber) {
 	a := c.attempts[number]
 	if !s.script.promptCancels && s.chance(0.2) {
@@ -247,7 +249,7 @@
 	}
 }
 
-// report returns an engine's load in the order of the configured fields. Some responses have none.
+// report returns a load report with the configured fields, or nil for some responses.
 func (s *simulation) report(e *engine) []float64 {
 	if !s.chance(s.script.reports) {
 		return nil
@@ -265,7 +267,7 @@
 	switch field {
 	case control.ReportInFlight:
 		return float64(e.streams)
-	case control.ReportQueued: // a mean, so not a whole number
+	case control.ReportQueued: // a mean over time, so not an integer
 		return 8*backlogSeconds + max(float64(e.streams)-engineStreams, 0)*0.35
 	case control.ReportUtilization:
 		return min(float64(e.streams)/(2*engineStreams), 1)
@@ -278,7 +280,7 @@
 	return 7
 }
 
-// checkHealth answers a health check as an attempt would find the engine.
+// checkHealth schedules the result of a health check, which the faults of the engine affect.
 func (s *simulation) checkHealth(router int, e *engine) {
 	kind, _ := s.drawFault(e)
 	result, after := control.OK, 2*networkDelay
@@ -291,7 +293,7 @@
 		result = control.Reset
 	case faultError:
 		result = control.Failed
-	case faultRejecting, faultKVMissing, faultNotSent, faultSlow, faultBroken, faultNone: // not of health checks
+	case faultRejecting, faultKVMissing, faultNotSent, faultSlow, faultBroken, faultNone: // do not affect health checks
 	}
 	s.scheduleStep(router, after, func() control.Event {
 		event := control.HealthCheckResult{Endpoint: e.entry.ID, Result: result, Elapsed: after}
--- a/control/golden_format_test.go
+++ b/control/golden_format_test.go
@@ -6,14 +6,14 @@
 	"martenlock/control"
 )
 
-// The golden file has words of its own, so that names of the package can change without it.
+// The golden file uses its own words for actions and reasons, so that it does not change if the package
+// renames them.
 
 // tally counts actions by kind.
 type tally struct {
 	forwards, rejections, failures, releases, cancels, timers, healthChecks, subscriptions, logs int
 }
 
-// add counts an action.
 func (t *tally) add(action control.Action) {
 	switch action.(type) {
 	case control.Forward:
@@ -43,7 +43,7 @@
 		t.forwards, t.rejections, t.failures, t.releases, t.cancels, t.timers, t.healthChecks, t.subscriptions, t.logs)
 }
 
-// describe returns an action in full, in the words of the golden file.
+// describe returns an action with its fields, in the words of the golden file.
 func describe(action control.Action) string {
 	switch a := action.(type) {
 	case control.Forward:
--- a/control/golden_scripts_test.go
+++ b/control/golden_scripts_test.go
@@ -7,45 +7,45 @@
 	"martenlock/control"
 )
 
-// script is what the golden test plays.
+// script is a scenario of the golden test.
 type script struct {
 	name              string
 	seed              uint64
 	length            time.Duration
-	instances         int // routers that are played; RouterIdentity.Routers may be more
-	configure         func(*control.Settings)
+	instances         int                     // simulated routers, 0 for 1; RouterIdentity.Routers may be higher
+	configure         func(*control.Settings) // changes the settings; nil for no change
 	endpoints         []control.Endpoint
 	faults            []fault
 	changes           []change
-	rate              float64       // arrivals a second
-	burst             int           // requests that arrive at once,
-	burstChance       float64       // with this chance
-	pauseEvery        time.Duration // arrivals fill the first fifth of each such period; 0 for all the time
+	rate              float64       // arrivals per second
+	burst             int           // requests that arrive at once in a burst
+	burstChance       float64       // probability that an arrival is a burst
+	pauseEvery        time.Duration // period of arrivals, which pause after its first fifth; 0 for no pauses
 	promptMean        float64       // tokens
 	answerMean        float64       // tokens
-	sessions          uint64
-	prefixes          uint64
-	largePrompts      float64 // share of prompts a thousand times as long
-	earlyLeaves       float64 // share of clients that leave early
-	reports           float64 // share of responses with a load report
-	backgroundMemory  float64 // share of KV memory that other routers' requests occupy
-	subscriptionFails float64 // share of subscriptions that fail
-	quantum           time.Duration
-	promptCancels     bool // every cancellation arrives in time
+	sessions          uint64        // number of sessions; 0 for requests without a session
+	prefixes          uint64        // number of prefixes; 0 for requests without a prefix
+	largePrompts      float64       // fraction of prompts that are 1,000 times as long
+	earlyLeaves       float64       // fraction of clients that leave early
+	reports           float64       // fraction of responses with a load report
+	backgroundMemory  float64       // fraction of KV memory that requests of other routers occupy
+	subscriptionFails float64       // fraction of subscriptions that fail
+	quantum           time.Duration // events are delivered at multiples of it; 0 for any time
+	promptCancels     bool          // every cancellation arrives in time
 }
 
-// change alters the service at a time.
+// change is a change of the service at a time since the start of the simulation.
 type change struct {
 	at    time.Duration
 	apply func(*simulation)
 }
 
-// readyEndpoint lists a ready engine, whose kind is the number of its role.
+// readyEndpoint returns the entry of a ready engine. Its kind is the number of its role.
 func readyEndpoint(id control.EndpointID, role control.Role, cell, zone uint16, weight float64) control.Endpoint {
 	return control.Endpoint{ID: id, State: control.Ready, Kind: int(role), Cell: cell, Zone: zone, Weight: weight}
 }
 
-// pool lists engines of the three roles, over some cells and two zones, of unequal weights.
+// pool returns entries for engines of the three roles, with unequal weights, in five cells and two zones.
 func pool(prefill, decode, colocated int) (list []control.Endpoint) {
 	weights := []float64{1, 1, 1.7, 0.6}
 	for role, count := range []int{prefill, decode, colocated} {
@@ -58,7 +58,7 @@
 	return list
 }
 
-// withLightWeights gives a pool weights about the least that counts.
+// withLightWeights sets the weights of a pool to values near the router's lower bound.
 func withLightWeights(list []control.Endpoint) []control.Endpoint {
 	for i := range list {
 		list[i].Weight = []float64{0, 0.0102, 0.012, 0.0098, 0.02}[i%5]
@@ -66,7 +66,7 @@
 	return list
 }
 
-// randomFaults draws faults of all kinds at engines 1 to count.
+// randomFaults draws a number of faults of all kinds at engines 1 to count.
 func randomFaults(seed uint64, number, count int, length time.Duration) (list []fault) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	for range number {
@@ -80,7 +80,7 @@
 	return list
 }
 
-// alternateFaults has every other engine of a range fail in one way.
+// alternateFaults returns a fault of one kind for every second engine of a range.
 func alternateFaults(first, last control.EndpointID, kind faultKind, from, to time.Duration, chance float64) (list []fault) {
 	for id := first; id <= last; id += 2 {
 		list = append(list, fault{engine: id, kind: kind, from: from, to: to, chance: chance, factor: 4})
@@ -88,7 +88,8 @@
 	return list
 }
 
-// changeEndpoint drains, removes, restarts or adds an engine, by a change or by a full list.
+// changeEndpoint drains, restarts, removes, reweights or adds an engine, in turn by number. It announces the
+// change by an update or by a full list.
 func changeEndpoint(s *simulation, rng *rand.Rand, number int) {
 	e := s.engines[rng.IntN(len(s.engines))]
 	switch number % 5 {
@@ -112,7 +113,7 @@
 	s.announce(false, e.entry)
 }
 
-// announceMost sends a full list from which an engine may be missing.
+// announceMost announces a full list from which one engine may be missing.
 func (s *simulation) announceMost(rng *rand.Rand) {
 	list := s.list()
 	if missing := rng.IntN(2 * len(list)); missing < len(list) {
@@ -121,7 +122,7 @@
 	s.announce(true, list...)
 }
 
-// endpointChanges plans one change of the endpoint list after another.
+// endpointChanges returns changes of the endpoint list at a fixed interval.
 func endpointChanges(seed uint64, every, length time.Duration) (list []change) {
 	rng := rand.New(rand.NewPCG(seed, 55))
 	for i := 0; time.Duration(i)*every < length; i++ {
@@ -131,7 +132,6 @@
 	return list
 }
 
-// goldenScripts returns all scripts.
 func goldenScripts() []*script {
 	const second = time.Second
 	return []*script{
@@ -252,7 +252,7 @@
 	}
 }
 
-// widespreadFaults has about half of the engines fail, in one way after another.
+// widespreadFaults returns faults of half of the engines, of one kind after another.
 func widespreadFaults() (list []fault) {
 	kinds := []faultKind{faultError, faultSlow, faultReset, faultUnreachable, faultUnresponsive}
 	for i, kind := range kinds {
@@ -262,7 +262,8 @@
 	return list
 }
 
-// unresponsiveEngines has single engines or links become unresponsive, for all attempts or a part of them.
+// unresponsiveEngines returns faults by which one engine after another becomes unresponsive, for all or some
+// of its attempts.
 func unresponsiveEngines() (list []fault) {
 	for i := range 12 {
 		from := time.Duration(i) * 3 * time.Second
@@ -274,7 +275,8 @@
 	return list
 }
 
-// recurringFaults has an engine of each role become unresponsive again and again, with errors in between.
+// recurringFaults returns faults by which one engine of each role is unresponsive repeatedly, with some
+// errors in between.
 func recurringFaults(length time.Duration) (list []fault) {
 	const cycle, unresponsive = 8 * time.Second, 2500 * time.Millisecond
 	for _, id := range []control.EndpointID{1, 5} {
@@ -287,7 +289,7 @@
 	return list
 }
 
-// singleOutages has one engine after another become unresponsive once, with no other fault before or after.
+// singleOutages returns faults by which each engine is unresponsive once, one engine at a time.
 func singleOutages(engines int) (list []fault) {
 	for i := range engines {
 		from := time.Duration(2+4*i) * time.Second
@@ -299,7 +301,8 @@
 	return list
 }
 
-// rejectionFaults has engines reject requests or miss their KV state.
+// rejectionFaults returns faults by which engines reject attempts, can't fetch KV states or get attempts that
+// are not sent.
 func rejectionFaults() []fault {
 	const second = time.Second
 	list := alternateFaults(1, 6, faultRejecting, 3*second, 12*second, 0.8)
--- a/control/golden_settings_test.go
+++ b/control/golden_settings_test.go
@@ -6,7 +6,7 @@
 	"martenlock/control"
 )
 
-// goldenSettings is the configuration that scripts start from.
+// goldenSettings returns the settings to which a script applies its configure function.
 func goldenSettings(seed uint64) control.Settings {
 	return control.Settings{
 		Identity: control.RouterIdentity{Seed: seed, Routers: 1},
@@ -35,7 +35,8 @@
 	}
 }
 
-// goldenClasses returns a class of each kind of idempotency and each scope, and one with longer times.
+// goldenClasses returns classes for each kind of idempotency and each deduplication scope, and one with
+// longer objectives and deadlines.
 func goldenClasses() []control.Class {
 	base := control.Class{
 		TTFTObjective: 1500 * time.Millisecond, TTFTPer1000Tokens: 300 * time.Millisecond, Deadline: 8 * time.Second,
@@ -55,7 +56,7 @@
 	return list
 }
 
-// shortDeadlines makes all requests idempotent and short of time. Health then shows in requests alone.
+// shortDeadlines makes all requests idempotent, shortens their deadlines and turns off health checks.
 func shortDeadlines(settings *control.Settings) {
 	withoutHealthChecks(settings)
 	for i := range settings.Classes {
@@ -64,7 +65,7 @@
 	}
 }
 
-// longDeadlines lets requests wait for longer than a load report counts.
+// longDeadlines lets requests wait longer than the router uses a load report.
 func longDeadlines(settings *control.Settings) {
 	settings.Identity.Routers = 2
 	withoutHealthChecks(settings)
@@ -73,27 +74,26 @@
 	}
 }
 
-// releaseUnderAttempts allows releases while attempts are in flight.
+// releaseUnderAttempts allows ReleaseKV while attempts are in flight.
 func releaseUnderAttempts(settings *control.Settings) { settings.Caller.ReleaseSparesAttempts = true }
 
-// withoutHealthChecks leaves only requests to show the health of engines.
 func withoutHealthChecks(settings *control.Settings) { settings.Caller.CanHealthCheck = false }
 
-// withoutMemory leaves the memory of engines unknown.
+// withoutMemory makes the KV memory of engines unknown.
 func withoutMemory(settings *control.Settings) {
 	for i := range settings.Engines.Kinds {
 		settings.Engines.Kinds[i].MemoryTokens = 0
 	}
 }
 
-// minimalSettings leaves out what a site may leave out.
+// minimalSettings turns off optional capabilities and reduces the load report to two fields.
 func minimalSettings(settings *control.Settings) {
 	settings.Caller.CanCancel, settings.Caller.MustSubscribe, settings.Limits.MaxAttempts = false, false, 6
 	settings.Engines.ReportFields = []control.ReportField{control.ReportQueued, control.ReportMemory}
 	settings.Limits.KVRetentionLimit = time.Second
 }
 
-// withRouters sets the number of routers of the service.
+// withRouters returns a function that sets the number of routers of the service.
 func withRouters(n int) func(*control.Settings) {
 	return func(settings *control.Settings) { settings.Identity.Routers = n }
 }
--- a/control/golden_simulation_test.go
+++ b/control/golden_simulation_test.go
@@ -9,7 +9,7 @@
 	"martenlock/control"
 )
 
-// clientRequest is a request as its client sees it.
+// clientRequest is the simulation's state of a request.
 type clientRequest struct {
 	control.Request
 	router    int
@@ -20,16 +20,16 @@
 	resets    int  // attempts that ended with their connection
 }
 
-// delivery is an event on its way to a router, or a step of the simulation itself.
+// delivery is an event for a router, or a step of the simulation, at a time.
 type delivery struct {
 	at     control.Time
 	router int
-	number int
+	number int // order among deliveries to a router at the same time
 	event  control.Event
-	step   func() control.Event // makes the event at delivery, or nil for none; nil if event is set
+	step   func() control.Event // returns the event, or nil for none; nil if event is set
 }
 
-// deliveryHeap is a heap of deliveries by time, router and number. It implements heap.Interface.
+// deliveryHeap is a heap of deliveries ordered by time, router and number. It implements heap.Interface.
 type deliveryHeap []*delivery
 
 func (h deliveryHeap) Len() int { return len(h) }
@@ -49,7 +49,7 @@
 	return first
 }
 
-// simulation plays a script: clients and engines around some routers, on a virtual clock.
+// simulation simulates the clients, engines and routers of a script on a virtual clock.
 type simulation struct {
 	script     *script
 	settings   control.Settings
@@ -66,7 +66,7 @@
 	observe    observer
 }
 
-// observer receives the actions of one instant of a router.
+// observer receives the actions that a router returned at a time.
 type observer func(now control.Time, router int, actions []control.Action)
 
 // newSimulation returns a simulation whose routers know all engines of the script.
@@ -96,7 +96,7 @@
 	return s
 }
 
-// addEngine adds an engine by its entry in the endpoint list.
+// addEngine adds an engine with its entry in the endpoint list.
 func (s *simulation) addEngine(entry control.Endpoint) *engine {
 	e := &engine{entry: entry, prefixCache: map[uint64]control.Tokens{}}
 	s.engines = append(s.engines, e)
@@ -114,10 +114,10 @@
 
 func (s *simulation) elapsed() time.Duration { return s.now.Sub(s.startedAt) }
 
-// chance reports true with a probability.
+// chance returns true with the given probability.
 func (s *simulation) chance(probability float64) bool { return s.rng.Float64() < probability }
 
-// schedule puts a delivery on the agenda. A script's quantum makes many fall on one instant.
+// schedule adds a delivery after a delay. Its time is rounded up to a multiple of the quantum of the script.
 func (s *simulation) schedule(d *delivery, after time.Duration) {
 	d.at = s.now.Add(after)
 	if quantum := control.Time(s.script.quantum.Microseconds()); quantum > 0 {
@@ -128,17 +128,17 @@
 	heap.Push(&s.pending, d)
 }
 
-// send delivers an event to a router.
+// send delivers an event to a router after a delay.
 func (s *simulation) send(router int, after time.Duration, event control.Event) {
 	s.schedule(&delivery{router: router, event: event}, after)
 }
 
-// scheduleStep delivers an event that a step makes by then.
+// scheduleStep runs a step after a delay and delivers the event that it returns, if any.
 func (s *simulation) scheduleStep(router int, after time.Duration, step func() control.Event) {
 	s.schedule(&delivery{router: router, step: step}, after)
 }
 
-// run plays the script to its end.
+// run simulates the whole length of the script.
 func (s *simulation) run() {
 	for _, change := range s.script.changes {
 		s.scheduleStep(0, change.at, func() control.Event { change.apply(s); return nil })
@@ -149,7 +149,7 @@
 	}
 }
 
-// step passes one router all events of one instant.
+// step passes all events for one router at the next time, and carries out the router's actions.
 func (s *simulation) step() {
 	at, router := s.pending[0].at, s.pending[0].router
 	s.now = at
@@ -193,7 +193,7 @@
 	}
 }
 
-// subscribe answers a subscription with the whole list, or breaks it.
+// subscribe answers a subscription with the full list or with SubscriptionFailed.
 func (s *simulation) subscribe(router int) {
 	s.scheduleStep(router, 50*time.Millisecond, func() control.Event {
 		if s.chance(s.script.subscriptionFails) {
@@ -203,7 +203,7 @@
 	})
 }
 
-// announce sends entries of the list to all routers, to each a little later than to the one before.
+// announce sends entries of the endpoint list to all routers, one millisecond apart.
 func (s *simulation) announce(full bool, list ...control.Endpoint) {
 	for i := range s.routers {
 		s.send(i, time.Duration(i)*time.Millisecond, control.EndpointUpdate{Endpoints: list, Full: full})
@@ -215,7 +215,7 @@
 	return time.Duration(s.rng.ExpFloat64() / s.script.rate * float64(time.Second))
 }
 
-// arrivals adds a client, or a burst of clients, and plans the next.
+// arrivals passes a new request, or a burst of them, and schedules the next arrival.
 func (s *simulation) arrivals() control.Event {
 	count := 1
 	if s.chance(s.script.burstChance) {
@@ -255,7 +255,7 @@
 	return c
 }
 
-// arrive passes a request to its router and plans when its client leaves.
+// arrive passes a request to its router and schedules when its client leaves.
 func (s *simulation) arrive(c *clientRequest) {
 	s.lastID++
 	c.ID = s.lastID
@@ -269,7 +269,7 @@
 	s.scheduleStep(c.router, timeout, func() control.Event { return s.leaveClient(c) })
 }
 
-// leaveClient makes the event that a client left, if it still waits.
+// leaveClient returns ClientGone if the client still waits for the request.
 func (s *simulation) leaveClient(c *clientRequest) control.Event {
 	if c.finished {
 		return nil
@@ -278,7 +278,7 @@
 	return control.ClientGone{ID: c.ID}
 }
 
-// handleRejection lets some clients send the request again after Retry-After.
+// handleRejection makes some clients repeat a rejected request after Retry-After.
 func (s *simulation) handleRejection(c *clientRequest, retryAfter time.Duration) {
 	c.finished = true
 	if !s.chance(0.3) || retryAfter > 10*time.Second {
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -17,8 +17,8 @@
 
 const (
 	goldenFile   = "testdata/decisions.golden"
-	goldenWindow = time.Second // of simulated time, a line each
-	goldenFull   = "short"     // the script that is written in full
+	goldenWindow = time.Second // simulated time per line of the golden file
+	goldenFull   = "short"     // script for which the golden file has every action
 )
 
 var updateGolden = flag.Bool("update", false, "write the golden file of decisions")
@@ -33,10 +33,10 @@
 	window    int
 	counts    tally
 	number    uint32 // of the latest reply
-	full      bool   // each action is written too
+	full      bool   // also write every action
 }
 
-// observe records the actions of one instant of a router.
+// observe records the actions that a router returned at a time.
 func (r *recorder) observe(now control.Time, router int, actions []control.Action) {
 	for window := int(now.Sub(r.startedAt) / goldenWindow); r.window < window; {
 		r.closeWindow()
@@ -53,12 +53,12 @@
 	r.encode(now, reply, actions)
 }
 
-// encode hashes the time, the reply on the wire, and what the wire does not carry.
+// encode adds the time, the reply in its wire encoding, and SendWithin, which the wire omits, to the hash.
 func (r *recorder) encode(now control.Time, reply simwire.Reply, actions []control.Action) {
 	frame := binary.LittleEndian.AppendUint64(nil, uint64(now))
 	frame, err := simwire.AppendReply(frame, reply)
 	if err != nil {
-		r.t.Fatalf("encode a reply: %v", err)
+		r.t.Fatalf("encode reply: %v", err)
 	}
 	for _, action := range actions {
 		if forward, ok := action.(control.Forward); ok {
@@ -68,14 +68,14 @@
 	r.hash.Write(frame)
 }
 
-// closeWindow writes the line of a window.
+// closeWindow writes the line of the current window and begins the next one.
 func (r *recorder) closeWindow() {
 	r.lines = append(r.lines, fmt.Sprintf("%d %v %x", r.window, &r.counts, r.hash.Sum(nil)[:6]))
 	r.window++
 	r.counts = tally{}
 }
 
-// playGolden plays a script and returns its lines.
+// playGolden simulates a script and returns its lines for the golden file.
 func playGolden(t *testing.T, played *script) []string {
 	t.Helper()
 	r := &recorder{t: t, hash: sha256.New(), full: played.name == goldenFull}
@@ -106,8 +106,8 @@
 	return sections
 }
 
-// TestGoldenDecisions compares every action of the seeded scripts with the golden file. An intended change of
-// decisions is recorded by `go test ./control -run Golden -update`.
+// TestGoldenDecisions compares every action of the seeded scripts with the golden file. After an intended
+// change of decisions, update the file with `go test ./control -run Golden -update`.
 func TestGoldenDecisions(t *testing.T) {
 	if *updateGolden {
 		writeGolden(t)
@@ -116,14 +116,14 @@
 	golden := readGolden(t)
 	scripts := goldenScripts()
 	if len(golden) != len(scripts) {
-		t.Errorf("%s has %d scripts, the test %d", goldenFile, len(golden), len(scripts))
+		t.Errorf("%s has %d scripts, want %d", goldenFile, len(golden), len(scripts))
 	}
 	for _, played := range scripts {
 		t.Run(played.name, func(t *testing.T) { compareLines(t, golden[played.name], playGolden(t, played)) })
 	}
 }
 
-// compareLines reports the first difference.
+// compareLines fails the test at the first difference.
 func compareLines(t *testing.T, want, got []string) {
 	t.Helper()
 	for i := range max(len(want), len(got)) {
@@ -136,7 +136,7 @@
 	}
 }
 
-// writeGolden writes the golden file anew.
+// writeGolden replaces the golden file.
 func writeGolden(t *testing.T) {
 	t.Helper()
 	var text strings.Builder
