--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -103,16 +103,16 @@
 // ejectionLimitReached reports whether too few endpoints of the target's role would remain if the target were
 // ejected. If most endpoints of a role fail, they probably share a cause that ejection does not remove.
 func (t *endpointTable) ejectionLimitReached(target *endpoint) bool {
-	all, healthy := 0.0, 0.0
+	total, healthy := 0.0, 0.0
 	for _, e := range t.ready {
 		if e.role == target.role {
-			all++
+			total++
 			if e != target && !e.health.ejected() {
 				healthy++
 			}
 		}
 	}
-	return healthy < all*(1-maxEjectedShare)
+	return healthy < total*(1-maxEjectedShare)
 }
 
 // medianLoads returns for each role that prefills the load with which the loads of its endpoints are
--- a/control/estimate.go
+++ b/control/estimate.go
@@ -105,8 +105,8 @@
 // its deadline is too near. A resumed request is checked against its deadline only, since its client already
 // has the first token.
 func (r *Router) missesObjective(request *request) bool {
-	ahead := float64(max(request.heapIndex-ignoredQueueLength, 0))
-	firstToken := r.now.Add(r.estimateFirstToken(request) + r.dispatches.timeFor(ahead))
+	requestsAhead := float64(max(request.heapIndex-ignoredQueueLength, 0))
+	firstToken := r.now.Add(r.estimateFirstToken(request) + r.dispatches.timeFor(requestsAhead))
 	late := firstToken > min(request.firstTokenDue, request.Deadline)
 	return r.now.Add(finishReserve) >= request.Deadline || !request.Resumed && late
 }
--- a/control/health.go
+++ b/control/health.go
@@ -24,8 +24,8 @@
 	maxEjectedShare = 0.5
 	// slowLatency is the relative latency above which an endpoint is slow, which counts as a failure.
 	slowLatency = 3.0
-	// relativeLatencyCap is the multiple of slowLatency to which an observed relative latency is limited. It
-	// prevents that a single prefill that waited behind those of other routers makes an endpoint slow.
+	// relativeLatencyCap is the multiple of slowLatency to which an observed relative latency is limited, so
+	// that a single prefill that waited behind those of other routers does not make an endpoint slow.
 	relativeLatencyCap = 1.5
 	// probationInterval is the time from the latest failure of an ejected endpoint, or from its latest attempt
 	// on probation, to its next attempt.
--- a/control/placement.go
+++ b/control/placement.go
@@ -81,9 +81,9 @@
 				localities.add(e)
 			}
 		}
-		if list := localities.preferred(); len(list) > 0 {
-			first := list[r.rng.IntN(len(list))]
-			second := list[r.rng.IntN(len(list))]
+		if endpoints := localities.preferred(); len(endpoints) > 0 {
+			first := endpoints[r.rng.IntN(len(endpoints))]
+			second := endpoints[r.rng.IntN(len(endpoints))]
 			return lessLoaded(first, second)
 		}
 	}
--- a/control/router.go
+++ b/control/router.go
@@ -27,9 +27,9 @@
 	endpoints endpointTable
 	sessions  sessionTable
 	requests  map[RequestID]*request // requests without a final answer or with an attempt in flight
-	queue     requestQueue           // requests that have had no attempt yet
+	queue     requestQueue           // requests that wait for their first attempt
 	arrivals  []*request             // requests that arrived in the current Handle call
-	parked    []*request             // prefilled requests that no decode engine could take so far
+	parked    []*request             // prefilled requests that wait for a decode engine
 
 	dispatches dispatchCounter
 	latency    latencyEstimator
--- a/control/topology.go
+++ b/control/topology.go
@@ -66,21 +66,21 @@
 // and zone. All routers compute nearly the same shares.
 func (r *Router) rebalance() {
 	weights := r.collectReady()
-	decode := max(weights[RoleDecode], minWeight)
-	prefill := r.skewPrefill(weights[RolePrefill], decode)
+	decodeWeight := max(weights[RoleDecode], minWeight)
+	prefillShares := r.skewPrefill(weights[RolePrefill], decodeWeight)
 	for _, cell := range r.topology.cells {
 		cell.prefill = 0
-		cell.decode /= decode
+		cell.decode /= decodeWeight
 	}
-	colocated := r.colocatedWeight()
-	all := decode + colocated*weights[RoleColocated]
+	colocatedFactor := r.colocatedAnswerFactor()
+	answerWeight := decodeWeight + colocatedFactor*weights[RoleColocated]
 	for _, e := range r.endpoints.ready {
 		switch e.role {
 		case RolePrefill:
-			r.topology.cells[e.Cell].prefill += e.load.trafficShare / prefill
-			e.load.trafficShare *= decode / prefill / all
+			r.topology.cells[e.Cell].prefill += e.load.trafficShare / prefillShares
+			e.load.trafficShare *= decodeWeight / prefillShares / answerWeight
 		case RoleColocated:
-			e.load.trafficShare *= colocated / all
+			e.load.trafficShare *= colocatedFactor / answerWeight
 		case RoleDecode: // placeDecode does not use the traffic share
 		}
 	}
@@ -132,9 +132,9 @@
 	return sum
 }
 
-// colocatedWeight returns the share of answers of a colocated engine, relative to a decode engine of the same
-// weight. It is lower while the answers of colocated engines are slow.
-func (r *Router) colocatedWeight() float64 {
+// colocatedAnswerFactor returns the share of answers of a colocated engine, relative to a decode engine of
+// the same weight. It is lower while the answers of colocated engines are slow.
+func (r *Router) colocatedAnswerFactor() float64 {
 	decode := cmp.Or(r.latency.roles[RoleDecode].relativeLatency.Value, 1)
 	colocated := cmp.Or(r.latency.roles[RoleColocated].relativeLatency.Value, 1)
 	return colocatedShare * min(colocatedSlowdown*decode/colocated, 1)
@@ -190,9 +190,9 @@
 // preferred returns the endpoints of the most preferred locality that has any. The list is empty if none was
 // added.
 func (c *localityChoice) preferred() []*endpoint {
-	for _, list := range c.byLocality {
-		if len(list) > 0 {
-			return list
+	for _, endpoints := range c.byLocality {
+		if len(endpoints) > 0 {
+			return endpoints
 		}
 	}
 	return nil
