--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -2,21 +2,21 @@
 // requests that cannot be served.
 //
 // Queue is a fair queue of the large requests of one pool. It decides when each unit of a large request
-// (one shard of it, or the whole) is handed to the decision module, package control, which alone
-// chooses the endpoint. Small requests never pass through the queue. It only observes their latency.
+// (one shard, or the whole request) is handed to package control, which chooses the endpoint. Small requests
+// bypass the queue, which only observes their latency.
 //
 // The rules of the queue:
 //
-//   - The work that large requests have outstanding is bounded by what the pool does in
-//     Settings.OutstandingWork, and by four times that while no small request arrives. The bound is never
-//     less than one unit for each endpoint. Small requests that are late lower the share of this bound that
-//     is used. Small requests in time and the passing of time raise it again.
-//   - Waiting tenants are served by start-time fair queueing, weighted by tokens. Of one tenant the request
-//     that has begun comes first, then the smallest.
-//   - A request that cannot end before its deadline at the observed throughput is rejected when it
-//     arrives, or as soon as this shows.
+//   - The outstanding work of large requests is limited to the amount that the pool serves in
+//     Settings.OutstandingWork, or to four times that amount while no small requests arrive. The limit is at
+//     least one unit for each endpoint. Late small requests reduce the share of the limit that large requests
+//     may use. The share rises again with time and with each small request that is on time.
+//   - Tenants are served by start-time fair queueing, and the cost of a unit is its tokens. Within a
+//     tenant, a request that has started goes first, then the one with the fewest waiting tokens.
+//   - A request that cannot end before its deadline at the observed throughput is rejected, on arrival or
+//     later while it waits.
 //
-// TokenEstimator and TokenLimits decide whether a request fits any endpoint at all.
+// TokenLimits and TokenEstimator decide whether a request fits any endpoint at all.
 //
 // Like control, the package does no I/O, reads no clock and starts no goroutine.
 package admission
@@ -31,15 +31,15 @@
 
 // Settings are the settings of one queue.
 type Settings struct {
-	LargeTokens     float64       // a request of more tokens is large; 0: no request is
-	OutstandingWork time.Duration // large requests have at most what the pool serves in this time outstanding
+	LargeTokens     float64       // a request with more tokens is large; 0 means that no request is
+	OutstandingWork time.Duration // limits outstanding large requests to what the pool serves in this time
 	Routers         int           // routers that share the endpoints; less than 1 counts as 1
 }
 
 // RequestID identifies a large request in one queue. Ids are never reused.
 type RequestID uint64
 
-// Unit is the part of a large request that is admitted at once.
+// Unit is one part of a large request. The queue admits a request unit by unit.
 type Unit struct {
 	Request RequestID
 	Index   int // in Request.UnitTokens
@@ -61,19 +61,19 @@
 	UnitServed UnitOutcome = iota // served
 	// UnitNotServed is the outcome of a unit that was rejected or failed.
 	UnitNotServed // not served
-	// UnitCancelled is the outcome of a unit that the client or the router cancelled. It is no sample of the
-	// throughput.
+	// UnitCancelled is the outcome of a unit that the client or the router cancelled. It does
+	// not count in the measured throughput.
 	UnitCancelled // cancelled
 )
 
 // Rejection is the rejection of a request that cannot end before its deadline.
 type Rejection struct {
 	Request    RequestID
-	RetryAfter time.Duration // the least time after which a retry may succeed
+	RetryAfter time.Duration // the minimum time before a retry may succeed
 }
 
-// PollResult is what Queue.Poll decides.
+// PollResult is the result of Queue.Poll.
 type PollResult struct {
-	Admitted []Unit      // to be handed to the decision module now, in this order
-	Rejected []Rejection // already cancelled in the queue; each needs its answer
+	Admitted []Unit      // to be handed to package control now, in this order
+	Rejected []Rejection // already cancelled in the queue; the caller must answer each request
 }
--- a/control/admission/deadline.go
+++ b/control/admission/deadline.go
@@ -7,14 +7,16 @@
 	"martenlock/control"
 )
 
-// maxEstimateSeconds bounds an estimated time to completion, so that it fits a time.Duration.
+// maxEstimateSeconds limits the estimated time to completion, so that it fits into a time.Duration.
 const maxEstimateSeconds = 1e6
 
-// estimateCompletion returns the estimated time at which ownTokens of a tenant's waiting work are served. All
-// outstanding units are served before, and other tenants get their fair shares meanwhile. excludedTokens of the
-// waiting work are not counted. tenant is nil for a tenant that is not known. Without an observed throughput
-// the result is now.
-func (q *Queue) estimateCompletion(now control.Time, tenant *tenantQueue, ownTokens, excludedTokens float64) control.Time {
+// estimateCompletion returns the estimated time at which the first ownTokens of a tenant's waiting tokens
+// have been served. It assumes that all outstanding units are served first, and that the other tenants get
+// their fair shares meanwhile. It leaves excludedTokens out of the waiting tokens. tenant is nil for an
+// unknown tenant. If no throughput has been observed, it returns now.
+func (q *Queue) estimateCompletion(
+	now control.Time, tenant *tenantQueue, ownTokens, excludedTokens float64,
+) control.Time {
 	rate := q.throughput.optimisticRate(now)
 	if rate == 0 {
 		return now
@@ -31,8 +33,8 @@
 	return now.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// rejectLate cancels and returns the requests that cannot end before their deadlines. A request behind a
-// rejected one is estimated without it, and may then be in time.
+// rejectLate cancels and returns the requests that cannot end before their deadlines. The tokens of a
+// rejected request do not count in the estimates for the requests after it.
 func (q *Queue) rejectLate(now control.Time) []Rejection {
 	var rejected []Rejection
 	rejectedTokens := 0.0
--- a/control/admission/example_test.go
+++ b/control/admission/example_test.go
@@ -8,7 +8,8 @@
 	"martenlock/control/admission"
 )
 
-// A large request of two units on one endpoint. The second unit is admitted after the first has ended.
+// A large request of two units is served by one endpoint. The second unit is admitted after the first has
+// ended.
 func Example() {
 	queue := admission.NewQueue(admission.Settings{LargeTokens: 500})
 	queue.SetReadyEndpoints(1)
--- a/control/admission/limits_test.go
+++ b/control/admission/limits_test.go
@@ -10,9 +10,10 @@
 	_ "martenlock/internal/proptest"
 )
 
-// TestNeverFitsOnlyWhatExceedsLimits: a request that fits is never rejected while estimates are wrong by up
-// to four times and engines report correctly. A request far beyond the limit is rejected, from the first one.
-func TestNeverFitsOnlyWhatExceedsLimits(t *testing.T) {
+// TestNeverFitsRejectsOnlyRequestsAboveLimits: a request that fits is not rejected while estimates are
+// wrong by at most a factor of four and engines report correct counts. A request far above the limit is
+// always rejected.
+func TestNeverFitsRejectsOnlyRequestsAboveLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0.25, 4).Draw(t, "actual over estimated")
 		limitTokens := rapid.IntRange(100, 1e6).Draw(t, "limit")
@@ -24,20 +25,22 @@
 		}
 		actual := float64(rapid.IntRange(0, limitTokens).Draw(t, "prompt")) // whole, so that limit-actual is exact
 		if _, neverFits := limits.NeverFits(&estimator, actual/ratio, limit-actual); neverFits {
-			t.Fatalf("rejected %v of %v tokens, estimated as %v", actual, limit, actual/ratio)
+			t.Fatalf("rejected a prompt of %v tokens that fits the limit of %v, estimate %v",
+				actual, limit, actual/ratio)
 		}
-		for range rapid.IntRange(0, 200).Draw(t, "observed of others") { // with dense texts or tiny prompts
+		for range rapid.IntRange(0, 200).Draw(t, "observed of others") { // dense texts or tiny prompts
 			estimator.Observe(rapid.SampledFrom([]float64{1, 5000}).Draw(t, "size"), 20000)
 		}
 		if _, neverFits := limits.NeverFits(&estimator, actual/ratio, limit-actual); neverFits && ratio >= 0.5 {
-			t.Fatalf("others made %v of %v tokens too long, estimated as %v", actual, limit, actual/ratio)
+			t.Fatalf("after samples of others: rejected a prompt of %v tokens, limit %v, estimate %v",
+				actual, limit, actual/ratio)
 		}
 		if _, neverFits := limits.NeverFits(&estimator, limit*4.1, 0); !neverFits {
-			t.Fatalf("accepted what is estimated as %v, limit %v", limit*4.1, limit)
+			t.Fatalf("accepted a prompt with an estimate of %v, limit %v", limit*4.1, limit)
 		}
 	})
 	estimator := TokenEstimator{}
-	estimator.Observe(1000, 500) // from here on the prompts are denser
+	estimator.Observe(1000, 500) // the prompts after this one have more tokens per byte
 	for range 300 {
 		estimator.Observe(1000, 2000)
 	}
@@ -54,7 +57,7 @@
 		{1, 599, 600, false},
 	} {
 		if limit, neverFits := limits.NeverFits(&estimator, c.prompt, c.answer); neverFits != c.neverFits || limit != c.limit {
-			t.Errorf("%+v: %v, %v", c, limit, neverFits)
+			t.Errorf("%+v: got limit %v, never fits %v", c, limit, neverFits)
 		}
 	}
 	for _, c := range []struct {
@@ -71,13 +74,13 @@
 	} {
 		limit, neverFits := NewTokenLimits(0, c.endpoints).NeverFits(&estimator, c.prompt, c.answer)
 		if neverFits != c.neverFits || limit != c.limit {
-			t.Errorf("%+v: %v, %v", c, limit, neverFits)
+			t.Errorf("%+v: got limit %v, never fits %v", c, limit, neverFits)
 		}
 	}
 	if _, neverFits := (TokenLimits{}).NeverFits(&estimator, 1e12, 1e12); neverFits {
-		t.Error("rejected though no limit is known")
+		t.Error("rejected a request although no limit is known")
 	}
 	if difference := estimator.Correct(100) - 200; difference > 1 || difference < -1 {
-		t.Errorf("corrected to %v", estimator.Correct(100))
+		t.Errorf("Correct(100) = %v, want 200 within 1", estimator.Correct(100))
 	}
 }
--- a/control/admission/queue.go
+++ b/control/admission/queue.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// pollInterval is the longest time between two polls while requests wait. It is short compared with
-	// any latency objective. It is also the least RetryAfter.
+	// pollInterval is the maximum time between two polls while requests wait. It is also the minimum
+	// RetryAfter.
 	pollInterval = 50 * time.Millisecond
-	// unitAlpha is the weight of a new unit in the mean tokens of a unit.
-	unitAlpha = 0.1
-	// unitCompleted replaces the tokens of a unit that has ended.
+	// unitTokensAlpha is the weight of a newly admitted unit in Queue.meanUnitTokens.
+	unitTokensAlpha = 0.1
+	// unitCompleted replaces the token count of a unit that has ended.
 	unitCompleted = -1
 )
 
@@ -24,9 +24,9 @@
 	readyEndpoints    int
 	requests          map[RequestID]*queuedRequest
 	tenants           map[uint64]*tenantQueue
-	waitingTenants    *indexedheap.Heap[*tenantQueue] // the lowest start tag first
+	waitingTenants    *indexedheap.Heap[*tenantQueue] // lowest start tag first
 	sequence          uint64                          // of the latest accepted request
-	virtualTime       float64                         // the start tag of the unit admitted last
+	virtualTime       float64                         // start tag of the unit that was admitted last
 	waitingTokens     float64
 	outstandingTokens float64
 	outstandingUnits  int
@@ -34,7 +34,7 @@
 	throughput        throughput
 	share             share
 	lastDeadlineCheck control.Time
-	polledAt          control.Time
+	lastPoll          control.Time
 }
 
 // NewQueue returns an empty queue.
@@ -54,7 +54,7 @@
 	}
 }
 
-// IsLarge reports whether a request with that number of tokens must pass through the queue.
+// IsLarge reports whether a request with the given number of tokens must pass through the queue.
 func (q *Queue) IsLarge(tokens float64) bool {
 	return q.settings.LargeTokens > 0 && tokens > q.settings.LargeTokens
 }
@@ -62,11 +62,11 @@
 // SetReadyEndpoints sets the number of endpoints of the pool that are ready.
 func (q *Queue) SetReadyEndpoints(count int) { q.readyEndpoints = count }
 
-// Len returns the number of requests that wait or are outstanding.
+// Len returns the number of requests that have waiting or outstanding units.
 func (q *Queue) Len() int { return len(q.requests) }
 
-// Enqueue adds a large request. Poll returns its units as they are admitted. If the request cannot end before
-// its deadline, Enqueue does not add it and returns its rejection and true.
+// Enqueue adds a large request. Poll returns its units when they are admitted. A request that cannot end
+// before its deadline is not added: Enqueue returns its rejection and true.
 func (q *Queue) Enqueue(now control.Time, request Request) (rejection Rejection, rejected bool) {
 	q.observeThroughput(now)
 	added := &queuedRequest{Request: request, sequence: q.sequence + 1, heapIndex: indexedheap.NoIndex}
@@ -106,8 +106,8 @@
 	}
 }
 
-// Complete records the end of an admitted unit. It has no effect for a unit that has already ended or was
-// never admitted.
+// Complete records the end of an admitted unit. It has no effect if the unit has already ended or was never
+// admitted.
 func (q *Queue) Complete(now control.Time, unit Unit, outcome UnitOutcome) {
 	request := q.requests[unit.Request]
 	if request == nil || unit.Index < 0 || unit.Index >= request.nextUnit {
@@ -122,21 +122,21 @@
 	q.outstandingTokens = max(q.outstandingTokens-tokens, 0)
 	q.outstandingUnits--
 	if q.outstandingUnits == 0 {
-		q.outstandingTokens = 0 // drop the rounding error
+		q.outstandingTokens = 0 // clear the accumulated rounding error
 	}
 	switch outcome {
 	case UnitServed:
 		q.throughput.addServed(tokens)
-	case UnitNotServed: // the window continues without its tokens
-	case UnitCancelled: // clients that leave early must not make the pool look slow
+	case UnitNotServed: // its tokens do not count as served in the current window
+	case UnitCancelled: // a client that cancels must not lower the measured throughput
 		q.throughput.restartWindow(now, q.waitingTokens > 0)
 	}
 	q.observeThroughput(now)
 	q.forgetIfEnded(request)
 }
 
-// Cancel withdraws the waiting units of a request. Outstanding units still need Complete. It has no effect
-// for a request that is not known.
+// Cancel removes the waiting units of a request. Complete must still be called for its outstanding units.
+// Cancel has no effect if the request is unknown.
 func (q *Queue) Cancel(now control.Time, id RequestID) {
 	request := q.requests[id]
 	if request == nil {
@@ -152,7 +152,7 @@
 // deadlines. It must be called after every event, and at NextDeadline.
 func (q *Queue) Poll(now control.Time) PollResult {
 	var result PollResult
-	q.polledAt = now
+	q.lastPoll = now
 	q.observeThroughput(now)
 	if now.Sub(q.lastDeadlineCheck) >= pollInterval {
 		q.lastDeadlineCheck = now
@@ -166,13 +166,13 @@
 			q.meanUnitTokens.Value = tokens
 			limit = q.outstandingLimit(now)
 		}
-		// The limit may be exceeded by half a unit, since units differ in size.
+		// Units differ in size, so the limit may be exceeded by half of a mean unit.
 		if q.outstandingUnits > 0 && q.outstandingTokens+tokens > limit+q.meanUnitTokens.Value/2 {
 			break
 		}
 		result.Admitted = append(result.Admitted, q.admitNextUnit(request))
 	}
-	if q.waitingTenants.Len() == 0 && q.outstandingUnits == 0 { // the start tags no longer matter
+	if q.waitingTenants.Len() == 0 && q.outstandingUnits == 0 { // idle: the start tags are no longer needed
 		clear(q.tenants)
 		q.virtualTime = 0
 	}
@@ -182,7 +182,7 @@
 // NextDeadline returns when Poll must be called if no event occurs before. It returns false while no request
 // waits.
 func (q *Queue) NextDeadline() (deadline control.Time, ok bool) {
-	return q.polledAt.Add(pollInterval), q.waitingTenants.Len() > 0
+	return q.lastPoll.Add(pollInterval), q.waitingTenants.Len() > 0
 }
 
 // admitNextUnit admits the next unit of the request that is first in the queue.
@@ -190,7 +190,7 @@
 	tenant := request.tenant
 	unit := Unit{request.ID, request.nextUnit}
 	tokens := request.UnitTokens[unit.Index]
-	q.meanUnitTokens.Observe(tokens, unitAlpha)
+	q.meanUnitTokens.Observe(tokens, unitTokensAlpha)
 	q.outstandingTokens += tokens
 	q.outstandingUnits++
 	q.virtualTime = tenant.startTag
@@ -200,7 +200,7 @@
 	request.waitingTokens -= tokens
 	if request.nextUnit == len(request.UnitTokens) {
 		tenant.requests.Remove(request.heapIndex)
-		tokens += request.waitingTokens // the rounding error
+		tokens += request.waitingTokens // include the accumulated rounding error
 		request.waitingTokens = 0
 	} else {
 		tenant.requests.Fix(request.heapIndex)
@@ -222,13 +222,13 @@
 	request.waitingTokens = 0
 }
 
-// subtractWaiting subtracts tokens from what a tenant has waiting. The tenant's heap of requests has already
-// changed.
+// subtractWaiting subtracts tokens from the waiting tokens of a tenant and of the queue. The caller has
+// already updated the tenant's heap of requests.
 func (q *Queue) subtractWaiting(tenant *tenantQueue, tokens float64) {
 	tenant.waitingTokens -= tokens
 	q.waitingTokens -= tokens
 	if tenant.requests.Len() == 0 {
-		q.waitingTokens -= tenant.waitingTokens // the rounding error
+		q.waitingTokens -= tenant.waitingTokens // clear the accumulated rounding error
 		tenant.waitingTokens = 0
 		q.waitingTenants.Remove(tenant.heapIndex)
 	}
@@ -238,26 +238,26 @@
 	}
 }
 
-// forgetIfEnded drops a request that has no outstanding and no waiting units.
+// forgetIfEnded removes a request that has no outstanding and no waiting units.
 func (q *Queue) forgetIfEnded(request *queuedRequest) {
-	hasNoMoreUnits := request.cancelled || request.nextUnit == len(request.UnitTokens)
-	if hasNoMoreUnits && request.outstandingUnits == 0 {
+	hasNoWaitingUnits := request.cancelled || request.nextUnit == len(request.UnitTokens)
+	if hasNoWaitingUnits && request.outstandingUnits == 0 {
 		delete(q.requests, request.ID)
 	}
 }
 
-// outstandingLimit returns the most tokens that large requests may have outstanding.
+// outstandingLimit returns the maximum tokens of outstanding units.
 func (q *Queue) outstandingLimit(now control.Time) float64 {
 	currentShare := q.share.update(now)
 	ownEndpoints := max(float64(q.readyEndpoints)/float64(q.settings.Routers), 1)
 	seconds := q.settings.OutstandingWork.Seconds()
 	if !q.share.hasRecentSmallRequest(now) {
-		seconds *= aloneFactor
+		seconds *= noSmallRequestsFactor
 	}
 	return currentShare * max(ownEndpoints*q.meanUnitTokens.Value, q.throughput.rate.Value*seconds)
 }
 
-// observeThroughput ends the window of the throughput if it is long enough.
+// observeThroughput ends the current throughput window if it is long enough.
 func (q *Queue) observeThroughput(now control.Time) {
 	q.throughput.observe(now, queueState{
 		hasOutstanding: q.outstandingUnits > 0,
--- a/control/admission/queue_test.go
+++ b/control/admission/queue_test.go
@@ -15,12 +15,12 @@
 
 const second = time.Second
 
-// at returns the time of the decisions after the start of a test.
+// at returns the time that is elapsed after the start of a test.
 func at(elapsed time.Duration) control.Time { return control.Time(1e12).Add(elapsed) }
 
 func unitsOf(count int, tokens float64) []float64 { return slices.Repeat([]float64{tokens}, count) }
 
-// simulation runs endpoints behind a queue in virtual time. Each endpoint serves one unit after another.
+// simulation simulates endpoints behind a queue. Each endpoint serves one unit after another.
 type simulation struct {
 	queue           *Queue
 	now             time.Duration
@@ -47,7 +47,7 @@
 	return s
 }
 
-// run advances the simulation to a time, in steps of 5 ms.
+// run advances the simulation until the given time, in steps of 5 ms.
 func (s *simulation) run(until time.Duration) {
 	for ; s.now < until; s.now += 5 * time.Millisecond {
 		s.completeUnits()
@@ -75,18 +75,18 @@
 	s.outstanding = remaining
 }
 
-// start assigns a unit to the endpoint that is free first.
+// start assigns a unit to the endpoint that becomes free first.
 func (s *simulation) start(unit Unit) {
 	s.admitted = append(s.admitted, unit)
-	first := 0
+	earliest := 0
 	for endpoint := range s.freeAt {
-		if s.freeAt[endpoint] < s.freeAt[first] {
-			first = endpoint
+		if s.freeAt[endpoint] < s.freeAt[earliest] {
+			earliest = endpoint
 		}
 	}
 	tokens := s.queue.requests[unit.Request].UnitTokens[unit.Index]
-	s.freeAt[first] = max(s.freeAt[first], s.now) + time.Duration(tokens/s.tokensPerSecond*float64(second))
-	s.outstanding = append(s.outstanding, runningUnit{unit, s.freeAt[first]})
+	s.freeAt[earliest] = max(s.freeAt[earliest], s.now) + time.Duration(tokens/s.tokensPerSecond*float64(second))
+	s.outstanding = append(s.outstanding, runningUnit{unit, s.freeAt[earliest]})
 }
 
 // enqueue offers a request of equal units to the queue and reports whether it was accepted.
@@ -100,7 +100,7 @@
 	s.queue.ObserveSmall(at(s.now), SmallRequest{Elapsed: elapsed, Objective: second, ClientTimeout: second})
 }
 
-// cancel cancels a request and all outstanding units, and frees the endpoints.
+// cancel cancels a request and all outstanding units, and makes all endpoints free.
 func (s *simulation) cancel(id RequestID) {
 	for _, running := range s.outstanding {
 		s.queue.Complete(at(s.now), running.unit, UnitCancelled)
@@ -115,9 +115,9 @@
 	return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Index, b.Index))
 }
 
-// limitOfNextPoll returns the limit by which the next poll decides. The queue is a copy, so that the original
-// does not observe anything.
-func limitOfNextPoll(queue Queue, now control.Time) float64 {
+// nextPollLimit returns the limit on outstanding tokens that the next poll applies. queue is a copy, so that
+// the original does not change.
+func nextPollLimit(queue Queue, now control.Time) float64 {
 	queue.observeThroughput(now)
 	return queue.outstandingLimit(now)
 }
@@ -183,7 +183,8 @@
 	}
 }
 
-// cancelOne cancels a random request, which may be unknown, and reports the end of a unit that was never admitted.
+// cancelOne cancels a random request, which may be unknown, and reports the end of a unit that was never
+// admitted.
 func (m *model) cancelOne() {
 	id := RequestID(rapid.IntRange(0, int(m.lastID)).Draw(m.t, "cancelled"))
 	m.queue.Cancel(at(m.now), id)
@@ -191,21 +192,21 @@
 	m.queue.Complete(at(m.now), Unit{id, m.nextUnit[id]}, UnitServed)
 }
 
-// poll polls the queue and checks that the admitted units keep the limit by which the poll decides.
+// poll polls the queue and checks that the outstanding units stay within the limit.
 func (m *model) poll() {
-	limit, largestUnit := limitOfNextPoll(*m.queue, at(m.now)), m.queue.meanUnitTokens.Value
+	limit, largestUnit := nextPollLimit(*m.queue, at(m.now)), m.queue.meanUnitTokens.Value
 	isFirstUnit := m.queue.meanUnitTokens.Value == 0
 	result := m.queue.Poll(at(m.now))
 	m.reject(result.Rejected)
 	for _, unit := range result.Admitted {
 		tokens := m.admit(unit)
 		largestUnit = max(largestUnit, tokens)
-		if isFirstUnit && tokens > 0 { // Poll takes the mean, and with it the limit, from this unit
+		if isFirstUnit && tokens > 0 { // Poll sets the mean, and so the limit, from this unit
 			isFirstUnit = false
 			limit = m.queue.share.value * tokens * max(float64(m.queue.readyEndpoints)/float64(m.settings.Routers), 1)
 		}
 	}
-	mostTokens := limit + largestUnit/2 + 1e-6 // no mean unit is larger than the largest
+	mostTokens := limit + largestUnit/2 + 1e-6 // the mean unit is not larger than the largest one
 	outstandingTokens := m.outstandingTokens()
 	if len(result.Admitted) > 0 && len(m.outstanding) > 1 && outstandingTokens > mostTokens {
 		m.t.Fatalf("%v tokens outstanding, limit %v, largest unit %v", outstandingTokens, limit, largestUnit)
@@ -217,7 +218,7 @@
 	for _, rejection := range rejections {
 		m.cancelled[rejection.Request] = true
 		if rejection.RetryAfter < pollInterval {
-			m.t.Fatalf("retry after %v", rejection.RetryAfter)
+			m.t.Fatalf("RetryAfter is %v, want at least %v", rejection.RetryAfter, pollInterval)
 		}
 	}
 }
@@ -226,7 +227,8 @@
 func (m *model) admit(unit Unit) (tokens float64) {
 	id := unit.Request
 	if m.cancelled[id] || unit.Index != m.nextUnit[id] || unit.Index >= len(m.unitTokens[id]) {
-		m.t.Fatalf("admitted %v; cancelled %v, next is %d of %d", unit, m.cancelled[id], m.nextUnit[id], len(m.unitTokens[id]))
+		m.t.Fatalf("admitted %v: request cancelled %v, its next unit is %d of %d",
+			unit, m.cancelled[id], m.nextUnit[id], len(m.unitTokens[id]))
 	}
 	m.nextUnit[id]++
 	tokens = m.unitTokens[id][unit.Index]
@@ -242,7 +244,7 @@
 	return total
 }
 
-// waiting returns how many units wait, and their tokens.
+// waiting returns the number of waiting units and their tokens.
 func (m *model) waiting() (units int, tokens float64) {
 	for id, unitTokens := range m.unitTokens {
 		if !m.cancelled[id] {
@@ -255,16 +257,16 @@
 	return units, tokens
 }
 
-// checkCounts checks what the queue counts, and that nothing waits beside an idle pool.
+// checkCounts checks the queue's counts, and that no unit waits while the pool is idle.
 func (m *model) checkCounts() {
 	waitingUnits, waitingTokens := m.waiting()
 	if len(m.outstanding) == 0 && waitingUnits > 0 {
-		m.t.Fatalf("%d units wait and none is outstanding", waitingUnits)
+		m.t.Fatalf("%d units wait while none is outstanding", waitingUnits)
 	}
 	outstandingTokens := m.outstandingTokens()
 	difference := m.queue.outstandingTokens - outstandingTokens
 	if difference > 1e-6 || difference < -1e-6 || m.queue.outstandingUnits != len(m.outstanding) {
-		m.t.Fatalf("the queue counts %v tokens in %d units, outstanding are %v in %d",
+		m.t.Fatalf("the queue counts %v outstanding tokens in %d units, want %v in %d",
 			m.queue.outstandingTokens, m.queue.outstandingUnits, outstandingTokens, len(m.outstanding))
 	}
 	if difference := m.queue.waitingTokens - waitingTokens; difference > 1e-6 || difference < -1e-6 {
@@ -272,7 +274,7 @@
 	}
 	deadline, ok := m.queue.NextDeadline()
 	if ok != (waitingUnits > 0) || deadline != at(m.now+pollInterval) {
-		m.t.Fatalf("next deadline %v, %v, %d units wait", deadline, ok, waitingUnits)
+		m.t.Fatalf("NextDeadline returned %v, %v while %d units wait", deadline, ok, waitingUnits)
 	}
 }
 
@@ -287,7 +289,7 @@
 	m.queue.Poll(at(m.now))
 }
 
-// checkEmpty checks that the queue remembers nothing.
+// checkEmpty checks that the queue has no state left.
 func (m *model) checkEmpty() {
 	queue := m.queue
 	if queue.Len() != 0 || len(queue.tenants) != 0 || queue.waitingTokens != 0 || queue.outstandingTokens != 0 {
@@ -296,9 +298,9 @@
 	}
 }
 
-// TestUnitsAdmittedOnceInOrderWithinLimit: after any events each unit is admitted once and in order, and never
-// after its request was cancelled. What is outstanding keeps the limit by which its poll decided, nothing waits
-// beside an idle pool, and nothing is left in the end.
+// TestUnitsAdmittedOnceInOrderWithinLimit: for any sequence of events each unit is admitted once, in order,
+// and never after its request was cancelled. The outstanding units stay within the limit, no unit waits
+// while the pool is idle, and no state is left at the end.
 func TestUnitsAdmittedOnceInOrderWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -324,11 +326,10 @@
 	})
 }
 
-// TestTenantsShareFairly: tenants are served alike however many requests each has waiting, including a tenant that
-// never has more than one.
+// TestTenantsShareFairly: a tenant with a single waiting request gets as much service as one with many.
 func TestTenantsShareFairly(t *testing.T) {
 	s := newSimulation(1, 20000, Settings{LargeTokens: 1})
-	s.enqueue(99, 2, 1, 1000, time.Hour) // the first of all, which wins ties
+	s.enqueue(99, 2, 1, 1000, time.Hour) // the first request, which wins ties
 	for i := range RequestID(20) {
 		s.enqueue(i+1, 1, 4, 1000, time.Hour)
 	}
@@ -345,12 +346,13 @@
 		admitted[uint64(unit.Request/100)]++
 	}
 	if admitted[0] < 30 || admitted[1] < 30 || admitted[0] > admitted[1]+4 || admitted[1] > admitted[0]+4 {
-		t.Errorf("units admitted: %v", admitted)
+		t.Errorf("units admitted by tenant: %v, want about equal numbers", admitted)
 	}
 }
 
-// TestBegunThenSmallestRequestFirst: of one tenant the request that has begun comes first, then the smallest.
-func TestBegunThenSmallestRequestFirst(t *testing.T) {
+// TestStartedThenSmallestRequestFirst: within a tenant, a request that has started comes first, then the
+// smallest.
+func TestStartedThenSmallestRequestFirst(t *testing.T) {
 	s := newSimulation(1, 10000, Settings{LargeTokens: 1})
 	s.enqueue(1, 1, 6, 1000, time.Hour)
 	s.run(150 * time.Millisecond)
@@ -366,39 +368,40 @@
 		}
 	}
 	if !slices.Equal(order, []RequestID{1, 3, 2}) {
-		t.Errorf("order of requests %v", order)
+		t.Errorf("requests were admitted in the order %v", order)
 	}
 }
 
-// TestRequestsRejectedByThroughput: the queue keeps the endpoints busy without knowing their speed. It rejects on
-// arrival what cannot end in time, rejects later what no longer can, and recovers after the endpoints have.
+// TestRequestsRejectedByThroughput: the queue learns the throughput and keeps the endpoints busy. It
+// rejects a request that cannot end in time, on arrival or after the endpoints have become slower, and
+// accepts requests again after the endpoints have recovered.
 func TestRequestsRejectedByThroughput(t *testing.T) {
 	s := newSimulation(4, 20000, Settings{LargeTokens: 1, OutstandingWork: 250 * time.Millisecond})
 
-	// The speed is learned, alone and beside small requests.
+	// The queue learns the throughput, without and with small requests.
 	s.enqueue(1, 1, 700, 1000, time.Hour)
 	s.run(4 * second)
 	done := len(s.admitted) - len(s.outstanding)
-	if done < 75*4 || s.mostOutstanding > 4*24 { // at most 80 units a second; 20 an endpoint in four times the work
-		t.Errorf("%d units done in 4 s, %d outstanding at most", done, s.mostOutstanding)
+	if done < 75*4 || s.mostOutstanding > 4*24 { // 80 units/s; 4 * OutstandingWork is 20 units for each endpoint
+		t.Errorf("%d units served in 4 s, at most %d outstanding", done, s.mostOutstanding)
 	}
 	for s.mostOutstanding = 0; s.now < 5500*time.Millisecond; s.run(s.now + 20*time.Millisecond) {
 		s.observeSmall(0)
 	}
-	if len(s.outstanding) > 4*8 || len(s.outstanding) < 4*4 { // 5 an endpoint in the work
-		t.Errorf("%d units outstanding beside small requests", len(s.outstanding))
+	if len(s.outstanding) > 4*8 || len(s.outstanding) < 4*4 { // OutstandingWork is 5 units for each endpoint
+		t.Errorf("%d units outstanding while small requests arrive", len(s.outstanding))
 	}
 
 	// Only requests that cannot end in time are rejected on arrival.
 	if s.enqueue(2, 1, 400, 1000, second) {
-		t.Error("accepted 5 s of work with 1 s to go")
+		t.Error("accepted 5 s of work with a deadline in 1 s")
 	}
 	rejection, _ := s.queue.Enqueue(at(s.now), Request{3, 2, unitsOf(400, 1000), at(s.now + 2*second)})
 	if rejection.RetryAfter < 2*second || rejection.RetryAfter > 8*second {
-		t.Errorf("retry after %v", rejection.RetryAfter)
+		t.Errorf("RetryAfter is %v, want 2 s to 8 s", rejection.RetryAfter)
 	}
 	if !s.enqueue(4, 2, 40, 1000, 3*second) {
-		t.Error("rejected 0.5 s of work within a share of half and with 3 s to go")
+		t.Error("rejected 0.5 s of work with a fair share of half and a deadline in 3 s")
 	}
 	s.run(s.now + 9*second)
 	if len(s.rejected) > 0 {
@@ -411,25 +414,26 @@
 	s.tokensPerSecond /= 10
 	s.run(s.now + 2*second)
 	if len(s.rejected) != 1 || s.rejected[0] != 5 || s.queue.waitingTokens != 0 {
-		t.Errorf("rejected: %v, %v tokens wait", s.rejected, s.queue.waitingTokens)
+		t.Errorf("rejected: %v, want [5]; %v tokens wait", s.rejected, s.queue.waitingTokens)
 	}
 
-	// The queue accepts again after the endpoints have recovered.
+	// The queue accepts requests again after the endpoints have recovered.
 	s.tokensPerSecond *= 10
 	s.run(s.now + 20*second)
 	if !s.enqueue(6, 1, 100, 1000, 4*second) {
-		t.Error("rejected after the endpoints had recovered")
+		t.Error("rejected a request after the endpoints had recovered")
 	}
 }
 
-// TestLateSmallRequestsLowerShare: large requests yield while small ones are late, down to one unit at a time, and
-// recover afterwards. A late small request has no effect while no large one is outstanding.
+// TestLateSmallRequestsLowerShare: late small requests lower the share of large requests, down to one unit
+// at a time. The share recovers when small requests are on time again. A late small request has no effect
+// while no large request is outstanding.
 func TestLateSmallRequestsLowerShare(t *testing.T) {
 	s := newSimulation(8, 10000, Settings{LargeTokens: 1, OutstandingWork: 50 * time.Millisecond})
 
 	s.observeSmall(second)
 	if s.queue.share.value != 1 {
-		t.Error("the share fell while nothing large was outstanding")
+		t.Error("the share fell while no large request was outstanding")
 	}
 
 	s.enqueue(1, 1, 1000, 1000, time.Hour)
@@ -451,12 +455,12 @@
 	}
 	s.run(s.now + second/2)
 	if len(s.outstanding) != 8 {
-		t.Errorf("%d of 8 endpoints have a unit after small requests were in time again", len(s.outstanding))
+		t.Errorf("%d of 8 endpoints have a unit after small requests were on time again", len(s.outstanding))
 	}
 }
 
-// TestClientCannotHoldBackOthers: one client cannot hold back another's large requests, neither by cancelling its
-// own early nor by small requests with a short client time-out.
+// TestClientCannotHoldBackOthers: one client cannot delay the large requests of another, neither by
+// cancelling its own early nor by sending small requests with a short client time-out.
 func TestClientCannotHoldBackOthers(t *testing.T) {
 	s := newSimulation(2, 10000, Settings{LargeTokens: 1, OutstandingWork: 100 * time.Millisecond})
 	s.enqueue(1, 1, 60, 1000, time.Hour)
@@ -470,15 +474,15 @@
 	}
 
 	if s.queue.share.value != 1 {
-		t.Errorf("large requests may use a share of only %v", s.queue.share.value)
+		t.Errorf("the share is %v, want 1", s.queue.share.value)
 	}
 	if !s.enqueue(100, 2, 40, 1000, 4*second) { // 2 s of work
-		t.Error("another client's request is rejected")
+		t.Error("rejected a request of another client")
 	}
 }
 
-// TestEarlyCancellationDoesNotLowerThroughput: units that are cancelled before they end do not make the pool look
-// slow, even if one is outstanding all the time.
+// TestEarlyCancellationDoesNotLowerThroughput: units that are cancelled before they end do not lower the
+// measured throughput, even if a unit is outstanding at all times.
 func TestEarlyCancellationDoesNotLowerThroughput(t *testing.T) {
 	s := newSimulation(2, 10000, Settings{LargeTokens: 1, OutstandingWork: 100 * time.Millisecond})
 	s.enqueue(1, 1, 60, 1000, time.Hour)
@@ -500,20 +504,20 @@
 	}
 
 	if s.queue.throughput.rate.Value != rate {
-		t.Errorf("the throughput went from %v to %v tokens a second", rate, s.queue.throughput.rate.Value)
+		t.Errorf("the throughput changed from %v to %v tokens per second", rate, s.queue.throughput.rate.Value)
 	}
 }
 
-// TestRememberedTenantsBounded: the number of known tenants is bounded even if each tenant sends one request.
-func TestRememberedTenantsBounded(t *testing.T) {
+// TestKnownTenantsAreBounded: the number of known tenants is bounded even if each request has another tenant.
+func TestKnownTenantsAreBounded(t *testing.T) {
 	s := newSimulation(1, 1e6, Settings{LargeTokens: 1, OutstandingWork: time.Millisecond})
 	s.enqueue(1, 0, 1e5, 1000, time.Hour)
-	for i := range 20 * maxIdleTenants {
+	for i := range 20 * softMaxTenants {
 		s.enqueue(RequestID(i+2), uint64(i+1), 1, 1000, time.Hour)
 		s.run(s.now + 5*time.Millisecond)
 	}
-	if n := len(s.queue.tenants); n > 5*maxIdleTenants {
-		t.Errorf("%d tenants are known", n)
+	if n := len(s.queue.tenants); n > 5*softMaxTenants {
+		t.Errorf("%d tenants are known, want at most %d", n, 5*softMaxTenants)
 	}
 }
 
--- a/control/admission/tenant.go
+++ b/control/admission/tenant.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// maxIdleTenants is the number of known tenants from which on those are forgotten that have nothing
-	// waiting and no service ahead of the others.
-	maxIdleTenants = 1024
-	// maxTenants is the number of known tenants from which on all are forgotten that have nothing waiting.
-	maxTenants = 4 * maxIdleTenants
+	// softMaxTenants is the number of known tenants at which the queue starts to forget idle ones: those
+	// without waiting requests whose start tag is not ahead of the virtual time.
+	softMaxTenants = 1024
+	// maxTenants is the number of known tenants at which the queue forgets all without waiting requests.
+	maxTenants = 4 * softMaxTenants
 )
 
-// queuedRequest is a request with units that wait or are outstanding.
+// queuedRequest is a request that has waiting or outstanding units.
 type queuedRequest struct {
 	Request
 	tenant           *tenantQueue
 	sequence         uint64 // order of arrival
-	nextUnit         int    // index of the first unit that is not admitted
+	nextUnit         int    // index of the first unit that has not been admitted
 	outstandingUnits int
 	waitingTokens    float64
 	heapIndex        int  // in tenantQueue.requests
-	cancelled        bool // its waiting units are never admitted
+	cancelled        bool // no more units are admitted
 }
 
-// compareRequests orders the requests of one tenant: first one that has begun, then the one with the fewest
-// tokens left, then the one that arrived first.
+// compareRequests orders the requests of one tenant. A request that has started comes first, then the one
+// with the fewest waiting tokens, then the one that arrived first.
 func compareRequests(a, b *queuedRequest) int {
-	aHasBegun, bHasBegun := a.nextUnit > 0, b.nextUnit > 0
+	aStarted, bStarted := a.nextUnit > 0, b.nextUnit > 0
 	switch {
-	case aHasBegun && !bHasBegun:
+	case aStarted && !bStarted:
 		return -1
-	case bHasBegun && !aHasBegun:
+	case bStarted && !aStarted:
 		return 1
 	}
 	return cmp.Or(cmp.Compare(a.waitingTokens, b.waitingTokens), cmp.Compare(a.sequence, b.sequence))
@@ -42,10 +42,10 @@
 
 // tenantQueue is one tenant's waiting requests.
 type tenantQueue struct {
-	// startTag is the virtual time of the tenant's next unit, in tokens (start-time fair queueing,
+	// startTag is the virtual start time of the tenant's next unit, in tokens (start-time fair queueing,
 	// Goyal, Vin and Cheng 1996).
 	startTag      float64
-	sequence      uint64 // order of arrival, among equal tags
+	sequence      uint64 // order of arrival; breaks ties between equal start tags
 	requests      *indexedheap.Heap[*queuedRequest]
 	waitingTokens float64
 	heapIndex     int // in Queue.waitingTenants
@@ -76,10 +76,10 @@
 	return tokens
 }
 
-// forgetIdleTenants bounds the memory of tenants that have nothing waiting. From maxIdleTenants on it drops
-// those whose service is in the past, from maxTenants on all.
+// forgetIdleTenants bounds the number of tenants without waiting requests. At softMaxTenants it forgets those
+// whose start tag is not ahead of the virtual time, at maxTenants all of them.
 func (q *Queue) forgetIdleTenants() {
-	if len(q.tenants) < maxIdleTenants {
+	if len(q.tenants) < softMaxTenants {
 		return
 	}
 	maps.DeleteFunc(q.tenants, func(_ uint64, tenant *tenantQueue) bool {
--- a/control/admission/tokens.go
+++ b/control/admission/tokens.go
@@ -5,27 +5,27 @@
 const (
 	// maxEstimateError is the factor by which an uncorrected estimate may be too high or too low.
 	maxEstimateError = 4.0
-	// ratioAlpha is the weight of a new sample in the mean ratio.
+	// ratioAlpha is the weight of a new sample in TokenEstimator.meanRatio.
 	ratioAlpha = 0.05
-	// minRatioAlpha is the weight with which the least ratio returns to the mean.
+	// minRatioAlpha is the weight with which each sample moves TokenEstimator.minRatio towards meanRatio.
 	minRatioAlpha = 0.02
-	// lowerBoundMargin multiplies the least ratio: the next prompt may have fewer tokens for its bytes
+	// lowerBoundMargin multiplies TokenEstimator.minRatio, because a prompt may have fewer tokens per byte
 	// than all observed ones.
 	lowerBoundMargin = 0.5
-	// minSampleTokens is the least estimate that counts as a sample. The tokens of shorter prompts depend more
-	// on the engine's template than on the text.
+	// minSampleTokens is the smallest estimate that counts as a sample. The token counts of shorter prompts
+	// depend more on the engine's chat template than on the text.
 	minSampleTokens = 200
 )
 
-// TokenEstimator corrects token counts that are estimated from the bytes of prompts, by the counts that
-// engines report in their usage. Each pool has its own, since languages and vocabularies differ. The zero
-// value has no samples and is ready for use.
+// TokenEstimator corrects token counts that are estimated from the bytes of prompts. It learns from the
+// counts that engines report as usage. Each pool has its own estimator, since languages and vocabularies
+// differ. The zero value has no samples and is ready for use.
 type TokenEstimator struct {
-	meanRatio ewma.Average[float64] // actual over estimated tokens
-	minRatio  ewma.Average[float64] // about the least recent ratio
+	meanRatio ewma.Average[float64] // of actual to estimated tokens
+	minRatio  ewma.Average[float64] // recent minimum of the ratio; returns slowly to meanRatio
 }
 
-// Observe records the actual tokens of a prompt and its uncorrected estimate.
+// Observe records the uncorrected estimate of a prompt's tokens and the actual count.
 func (e *TokenEstimator) Observe(estimated, actual float64) {
 	if estimated < minSampleTokens || actual < 1 {
 		return
@@ -39,7 +39,7 @@
 	e.minRatio.Value = min(e.minRatio.Value, ratio)
 }
 
-// Correct returns the expected tokens of a prompt with an uncorrected estimate.
+// Correct returns the expected token count of a prompt, given its uncorrected estimate.
 func (e *TokenEstimator) Correct(estimated float64) float64 {
 	if e.meanRatio.Value == 0 {
 		return estimated
@@ -47,9 +47,9 @@
 	return estimated * e.meanRatio.Value
 }
 
-// LowerBound returns the least tokens that a prompt with an uncorrected estimate may have. It is at most half
-// of the estimate whatever other prompts had, so that one client's dense texts cannot make another's prompts
-// count as too long.
+// LowerBound returns the smallest plausible token count of a prompt, given its uncorrected estimate. It is at
+// most half of the estimate. Otherwise one client's texts with many tokens per byte could make the prompts of
+// another client count as too long.
 func (e *TokenEstimator) LowerBound(estimated float64) float64 {
 	if e.minRatio.Value == 0 {
 		return estimated / maxEstimateError
