--- a/control/batching/batcher.go
+++ b/control/batching/batcher.go
@@ -13,30 +13,30 @@
 const (
 	// durationAlpha is the weight of a new batch in the mean duration of batches.
 	durationAlpha = 0.1
-	// objectiveSlack is how long before its objective a request stops waiting for others, in mean durations
-	// of a batch: one for its own batch, and one as a margin.
+	// objectiveSlack is how long before its objective a request stops waiting for others, as a multiple of
+	// the mean batch duration: one for its own batch, and one as a margin.
 	objectiveSlack = 2.0
 )
 
-// Batcher batches the small requests of one pool, after Nagle's algorithm (RFC 896). A request is sent at once
-// while fewer batches of its key are outstanding than this router's share of the endpoints. Other requests wait
-// until a batch ends or until they fill one, but at most for Settings.MaxWait, and less if their objectives are
-// near.
+// Batcher groups the small requests of one pool into batches, similar to Nagle's algorithm (RFC 896). A
+// request is sent at once if fewer batches of its key are outstanding than this router's share of the
+// endpoints. Otherwise it waits until a batch ends or the waiting requests fill a batch. It waits at most
+// for Settings.MaxWait, and less if its latency objective is near.
 //
-// Each request keeps its own deadline and may be cancelled while the others of its batch go on. If a batch fails
-// in a way that one of its requests may have caused, each is retried by itself with the attempts that the batch
-// has left. Thus an invalid input delays other requests but does not fail them. If an engine was lost, they are
-// retried one after another by a SequentialRetry.
+// Each request keeps its own deadline and can be cancelled without affecting the others of its batch. If a
+// batch fails and one of its requests may be the cause, each request is retried by itself, with the
+// attempts that the batch has left. Thus an invalid input delays other requests but does not fail them. If
+// a connection to an engine was lost, the requests are retried in the order of a SequentialRetry.
 //
-// It is not safe for concurrent use.
+// Batcher is not safe for concurrent use.
 type Batcher struct {
 	settings            Settings
 	readyEndpoints      int
 	queues              map[Key]*requestQueue
-	waitingQueues       []*requestQueue // those with waiting requests, in order of arrival
+	waitingQueues       []*requestQueue // with waiting requests, in order of arrival
 	batches             map[BatchID]*sentBatch
 	requests            map[RequestID]*trackedRequest
-	deadlines           *indexedheap.Heap[*trackedRequest] // of requests in batches of several
+	deadlines           *indexedheap.Heap[*trackedRequest] // of requests in batches of more than one
 	lastBatchID         BatchID
 	meanDurationSeconds ewma.Average[float64] // of a batch
 }
@@ -47,17 +47,17 @@
 	waiting            []*trackedRequest
 	waitingItems       int
 	waitingTokens      float64
-	sendBy             control.Time // latest time at which the waiting requests are sent
+	sendBy             control.Time // when the waiting requests are sent at the latest
 	outstandingBatches int
-	listed             bool // in Batcher.waitingQueues
+	isListed           bool // in Batcher.waitingQueues
 }
 
 // sentBatch is a batch that has not ended.
 type sentBatch struct {
 	queue              *requestQueue
 	sentAt             control.Time
-	hadSeveralRequests bool              // when it was sent
-	requests           []*trackedRequest // not cancelled or expired since
+	hadSeveralRequests bool              // when the batch was sent
+	requests           []*trackedRequest // not cancelled or expired since then
 }
 
 // trackedRequest is a request that waits or is in a batch.
@@ -88,7 +88,7 @@
 // SetReadyEndpoints sets the number of endpoints of the pool that are ready.
 func (b *Batcher) SetReadyEndpoints(count int) { b.readyEndpoints = count }
 
-// IsSmall reports whether a request is small enough to share a batch. Two of its size must fit into one.
+// IsSmall reports whether a request is small enough to share a batch: two of its size must fit into one.
 func (b *Batcher) IsSmall(items int, tokens float64) bool {
 	return b.settings.MaxWait > 0 && 2*items <= b.settings.BatchItems && 2*tokens <= b.settings.BatchTokens
 }
@@ -112,13 +112,13 @@
 	queue.waiting = append(queue.waiting, added)
 	queue.waitingItems += request.Items
 	queue.waitingTokens += request.Tokens
-	if !queue.listed {
-		queue.listed = true
+	if !queue.isListed {
+		queue.isListed = true
 		b.waitingQueues = append(b.waitingQueues, queue)
 	}
 }
 
-// sendBy returns the time up to which a request with an objective may wait for others.
+// sendBy returns until when a request with the given objective may wait for others.
 func (b *Batcher) sendBy(now, objective control.Time) control.Time {
 	slack := time.Duration(objectiveSlack * b.meanDurationSeconds.Value * float64(time.Second))
 	untilObjective := objective.Sub(now)
@@ -128,11 +128,11 @@
 	return now.Add(b.settings.MaxWait)
 }
 
-// Poll returns the batches to send now and the requests that have expired. It must be called after every event,
-// and at NextDeadline.
+// Poll returns the batches to send now and the requests that have expired. It must be called after every
+// event, and at NextDeadline.
 func (b *Batcher) Poll(now control.Time) PollResult {
 	return PollResult{
-		Batches: b.sendDue(now),
+		Batches: b.startDueBatches(now),
 		Expired: b.expire(now),
 	}
 }
@@ -151,14 +151,14 @@
 	return deadline, ok
 }
 
-// sendDue returns all batches that are due.
-func (b *Batcher) sendDue(now control.Time) []Batch {
+// startDueBatches starts and returns all batches that are due.
+func (b *Batcher) startDueBatches(now control.Time) []Batch {
 	var batches []Batch
 	stillWaiting := b.waitingQueues[:0]
 	for _, queue := range b.waitingQueues {
-		batches = b.sendDueFrom(now, queue, batches)
-		queue.listed = len(queue.waiting) > 0
-		if queue.listed {
+		batches = b.startDueBatchesOf(now, queue, batches)
+		queue.isListed = len(queue.waiting) > 0
+		if queue.isListed {
 			stillWaiting = append(stillWaiting, queue)
 		} else {
 			b.forgetIfEmpty(queue)
@@ -169,8 +169,8 @@
 	return batches
 }
 
-// sendDueFrom appends the batches of one queue that are due.
-func (b *Batcher) sendDueFrom(now control.Time, queue *requestQueue, batches []Batch) []Batch {
+// startDueBatchesOf starts the batches of one queue that are due, and appends them to batches.
+func (b *Batcher) startDueBatchesOf(now control.Time, queue *requestQueue, batches []Batch) []Batch {
 	ownEndpoints := max(b.readyEndpoints/b.settings.Routers, 1)
 	for len(queue.waiting) > 0 {
 		isFull := queue.waitingItems > b.settings.BatchItems || queue.waitingTokens > b.settings.BatchTokens
@@ -178,17 +178,17 @@
 		if !isFull && freeEndpoints <= 0 && now < queue.sendBy {
 			break
 		}
-		// Spread over the free endpoints: sharing a batch pays only if none is free.
+		// Spread the requests over the free endpoints. A shared batch is an advantage only if none is free.
 		spread := max(freeEndpoints, 1)
 		maxRequests := (len(queue.waiting) + spread - 1) / spread
-		batches = append(batches, b.send(now, queue, maxRequests))
+		batches = append(batches, b.startBatch(now, queue, maxRequests))
 	}
 	return batches
 }
 
-// send returns a batch of the requests at the front of a queue: as many as fit, but at least one and at most
-// maxRequests.
-func (b *Batcher) send(now control.Time, queue *requestQueue, maxRequests int) Batch {
+// startBatch starts a batch of the requests at the front of a queue: as many as fit, but at least one and at
+// most maxRequests.
+func (b *Batcher) startBatch(now control.Time, queue *requestQueue, maxRequests int) Batch {
 	requests := b.takeFitting(queue, maxRequests)
 	b.lastBatchID++
 	batch := Batch{ID: b.lastBatchID}
@@ -197,16 +197,21 @@
 		request.batch = batch.ID
 		batch.Requests = append(batch.Requests, request.ID)
 		batch.Deadline = max(batch.Deadline, request.Deadline)
-		if hasSeveralRequests { // the decision module enforces the deadline of a single one
+		if hasSeveralRequests { // package control enforces the deadline of a batch of one
 			b.deadlines.Push(request)
 		}
 	}
 	queue.outstandingBatches++
-	b.batches[batch.ID] = &sentBatch{queue: queue, sentAt: now, hadSeveralRequests: hasSeveralRequests, requests: requests}
+	b.batches[batch.ID] = &sentBatch{
+		queue:              queue,
+		sentAt:             now,
+		hadSeveralRequests: hasSeveralRequests,
+		requests:           requests,
+	}
 	return batch
 }
 
-// takeFitting removes the requests of the next batch from the front of a queue.
+// takeFitting removes the requests of the next batch from the front of a queue and returns them.
 func (b *Batcher) takeFitting(queue *requestQueue, maxRequests int) []*trackedRequest {
 	count := 0
 	items := 0
@@ -232,11 +237,12 @@
 	q.waitingItems -= items
 	q.waitingTokens -= tokens
 	if len(q.waiting) == 0 {
-		q.waitingTokens = 0 // drop the rounding error
+		q.waitingTokens = 0 // clear the accumulated rounding error
 	}
 }
 
-// expire cancels and returns the requests in batches of several whose deadlines have come, earliest first.
+// expire cancels and returns the requests whose deadlines have passed, earliest first. It does so only for
+// batches of more than one request.
 func (b *Batcher) expire(now control.Time) []RequestID {
 	var expired []RequestID
 	for b.deadlines.Len() > 0 && b.deadlines.Min().Deadline <= now {
@@ -247,8 +253,8 @@
 	return expired
 }
 
-// Complete records the end of a batch, decides how its requests are handled, and forgets them. For a batch that
-// is not known it returns no requests.
+// Complete records the end of a batch, removes its requests, and returns how to handle them. For an unknown
+// batch it returns the zero Completion.
 func (b *Batcher) Complete(now control.Time, id BatchID, result BatchResult) Completion {
 	batch := b.batches[id]
 	if batch == nil {
@@ -266,13 +272,13 @@
 	return completion
 }
 
-// handlingOf decides how the requests of a batch are handled after its end.
+// handlingOf returns how to handle the requests of a batch after its end.
 func handlingOf(result BatchResult, hadSeveralRequests bool) FailureHandling {
 	mayBeRequestFault := false
 	switch result.Outcome {
 	case outcome.Failed, outcome.InvalidRequest:
 		mayBeRequestFault = true
-	case outcome.Rejected: // without an attempt the cause was a lack of capacity, for all of them
+	case outcome.Rejected: // without an attempt, the cause was a lack of capacity
 		mayBeRequestFault = result.Attempts > 0
 	case outcome.Served:
 	}
@@ -285,7 +291,7 @@
 	return RetrySeparately
 }
 
-// Cancel removes a request that needs no further answer. It has no effect for a request that is not known.
+// Cancel removes a request that no longer needs an answer. It has no effect if the request is unknown.
 func (b *Batcher) Cancel(id RequestID) Cancellation {
 	request := b.requests[id]
 	if request == nil {
@@ -322,9 +328,9 @@
 	b.forgetIfEmpty(batch.queue)
 }
 
-// forgetIfEmpty drops a queue that has no waiting requests and no outstanding batches.
+// forgetIfEmpty removes a queue that has no waiting requests and no outstanding batches.
 func (b *Batcher) forgetIfEmpty(queue *requestQueue) {
-	if len(queue.waiting) == 0 && queue.outstandingBatches == 0 && !queue.listed {
+	if len(queue.waiting) == 0 && queue.outstandingBatches == 0 && !queue.isListed {
 		delete(b.queues, queue.key)
 	}
 }
--- a/control/batching/batcher_test.go
+++ b/control/batching/batcher_test.go
@@ -74,7 +74,7 @@
 	m.batcher.Enqueue(m.now, key, request)
 }
 
-// completeSome ends a random selection of the outstanding batches with random results.
+// completeSome ends random outstanding batches with random results.
 func (m *model) completeSome() {
 	for _, id := range slices.Sorted(maps.Keys(m.batches)) {
 		if !rapid.Bool().Draw(m.t, "ends") {
@@ -95,18 +95,18 @@
 	mustShare := result.Outcome == outcome.Served || result.Attempts == 3 ||
 		result.Outcome == outcome.Rejected && result.Attempts == 0
 	if completion.Handling != ShareResult && mustShare {
-		m.t.Fatalf("%v after %+v", completion.Handling, result)
+		m.t.Fatalf("handling is %v after %+v", completion.Handling, result)
 	}
 	for _, request := range completion.Requests {
-		m.end(request, "its batch")
+		m.end(request, "batch completed")
 	}
 	delete(m.batches, id)
 }
 
-// end records the only end of a request.
+// end records the end of a request, which must not have ended before.
 func (m *model) end(id RequestID, reason string) {
 	if m.requests[id].ended {
-		m.t.Fatalf("%d ends again: %s", id, reason)
+		m.t.Fatalf("request %d ended twice, the second time as %s", id, reason)
 	}
 	m.requests[id].ended = true
 }
@@ -118,7 +118,7 @@
 	if request := m.requests[id]; request != nil && !request.ended {
 		m.end(id, "cancelled")
 		if cancellation.Batch != request.batch {
-			m.t.Fatalf("left batch %d, was in %d", cancellation.Batch, request.batch)
+			m.t.Fatalf("Cancel returned batch %d, the request was in %d", cancellation.Batch, request.batch)
 		}
 	}
 	if cancellation.BatchCancelled {
@@ -126,7 +126,7 @@
 	}
 }
 
-// poll checks the batches and the expired requests of a poll.
+// poll polls the batcher and checks the batches and the expired requests.
 func (m *model) poll() {
 	result := m.batcher.Poll(m.now)
 	for _, batch := range result.Batches {
@@ -136,31 +136,34 @@
 	for _, id := range result.Expired {
 		m.end(id, "expired")
 		if m.now < m.requests[id].Deadline {
-			m.t.Fatalf("%d ends before its deadline", id)
+			m.t.Fatalf("request %d expired before its deadline", id)
 		}
 	}
 }
 
-// checkSent checks that a batch keeps the limits and that its requests share a key and were in no other batch.
+// checkSent checks that a batch is within the limits, and that its requests have one key and were in no batch
+// before.
 func (m *model) checkSent(batch Batch) {
-	items, tokens, lastDeadline := 0, 0.0, control.Time(0)
+	items, tokens, latestDeadline := 0, 0.0, control.Time(0)
 	for _, id := range batch.Requests {
 		request := m.requests[id]
 		if request.batch != 0 || request.ended || request.key != m.requests[batch.Requests[0]].key {
-			m.t.Fatalf("%d is sent in batch %d, was in %d, ended %v", id, batch.ID, request.batch, request.ended)
+			m.t.Fatalf("request %d is sent in batch %d: was in batch %d, ended %v, or its key differs",
+				id, batch.ID, request.batch, request.ended)
 		}
 		request.batch = batch.ID
 		items += request.Items
 		tokens += request.Tokens
-		lastDeadline = max(lastDeadline, request.Deadline)
+		latestDeadline = max(latestDeadline, request.Deadline)
 	}
 	exceedsLimits := items > m.settings.BatchItems || tokens > m.settings.BatchTokens
-	if len(batch.Requests) > 1 && exceedsLimits || batch.Deadline != lastDeadline {
-		m.t.Fatalf("batch of %d items, %v tokens, deadline %v of %v", items, tokens, batch.Deadline, lastDeadline)
+	if len(batch.Requests) > 1 && exceedsLimits || batch.Deadline != latestDeadline {
+		m.t.Fatalf("batch of %d items and %v tokens, deadline %v, want %v",
+			items, tokens, batch.Deadline, latestDeadline)
 	}
 }
 
-// checkWaiting checks that no request waits past its time or beside a free endpoint.
+// checkWaiting checks that no request waits for too long, or while an endpoint is free.
 func (m *model) checkWaiting() {
 	outstanding := map[Key]int{}
 	for _, ids := range m.batches {
@@ -173,11 +176,11 @@
 		latest := request.arrivedAt.Add(m.settings.MaxWait)
 		hasFreeEndpoint := outstanding[request.key] < max(m.endpoints/m.settings.Routers, 1)
 		if m.now >= latest || m.now >= request.Objective || hasFreeEndpoint {
-			m.t.Fatalf("%d waits since %v, objective %v, %d batches outstanding, now %v",
+			m.t.Fatalf("request %d has waited since %v, objective %v, %d batches outstanding, now %v",
 				request.ID, request.arrivedAt, request.Objective, outstanding[request.key], m.now)
 		}
 		if deadline, ok := m.batcher.NextDeadline(); !ok || deadline > latest {
-			m.t.Fatalf("next deadline %v, %v", deadline, ok)
+			m.t.Fatalf("NextDeadline returned %v, %v, want at most %v", deadline, ok, latest)
 		}
 	}
 }
@@ -190,14 +193,14 @@
 	for id, request := range m.requests {
 		if !request.ended {
 			if cancellation := m.batcher.Cancel(id); request.batch != 0 || cancellation.BatchCancelled {
-				m.t.Fatalf("%d has no end", id)
+				m.t.Fatalf("request %d was sent but has not ended", id)
 			}
 		}
 	}
 	m.batcher.Poll(m.now)
 }
 
-// checkEmpty checks that the batcher remembers nothing.
+// checkEmpty checks that the batcher has no state left.
 func (m *model) checkEmpty() {
 	batcher := m.batcher
 	if batcher.Len() != 0 || len(batcher.queues) != 0 || len(batcher.batches) != 0 || batcher.deadlines.Len() != 0 {
@@ -206,9 +209,9 @@
 	}
 }
 
-// TestEachRequestBatchedOnceWithinLimits: after any events each request is in one batch, keys are not mixed,
-// batches keep their limits, no request waits past its time or beside a free endpoint, each ends once, and
-// nothing is left.
+// TestEachRequestBatchedOnceWithinLimits: for any sequence of events each request is in at most one batch
+// and ends once. Batches are within the limits and have one key. No request waits for too long, or while an
+// endpoint is free. No state is left at the end.
 func TestEachRequestBatchedOnceWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -230,9 +233,10 @@
 	})
 }
 
-// TestFaultyBatchRetriedByRequest: after a fault each request of a batch of several is retried by itself, even if
-// the others were cancelled since. The result of a batch of one, and a rejection before any attempt, is final.
-func TestFaultyBatchRetriedByRequest(t *testing.T) {
+// TestRequestsOfFailedBatchAreRetried: after a failure that one request may have caused, each request of a
+// shared batch is retried by itself, even if the others have been cancelled. The result of a batch of one
+// is final, and so are a rejection before any attempt and a failure of the last attempt.
+func TestRequestsOfFailedBatchAreRetried(t *testing.T) {
 	for _, c := range []struct {
 		requests, cancelled, attempts, lostConnections int
 		outcome                                        outcome.Outcome
@@ -260,30 +264,30 @@
 		})
 
 		if completion.Handling != c.handling || len(completion.Requests) != c.requests-c.cancelled {
-			t.Errorf("%+v: %+v", c, completion)
+			t.Errorf("%+v: got %+v", c, completion)
 		}
 	}
 }
 
-// batcherWithBatch returns a batcher of one endpoint with one outstanding batch, of requests with ids from 0. They
-// share it because another batch was outstanding when they arrived.
+// batcherWithBatch returns a batcher with one endpoint and one outstanding batch. The ids of its requests
+// start at 0. They share a batch because another one was outstanding when they arrived.
 func batcherWithBatch(t *testing.T, requests int) (*Batcher, BatchID) {
 	t.Helper()
 	batcher := NewBatcher(Settings{BatchTokens: 100, BatchItems: 10, MaxWait: time.Second})
 	batcher.SetReadyEndpoints(1)
-	const far = control.Time(1e9)
-	batcher.Enqueue(0, Key{}, Request{ID: 100, Items: 1, Objective: far, Deadline: far})
+	const farFuture = control.Time(1e9)
+	batcher.Enqueue(0, Key{}, Request{ID: 100, Items: 1, Objective: farFuture, Deadline: farFuture})
 	first := batcher.Poll(0).Batches
 	for i := range requests {
-		batcher.Enqueue(0, Key{}, Request{ID: RequestID(i), Items: 1, Objective: far, Deadline: far})
+		batcher.Enqueue(0, Key{}, Request{ID: RequestID(i), Items: 1, Objective: farFuture, Deadline: farFuture})
 	}
 	if early := batcher.Poll(0).Batches; len(early) != 0 {
-		t.Fatal("sent beside a batch that is outstanding")
+		t.Fatal("sent a batch while another one was outstanding")
 	}
 	batcher.Complete(0, first[0].ID, BatchResult{Outcome: outcome.Served, Attempts: 1, MaxAttempts: 2})
 	batches := batcher.Poll(0).Batches
 	if len(batches) != 1 || len(batches[0].Requests) != requests {
-		t.Fatalf("sent %v", batches)
+		t.Fatalf("sent %v, want one batch of %d requests", batches, requests)
 	}
 	return batcher, batches[0].ID
 }
--- a/control/batching/batching.go
+++ b/control/batching/batching.go
@@ -1,8 +1,8 @@
 // Package batching groups small embeddings requests that arrive close together into batches, each of which is
 // one call to an engine (dynamic batching).
 //
-// Batcher decides which requests share a call, when the call is made, and what its end means for each of them.
-// SequentialRetry orders the retries after a call that lost its engine.
+// Batcher decides which requests share a call, when the call is made, and how its result applies to each of
+// them. SequentialRetry orders the retries after a call whose connection to the engine was lost.
 //
 // Like control, the package does no I/O, reads no clock and starts no goroutine.
 package batching
@@ -20,15 +20,15 @@
 // computation with others.
 const ExpiredRetryAfter = time.Second
 
-// Settings bound a batch.
+// Settings are the settings of a Batcher.
 type Settings struct {
-	BatchTokens float64       // tokens of all requests of a batch
-	BatchItems  int           // items of all requests of a batch
+	BatchTokens float64       // maximum tokens of a batch
+	BatchItems  int           // maximum items of a batch
 	MaxWait     time.Duration // longest time that a request waits for others; 0 disables batching
 	Routers     int           // routers that share the endpoints; less than 1 counts as 1
 }
 
-// Key identifies requests that may share a batch: same model, form, class and tenant.
+// Key identifies requests that may share a batch: same model, parameters, class and tenant.
 type Key [16]byte
 
 // RequestID identifies a request in one batcher. Ids are never reused.
@@ -42,22 +42,22 @@
 	ID        RequestID
 	Items     int
 	Tokens    float64
-	Objective control.Time // the end of its latency objective
-	Deadline  control.Time // it must end by then
+	Objective control.Time // when its latency objective ends
+	Deadline  control.Time // when it must have ended
 }
 
-// Batch is the requests that go to an engine in one call, in the order of their items in it.
+// Batch is a set of requests that are sent to an engine in one call.
 type Batch struct {
 	ID       BatchID
-	Requests []RequestID
+	Requests []RequestID  // in the order of their items in the call
 	Deadline control.Time // the latest of the requests' deadlines
 }
 
-// PollResult is what Batcher.Poll decides.
+// PollResult is the result of Batcher.Poll.
 type PollResult struct {
 	Batches []Batch // to be sent now
-	// Expired are requests whose deadlines have come before their batches ended, the earliest first. Each is to
-	// be rejected; the batcher has forgotten it.
+	// Expired are requests whose deadlines have passed before their batches ended, earliest deadline first.
+	// The batcher has removed them, and the caller must reject them.
 	Expired []RequestID
 }
 
@@ -69,18 +69,18 @@
 	MaxAttempts     int // of the requests' class
 }
 
-// Completion is what the end of a batch means for its requests.
+// Completion tells how to handle the requests of a batch that has ended.
 type Completion struct {
-	Requests []RequestID // those not cancelled or expired before, in the order of the batch
+	Requests []RequestID // not cancelled or expired before, in the order of the batch
 	Handling FailureHandling
 }
 
 // FailureHandling is how the requests of a batch are handled after its end.
 type FailureHandling uint8
 
-// The ways to handle them.
+// The ways to handle the requests of a batch.
 const (
-	// ShareResult gives each request the batch's result, or its part of it.
+	// ShareResult gives each request the result of the batch, or its part of the result.
 	ShareResult FailureHandling = iota // share result
 	// RetrySeparately retries each request by itself, all at once.
 	RetrySeparately // retry separately
@@ -88,21 +88,21 @@
 	RetrySequentially // retry sequentially
 )
 
-// Cancellation is what the cancellation of a request means for its batch.
+// Cancellation is the effect of a request's cancellation on its batch.
 type Cancellation struct {
-	Batch BatchID // 0 if the request was in none
-	// BatchCancelled reports that the request was the last one of its batch. The batch's call is to be cancelled;
-	// the batcher has forgotten it.
+	Batch BatchID // 0 if the request was not in a batch
+	// BatchCancelled is true if the request was the last one of its batch. The batcher has removed the batch,
+	// and the caller must cancel its call.
 	BatchCancelled bool
 }
 
-// MayBatch reports whether requests of a class with a number of attempts may share a batch. Each must be able
-// to be executed again, alone.
+// MayBatch reports whether requests of a class may share a batch. This requires that each request can be
+// retried by itself after the batch has failed.
 func MayBatch(class control.Class, attempts int) bool {
 	return class.Idempotency == control.Idempotent && attempts > 1
 }
 
-// MayBeRequestFault reports whether one request of the batch may have caused an attempt to end with a result.
+// MayBeRequestFault reports whether a request of the batch may be the cause of an attempt's result.
 func MayBeRequestFault(result control.Result) bool {
 	return result == control.Reset || result == control.Failed
 }
--- a/control/batching/example_test.go
+++ b/control/batching/example_test.go
@@ -9,7 +9,8 @@
 	"martenlock/control/outcome"
 )
 
-// With one endpoint the first request is sent at once. The two that arrive meanwhile share the next batch.
+// With one endpoint, the first request is sent at once. The two that arrive before it ends share the next
+// batch.
 func Example() {
 	batcher := batching.NewBatcher(batching.Settings{BatchTokens: 1000, BatchItems: 8, MaxWait: 20 * time.Millisecond})
 	batcher.SetReadyEndpoints(1)
--- a/control/batching/failurehandling_test.go
+++ b/control/batching/failurehandling_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// TestStringNamesEachHandling: logs and test failures distinguish the handlings, including an unknown one.
+// TestStringNamesEachHandling: each handling has a name of its own, also an unknown one.
 func TestStringNamesEachHandling(t *testing.T) {
 	seen := map[string]bool{}
 	for value := FailureHandling(0); value <= RetrySequentially+1; value++ {
 		name := value.String()
 		if name == "" || seen[name] {
-			t.Errorf("handling %d is called %q", uint8(value), name)
+			t.Errorf("handling %d has the name %q, want a unique one", uint8(value), name)
 		}
 		seen[name] = true
 	}
 	if got, want := (RetrySequentially + 1).String(), "FailureHandling(3)"; got != want {
-		t.Errorf("an unknown value is called %q, want %q", got, want)
+		t.Errorf("an unknown handling has the name %q, want %q", got, want)
 	}
 }
--- a/control/batching/sequentialretry_test.go
+++ b/control/batching/sequentialretry_test.go
@@ -8,8 +8,8 @@
 	_ "martenlock/internal/proptest"
 )
 
-// TestRetriesSequentialUntilCauseFound: no request is retried beside another before one has lost its engine.
-// Each is retried once, and cancelled ones do not delay the others.
+// TestRetriesSequentialUntilCauseFound: requests are retried one at a time until one has lost its connection.
+// Each is retried once, and cancelled requests do not delay the others.
 func TestRetriesSequentialUntilCauseFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var retry SequentialRetry
@@ -22,21 +22,22 @@
 		for len(ended) < count {
 			for _, id := range retry.Start() {
 				if outstanding[id] || ended[id] {
-					t.Fatalf("%d is retried again", id)
+					t.Fatalf("request %d is retried twice", id)
 				}
 				outstanding[id] = true
 			}
 			remaining := count - len(ended)
 			if len(outstanding) == 0 || !causeFound && len(outstanding) > 1 || causeFound && len(outstanding) < remaining {
-				t.Fatalf("%d of %d outstanding, cause found %v", len(outstanding), remaining, causeFound)
+				t.Fatalf("%d of %d remaining requests are outstanding, cause found: %v",
+					len(outstanding), remaining, causeFound)
 			}
 			id := RequestID(rapid.Uint64Range(0, uint64(count-1)).Draw(t, "ends"))
 			if ended[id] {
 				continue
 			}
-			lostEngine := outstanding[id] && rapid.Bool().Draw(t, "lost engine")
-			causeFound = causeFound || lostEngine
-			retry.Complete(id, lostEngine)
+			connectionLost := outstanding[id] && rapid.Bool().Draw(t, "lost engine")
+			causeFound = causeFound || connectionLost
+			retry.Complete(id, connectionLost)
 			delete(outstanding, id)
 			ended[id] = true
 		}
