--- a/control/coalesce/coalesce.go
+++ b/control/coalesce/coalesce.go
@@ -1,6 +1,6 @@
 // Package coalesce decides which of several identical requests is computed and what the others get (request
-// coalescing, also known as single flight). The first request leads and is computed. Those that arrive
-// meanwhile follow it and get the same answer. Each still gets one answer before its own deadline.
+// coalescing, also known as single flight). The first request is the leader and is computed. Requests that
+// arrive before it ends are its followers and get the same answer. Each request keeps its own deadline.
 //
 // Like control, the package does no I/O, reads no clock and starts no goroutine.
 package coalesce
@@ -19,22 +19,22 @@
 // RequestID identifies a request in one group. Ids are never reused.
 type RequestID uint64
 
-// Completion is what the end of a leader means for its followers.
+// Completion is the effect of a leader's end on its followers.
 type Completion struct {
-	SameResult   []RequestID // get the leader's result, in order of arrival; the group has forgotten them
-	NewLeader    RequestID   // to be computed now, if HasNewLeader
+	SameResult   []RequestID // get the leader's result, in order of arrival; removed from the group
+	NewLeader    RequestID   // follower to be computed now, if HasNewLeader
 	HasNewLeader bool
 }
 
-// PollResult is what Group.Poll decides.
+// PollResult is the result of Group.Poll.
 type PollResult struct {
-	// Expired are followers whose deadlines have come, the earliest first. Each is to be rejected; the group has
-	// forgotten it.
+	// Expired are followers whose deadlines have passed, earliest deadline first. The group has removed them,
+	// and the caller must reject them.
 	Expired []RequestID
 }
 
-// Group holds the leaders and followers of one pool. Its size is bounded by its owner, which adds each request
-// once and ends it by Complete, Cancel or Poll. It is not safe for concurrent use.
+// Group holds the leaders and followers of one pool. A request stays in it until Complete, Cancel or Poll
+// removes it, so the caller bounds the size of the group. It is not safe for concurrent use.
 type Group struct {
 	computations map[Key]*computation
 	requests     map[RequestID]*request
@@ -48,7 +48,7 @@
 	followers []*request // in order of arrival
 }
 
-// request is a request that leads or follows.
+// request is a leader or a follower.
 type request struct {
 	id          RequestID
 	deadline    control.Time
@@ -56,18 +56,18 @@
 	heapIndex   int // in Group.deadlines
 }
 
-// MayCoalesce reports whether requests of a class may share one answer. They may if a request can be executed
-// again, or not at all, without a difference.
+// MayCoalesce reports whether requests of a class may share one answer. This requires that it makes no
+// difference whether a request is executed once, several times or not at all.
 func MayCoalesce(class control.Class) bool { return class.Idempotency == control.Idempotent }
 
-// OutcomeOfInput returns the outcome of each input of a call. If a call of several inputs is not served, any of
-// them may be the cause. It then counts as rejected for each, so that the followers of the other inputs are
-// computed alone.
-func OutcomeOfInput(call outcome.Outcome, inputs int) outcome.Outcome {
-	if call != outcome.Served && inputs > 1 {
+// OutcomeOfInput returns the outcome of each input of a call with the given outcome. If a call of several
+// inputs is not served, any of them may be the cause. Each input then counts as rejected, so that one of
+// its followers is computed instead of failing with it.
+func OutcomeOfInput(callOutcome outcome.Outcome, inputs int) outcome.Outcome {
+	if callOutcome != outcome.Served && inputs > 1 {
 		return outcome.Rejected
 	}
-	return call
+	return callOutcome
 }
 
 // NewGroup returns an empty group.
@@ -84,12 +84,12 @@
 	}
 }
 
-// Len returns the number of requests that lead or follow.
+// Len returns the number of leaders and followers.
 func (g *Group) Len() int { return len(g.requests) }
 
-// Add adds a request and reports whether it leads and must be computed. Otherwise it follows until Complete
-// gives it a result, Complete or Cancel makes it the leader, or Poll expires it.
-func (g *Group) Add(key Key, id RequestID, deadline control.Time) (leads bool) {
+// Add adds a request and reports whether it is a leader, which must be computed. Otherwise it is a follower
+// until Complete gives it a result, Complete or Cancel makes it the leader, or Poll expires it.
+func (g *Group) Add(key Key, id RequestID, deadline control.Time) (isLeader bool) {
 	added := &request{id: id, deadline: deadline, heapIndex: indexedheap.NoIndex}
 	g.requests[id] = added
 	current := g.computations[key]
@@ -106,9 +106,9 @@
 
 // Complete records the end of a leader. It has no effect for any other request.
 //
-// A rejection may be due to the leader's own early deadline, so that the next request is computed instead. Any
-// other outcome also applies to all followers. In particular, an input that crashes engines must not be sent
-// to another engine for each follower.
+// After a rejection, which may be due to the leader's own early deadline, the first follower becomes the
+// leader. Any other outcome also applies to all followers. Otherwise an input that crashes engines would be
+// sent to another engine for each follower.
 func (g *Group) Complete(id RequestID, result outcome.Outcome) Completion {
 	completed := g.requests[id]
 	if completed == nil || completed.computation.leader != completed {
@@ -128,8 +128,9 @@
 	return completion
 }
 
-// Cancel removes a request that needs no further answer. If it led and has followers, Cancel returns the one
-// that is to be computed in its place, and true. It has no effect for a request that is not known.
+// Cancel removes a request that no longer needs an answer. If it was a leader with followers, the first
+// follower becomes the leader: Cancel returns it and true, and it must be computed. Cancel has no effect if
+// the request is unknown.
 func (g *Group) Cancel(id RequestID) (newLeader RequestID, ok bool) {
 	cancelled := g.requests[id]
 	if cancelled == nil {
@@ -152,7 +153,7 @@
 	return current.leader.id, true
 }
 
-// Poll removes and returns the followers whose deadlines have come. It must be called at NextDeadline.
+// Poll removes and returns the followers whose deadlines have passed. It must be called at NextDeadline.
 func (g *Group) Poll(now control.Time) PollResult {
 	var result PollResult
 	for g.deadlines.Len() > 0 && g.deadlines.Min().deadline <= now {
@@ -163,8 +164,8 @@
 	return result
 }
 
-// NextDeadline returns when Poll must be called if no event occurs before. It returns false while no request
-// follows.
+// NextDeadline returns when Poll must be called if no event occurs before. It returns false while there are
+// no followers.
 func (g *Group) NextDeadline() (deadline control.Time, ok bool) {
 	if g.deadlines.Len() == 0 {
 		return 0, false
--- a/control/coalesce/coalesce_test.go
+++ b/control/coalesce/coalesce_test.go
@@ -16,32 +16,32 @@
 	group    *Group
 	now      control.Time
 	lastID   RequestID
-	requests map[RequestID]*expectedRequest // that have not ended
+	requests map[RequestID]*expectedRequest // not ended
 }
 
 // expectedRequest is what the model knows of a request that has not ended.
 type expectedRequest struct {
 	key      Key
 	deadline control.Time
-	leads    bool
+	isLeader bool
 }
 
 func newModel(t *rapid.T) *model {
 	return &model{t: t, group: NewGroup(), now: 1, requests: map[RequestID]*expectedRequest{}}
 }
 
-// leaderOf returns the request of a key that is being computed, or false if there is none.
+// leaderOf returns the leader of a key, or false if there is none.
 func (m *model) leaderOf(key Key) (leader RequestID, ok bool) {
 	for id, request := range m.requests {
-		if request.leads && request.key == key {
+		if request.isLeader && request.key == key {
 			return id, true
 		}
 	}
 	return 0, false
 }
 
-// followersOf returns the number of requests that follow a leader.
-func (m *model) followersOf(leader RequestID) int {
+// followerCount returns the number of followers of a leader.
+func (m *model) followerCount(leader RequestID) int {
 	followers := 0
 	for id, request := range m.requests {
 		if request.key == m.requests[leader].key && id != leader {
@@ -55,7 +55,7 @@
 func (m *model) pick(onlyLeaders bool) (id RequestID, ok bool) {
 	var candidates []RequestID
 	for id := RequestID(1); id <= m.lastID; id++ {
-		if request := m.requests[id]; request != nil && (!onlyLeaders || request.leads) {
+		if request := m.requests[id]; request != nil && (!onlyLeaders || request.isLeader) {
 			candidates = append(candidates, id)
 		}
 	}
@@ -65,20 +65,20 @@
 	return rapid.SampledFrom(candidates).Draw(m.t, "id"), true
 }
 
-// lead records that a request is to be computed.
-func (m *model) lead(id RequestID) {
+// recordLeader records that a request is now a leader.
+func (m *model) recordLeader(id RequestID) {
 	request := m.requests[id]
 	if request == nil {
-		m.t.Fatalf("request %d is to be computed after its end", id)
+		m.t.Fatalf("request %d became the leader after its end", id)
 		return
 	}
 	if other, ok := m.leaderOf(request.key); ok {
-		m.t.Fatalf("%d and %d of one key are computed at once", other, id)
+		m.t.Fatalf("requests %d and %d of one key are both leaders", other, id)
 	}
-	request.leads = true
+	request.isLeader = true
 }
 
-// end records the only end of a request.
+// end records the end of a request, which must not have ended before.
 func (m *model) end(id RequestID) {
 	if m.requests[id] == nil {
 		m.t.Fatalf("request %d ended twice, or was never added", id)
@@ -86,7 +86,7 @@
 	delete(m.requests, id)
 }
 
-// add adds a random request, which leads if no other one of its key is computed.
+// add adds a random request, which must become the leader if its key has none.
 func (m *model) add() {
 	m.lastID++
 	added := &expectedRequest{key: Key{byte(rapid.IntRange(0, 2).Draw(m.t, "key"))}}
@@ -94,52 +94,52 @@
 	_, isComputed := m.leaderOf(added.key)
 	m.requests[m.lastID] = added
 	if m.group.Add(added.key, m.lastID, added.deadline) == isComputed {
-		m.t.Fatalf("%d leads: %v, while one is computed: %v", m.lastID, !isComputed, isComputed)
+		m.t.Fatalf("request %d is a leader: %v; its key had a leader: %v", m.lastID, !isComputed, isComputed)
 	}
 	if !isComputed {
-		m.lead(m.lastID)
+		m.recordLeader(m.lastID)
 	}
 }
 
-// completeLeader ends a random leader with a random outcome. A rejection makes a follower lead, any other outcome
-// ends all followers.
+// completeLeader ends a random leader with a random outcome. After a rejection a follower becomes the
+// leader. Any other outcome ends all followers.
 func (m *model) completeLeader() {
 	id, ok := m.pick(true)
 	if !ok {
 		return
 	}
 	result := outcome.Outcome(rapid.IntRange(0, 2).Draw(m.t, "outcome"))
-	followers := m.followersOf(id)
+	followers := m.followerCount(id)
 	completion := m.group.Complete(id, result)
 	sameResult, hasNewLeader := len(completion.SameResult), completion.HasNewLeader
 	if result == outcome.Rejected && (sameResult > 0 || hasNewLeader != (followers > 0)) ||
 		result != outcome.Rejected && (sameResult != followers || hasNewLeader) {
-		m.t.Fatalf("%v with %d followers: %+v", result, followers, completion)
+		m.t.Fatalf("outcome %v of a leader with %d followers: %+v", result, followers, completion)
 	}
 	m.end(id)
 	for _, follower := range completion.SameResult {
 		m.end(follower)
 	}
 	if hasNewLeader {
-		m.lead(completion.NewLeader)
+		m.recordLeader(completion.NewLeader)
 	}
 }
 
-// cancelOne cancels a random request and reports whether there was one. Only a leader's cancellation makes
-// another request lead.
+// cancelOne cancels a random request and reports whether there was one. Only the cancellation of a leader
+// makes another request the leader.
 func (m *model) cancelOne() bool {
 	id, ok := m.pick(false)
 	if !ok {
 		return false
 	}
-	led := m.requests[id].leads
+	wasLeader := m.requests[id].isLeader
 	newLeader, hasNewLeader := m.group.Cancel(id)
 	m.end(id)
 	if hasNewLeader {
-		if !led {
-			m.t.Fatal("a follower's cancellation made another lead")
+		if !wasLeader {
+			m.t.Fatal("cancelling a follower made another request the leader")
 		}
-		m.lead(newLeader)
+		m.recordLeader(newLeader)
 	}
 	return true
 }
@@ -150,31 +150,31 @@
 	deadline, ok := m.group.NextDeadline()
 	expired := m.group.Poll(m.now).Expired
 	if ok != (deadline > 0) || (len(expired) > 0) != (ok && deadline <= m.now) {
-		m.t.Fatalf("next deadline %d, %v; at %d expired %v", deadline, ok, m.now, expired)
+		m.t.Fatalf("NextDeadline returned %d, %v; at %d the requests %v expired", deadline, ok, m.now, expired)
 	}
 	for _, id := range expired {
-		if request := m.requests[id]; request != nil && (request.deadline > m.now || request.leads) {
-			m.t.Fatalf("%d rejected at %d, deadline %d", id, m.now, request.deadline)
+		if request := m.requests[id]; request != nil && (request.deadline > m.now || request.isLeader) {
+			m.t.Fatalf("request %d expired at %d, deadline %d", id, m.now, request.deadline)
 		}
 		m.end(id)
 	}
 	for id, request := range m.requests {
-		if request.deadline <= m.now && !request.leads {
-			m.t.Fatalf("%d, deadline %d, still waits at %d", id, request.deadline, m.now)
+		if request.deadline <= m.now && !request.isLeader {
+			m.t.Fatalf("request %d with deadline %d still waits at %d", id, request.deadline, m.now)
 		}
 	}
 }
 
-// checkLen checks the number of requests that the group remembers.
+// checkLen checks the number of requests in the group.
 func (m *model) checkLen() {
 	if m.group.Len() != len(m.requests) {
-		m.t.Fatalf("%d requests, want %d", m.group.Len(), len(m.requests))
+		m.t.Fatalf("the group has %d requests, want %d", m.group.Len(), len(m.requests))
 	}
 }
 
-// TestEachRequestEndsOnce: after any arrivals, ends, cancellations and time, each request ends once and a follower
-// no later than its deadline. At most one of a key is computed at a time, a failure ends all, and nothing is
-// kept when all have ended.
+// TestEachRequestEndsOnce: for any sequence of events each request ends once, and a follower no later than
+// at its deadline. At most one request of a key is computed at a time. A failure of the leader ends all
+// followers. No state is left when all requests have ended.
 func TestEachRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -195,13 +195,13 @@
 			m.checkLen()
 		}
 		if m.group.Len()+len(m.group.computations)+m.group.deadlines.Len() > 0 {
-			t.Fatal("the group remembers something after all requests have ended")
+			t.Fatal("the group has state left after all requests have ended")
 		}
 	})
 }
 
-// TestFailedCallOfSeveralInputsRejectsEach: a call's outcome is that of its inputs. If it had several and was not
-// served, any of them may be the cause, so that each counts as rejected.
+// TestFailedCallOfSeveralInputsRejectsEach: the outcome of a call is that of its inputs. If a call of several
+// inputs is not served, any of them may be the cause, and each counts as rejected.
 func TestFailedCallOfSeveralInputsRejectsEach(t *testing.T) {
 	for _, c := range []struct {
 		call   outcome.Outcome
@@ -217,7 +217,7 @@
 		{outcome.InvalidRequest, 2, outcome.Rejected},
 	} {
 		if got := OutcomeOfInput(c.call, c.inputs); got != c.want {
-			t.Errorf("%v of %d inputs is %v to each, want %v", c.call, c.inputs, got, c.want)
+			t.Errorf("call outcome %v with %d inputs: each input is %v, want %v", c.call, c.inputs, got, c.want)
 		}
 	}
 }
--- a/control/coalesce/example_test.go
+++ b/control/coalesce/example_test.go
@@ -9,7 +9,7 @@
 	"martenlock/control/outcome"
 )
 
-// Two requests of one key. The first is computed, the second gets the same answer.
+// Of two requests with the same key, the first is computed and the second gets the same answer.
 func Example() {
 	group := coalesce.NewGroup()
 	deadline := control.Time(0).Add(time.Second)
