--- a/control/connlimit/descriptors.go
+++ b/control/connlimit/descriptors.go
@@ -1,37 +1,36 @@
 package connlimit
 
 const (
-	// reservedDivisor reserves a quarter of the descriptors for connections to engines, files and the
-	// Go runtime.
+	// reservedDivisor divides the number of descriptors to get how many MaxClients reserves for
+	// connections to engines, files and the Go runtime.
 	reservedDivisor = 4
-	// minReserved is the least number of descriptors reserved for them.
+	// minReserved is the minimum number of these reserved descriptors.
 	minReserved = 64
 )
 
-// MaxClients returns how many client connections may be open, given the configured limit and the
-// process's limit on descriptors. It is at least one. It is for a router whose connections to engines
-// are limited elsewhere. SplitDescriptors shares the descriptors between both.
+// MaxClients returns the maximum number of client connections, given the configured limit and the
+// process's limit on descriptors. The result is at least 1. MaxClients is for a router whose engine
+// connections are limited elsewhere; SplitDescriptors limits both.
 func MaxClients(configured, descriptors int) int {
 	reserved := max(descriptors/reservedDivisor, minReserved)
 	return max(min(configured, descriptors-reserved), 1)
 }
 
-// reservedDescriptors are reserved for everything but established connections to clients and engines.
-// 19 are counted: 3 for the standard streams, 4 for epoll and wake-up of the event loop and of the Go
-// runtime, 1 for the listener, 1 for a file that is open briefly, 5 for discovery's watch and its
-// 4 calls, and 5 more while discovery moves. The rest is for connections that are accepted before
-// they are rejected.
+// reservedDescriptors is the number of descriptors that SplitDescriptors reserves for everything except
+// established connections to clients and engines: standard streams, files, the listener, epoll and
+// wake-up descriptors, connections to discovery, and client connections that are accepted only to be
+// rejected.
 const reservedDescriptors = 40
 
-// DescriptorBudget is how many connections may be open to either side.
+// DescriptorBudget is the maximum number of connections to clients and to engines.
 type DescriptorBudget struct {
 	Clients int
 	Engines int
 }
 
-// SplitDescriptors shares the descriptors evenly between connections to clients and to engines, since
-// a request in progress needs one of each. If the number is odd the clients get one more: their idle
-// connections can be evicted, those to engines cannot.
+// SplitDescriptors divides the descriptors evenly between connections to clients and to engines, since
+// a request in progress needs one of each. If the number is odd, clients get one more: idle connections
+// to clients can be evicted, those to engines cannot.
 func SplitDescriptors(descriptors int) DescriptorBudget {
 	connections := max(descriptors-reservedDescriptors, 2)
 	engines := connections / 2
@@ -41,8 +40,8 @@
 	}
 }
 
-// AcceptLimit returns how many client connections may be open within one iteration of the event loop,
-// given how many may stay open. An evicted connection keeps its descriptor until the end of the
-// iteration, after the new one is accepted. The difference is half of the reserved descriptors. The
-// other half stays free for files.
-func AcceptLimit(clients int) int { return clients + reservedDescriptors/2 }
+// AcceptLimit returns the maximum number of client connections during one iteration of the event loop,
+// given the maximum between iterations. It is larger, because a connection that is evicted for a new
+// one keeps its descriptor until the end of the iteration. It uses half of the reserved descriptors and
+// leaves the other half for files.
+func AcceptLimit(maxClients int) int { return maxClients + reservedDescriptors/2 }
--- a/control/connlimit/descriptors_test.go
+++ b/control/connlimit/descriptors_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestMaxClientsLeavesDescriptorsToEngines: a quarter of the descriptors, and no fewer than 64, are
-// reserved. One client is always admitted.
+// TestMaxClientsLeavesDescriptorsToEngines: a quarter of the descriptors, but at least 64, are reserved.
+// At least one client connection is allowed.
 func TestMaxClientsLeavesDescriptorsToEngines(t *testing.T) {
 	for _, c := range []struct{ configured, descriptors, want int }{
 		{12000, 20000, 12000},
@@ -12,14 +12,14 @@
 		{10, 20000, 10},
 		{10, 8, 1},
 	} {
-		if n := MaxClients(c.configured, c.descriptors); n != c.want {
-			t.Errorf("%+v: %d", c, n)
+		if got := MaxClients(c.configured, c.descriptors); got != c.want {
+			t.Errorf("%+v: got %d", c, got)
 		}
 	}
 }
 
-// TestSplitDescriptorsStaysWithinTheLimit: both sides and the reserve add up to the limit if it is large
-// enough for one connection a side.
+// TestSplitDescriptorsStaysWithinTheLimit: the connections to clients and engines and the reserved
+// descriptors add up to the limit, if the limit is large enough for one connection each.
 func TestSplitDescriptorsStaysWithinTheLimit(t *testing.T) {
 	for descriptors := range 2000 {
 		budget := SplitDescriptors(descriptors)
@@ -27,10 +27,10 @@
 			t.Fatalf("%d descriptors: %+v", descriptors, budget)
 		}
 		if descriptors >= 42 && budget.Clients+budget.Engines+40 != descriptors {
-			t.Fatalf("%d descriptors: %+v and a reserve of 40", descriptors, budget)
+			t.Fatalf("%d descriptors: %+v and 40 reserved descriptors do not add up", descriptors, budget)
 		}
 		if limit := AcceptLimit(budget.Clients); limit != budget.Clients+20 {
-			t.Fatalf("%d clients: %d may be accepted", budget.Clients, limit)
+			t.Fatalf("AcceptLimit(%d) = %d, want 20 more", budget.Clients, limit)
 		}
 	}
 }
--- a/control/connlimit/idlelist.go
+++ b/control/connlimit/idlelist.go
@@ -1,15 +1,14 @@
 package connlimit
 
-// IdleList orders client connections by the time at which they became idle, so that the one idle for
-// longest can be evicted for a new one. The zero IdleList is empty and ready for use. It is not safe
-// for concurrent use.
+// IdleList orders client connections by the time at which they became idle, so that the one that has
+// been idle longest can be evicted for a new one. The zero IdleList is empty and ready for use. It is
+// not safe for concurrent use.
 //
-// A connection that becomes busy keeps its place. LongestIdle moves it to the back when it reaches
-// it, and MarkIdle does so when the connection becomes idle again. So each change takes constant
-// time.
+// A connection that becomes busy keeps its place, so that each change takes constant time. It is moved
+// to the back when LongestIdle reaches it, or when it becomes idle again.
 type IdleList[K comparable] struct {
 	connections map[K]*connection[K]
-	first, last *connection[K] // doubly linked; the idle ones are in the order in which they became idle
+	first, last *connection[K] // doubly linked list; idle connections are in the order in which they became idle
 }
 
 // connection is a known client connection.
@@ -19,12 +18,11 @@
 	previous, next *connection[K]
 }
 
-// maxScan bounds the busy connections that one call of LongestIdle passes, and so its time. The next
-// call continues where the last one ended.
+// maxScan is the maximum number of connections that one call of LongestIdle examines. The next call
+// continues where the previous one ended.
 const maxScan = 256
 
-// MarkIdle records that a connection waits for a request from now on. It adds a connection that is
-// not known.
+// MarkIdle records that a connection has become idle. It adds the connection if it is unknown.
 func (l *IdleList[K]) MarkIdle(key K) {
 	if known := l.connections[key]; known != nil {
 		known.busy = false
@@ -39,15 +37,15 @@
 	l.pushBack(added)
 }
 
-// MarkBusy records that a request has begun to arrive on a connection. It has no effect for a
-// connection that is not known.
+// MarkBusy records that a request has begun to arrive on a connection. It has no effect if the
+// connection is unknown.
 func (l *IdleList[K]) MarkBusy(key K) {
 	if known := l.connections[key]; known != nil {
 		known.busy = true
 	}
 }
 
-// Remove forgets a connection.
+// Remove removes a connection. It has no effect if the connection is unknown.
 func (l *IdleList[K]) Remove(key K) {
 	if known := l.connections[key]; known != nil {
 		l.unlink(known)
@@ -55,8 +53,8 @@
 	}
 }
 
-// LongestIdle returns the connection that has been idle for longest. It returns false if the first
-// maxScan connections are all busy: a busy connection is never evicted.
+// LongestIdle returns the connection that has been idle longest. It returns false if the first maxScan
+// connections are all busy.
 func (l *IdleList[K]) LongestIdle() (key K, ok bool) {
 	for range min(maxScan, l.Len()) {
 		candidate := l.first
--- a/control/connlimit/idlelist_test.go
+++ b/control/connlimit/idlelist_test.go
@@ -9,8 +9,8 @@
 	_ "martenlock/internal/proptest"
 )
 
-// TestLongestIdleMatchesPlainList: after any changes, LongestIdle returns the connection idle for
-// longest and never a busy one, as a plain slice of the idle ones does.
+// TestLongestIdleMatchesPlainList: after any sequence of changes, LongestIdle returns the first element
+// of a slice of idle connections, kept in the order in which they became idle.
 func TestLongestIdleMatchesPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list IdleList[int]
@@ -35,14 +35,15 @@
 			}
 			got, ok := list.LongestIdle()
 			if ok != (len(idle) > 0) || ok && got != idle[0] || list.Len() != len(known) {
-				t.Fatalf("longest idle %d, %v; idle %v; %d known of %d", got, ok, idle, list.Len(), len(known))
+				t.Fatalf("LongestIdle returned %d, %v, idle connections are %v; Len is %d, want %d",
+					got, ok, idle, list.Len(), len(known))
 			}
 		}
 	})
 }
 
-// TestLongestIdleScansABoundedNumber: an idle connection behind more busy ones than one call scans is
-// found by the next call, which continues where the first one ended.
+// TestLongestIdleScansABoundedNumber: an idle connection behind more than maxScan busy ones is found by
+// the second call, which continues where the first one ended.
 func TestLongestIdleScansABoundedNumber(t *testing.T) {
 	var list IdleList[int]
 	for key := range 300 {
@@ -52,9 +53,9 @@
 	list.MarkIdle(300)
 
 	if key, ok := list.LongestIdle(); ok {
-		t.Errorf("%d found behind 300 busy connections", key)
+		t.Errorf("the first call found %d behind 300 busy connections", key)
 	}
 	if key, ok := list.LongestIdle(); !ok || key != 300 {
-		t.Errorf("%d, %v at the second call", key, ok)
+		t.Errorf("the second call returned %d, %v, want 300", key, ok)
 	}
 }
--- a/control/connlimit/memory.go
+++ b/control/connlimit/memory.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Shares of the memory limit in tenths. The buffers are part of the heap. The rest is for the program's
-// own pages and for what the garbage collector uses above its soft limit.
+// code and data, and for a heap that grows beyond the soft limit of the garbage collector.
 const (
 	heapTenths   = 6
 	bufferTenths = 2
@@ -24,16 +24,16 @@
 	}
 }
 
-// PartialRequest is a request whose body has not arrived completely.
+// PartialRequest is a request whose body has not been received completely.
 type PartialRequest struct {
 	BufferedBytes int           // of its body, so far
 	AcceptedAt    time.Duration // when its connection was accepted, on the event loop's clock
 }
 
-// EvictedBefore reports whether the request is evicted before another one when the buffered bytes
-// reach their bound. The larger request is evicted first, and of two equal ones that of the older
-// connection. So a few clients that send large bodies and never finish cannot displace clients with
-// bodies of the usual size, whatever the order of arrival.
+// EvictedBefore reports whether the request is evicted before other when the buffered bytes reach their
+// limit. The larger request is evicted first. Of two requests of the same size, the one on the older
+// connection is evicted first. Thus a few clients that send large bodies and never finish cannot displace
+// clients with bodies of the usual size.
 func (r PartialRequest) EvictedBefore(other PartialRequest) bool {
 	if r.BufferedBytes != other.BufferedBytes {
 		return r.BufferedBytes > other.BufferedBytes
--- a/control/connlimit/memory_test.go
+++ b/control/connlimit/memory_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLargestPartialRequestIsEvictedFirst: the larger request is evicted first, of two equal ones that
-// of the older connection, and no request before itself.
+// TestLargestPartialRequestIsEvictedFirst: the larger request is evicted first. Of two requests of the
+// same size, the one on the older connection is evicted first. No request is evicted before itself.
 func TestLargestPartialRequestIsEvictedFirst(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -21,7 +21,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.first.EvictedBefore(c.other); got != c.want {
-				t.Errorf("%+v before %+v: %v", c.first, c.other, got)
+				t.Errorf("%+v is evicted before %+v: %v", c.first, c.other, got)
 			}
 		})
 	}
