--- a/control/connreuse/connreuse.go
+++ b/control/connreuse/connreuse.go
@@ -1,15 +1,15 @@
-// Package connreuse decides whether an idle connection may carry the next request. Like package
-// control, it does no I/O, reads no clock and starts no goroutine.
+// Package connreuse decides whether a request may be sent on an idle connection. Like package control,
+// it does no I/O, reads no clock and starts no goroutine.
 //
 // Servers and middleboxes close idle connections on their own. A request written to a connection that
-// is already closed is lost, and it is unknown whether it was executed. A request that must not be
-// executed twice cannot be retried then. A new connection costs the server a handshake, but if it
-// fails nothing has been executed.
+// is already closed is lost, and the client cannot know whether it was executed. If the request must not
+// be executed twice, it cannot be retried. A new connection costs a handshake, but if connecting fails,
+// the request has not been executed.
 //
 // A Policy counts requests and losses by the idle time of the connection, with exponential decay. It
-// allows reuse while the loss rate at similar idle times is below a bound. For requests that may be
-// retried the bound is high and reuse is allowed until losses are observed. For the others the bound
-// is low and recent successes must be observed first.
+// allows reuse while the loss rate at similar idle times is low. For requests that may be retried, the
+// maximum rate is higher, and reuse is allowed until losses are observed. For other requests it is
+// lower, and recent successes must be observed first.
 package connreuse
 
 import (
@@ -20,59 +20,58 @@
 )
 
 const (
-	// bucketCount is the number of buckets of idle time. Each covers idle times up to bucketGrowth
-	// times those of the one before, so that the usual idle time-outs are in different buckets. The
-	// last one has no upper bound and begins at 82 s.
-	bucketCount  = 8
+	// bucketCount is the number of buckets of idle time.
+	bucketCount = 8
+	// bucketGrowth is the ratio between the upper bounds of successive buckets. The last bucket has no
+	// upper bound.
 	bucketGrowth = 4
-	// firstBucketBound is the longest idle time of the first bucket.
+	// firstBucketBound is the upper bound of the first bucket.
 	firstBucketBound = 20 * time.Millisecond
 
-	// decayTime is the time constant of the counts: an observation of that age has the weight 1/e. So
-	// losses are forgotten, and successes must be renewed.
+	// decayTime is the time constant of the counts: an observation of that age has the weight 1/e.
 	decayTime = 10 * time.Second
 
-	// priorSuccesses are added to the counted requests, so that one early loss does not decide.
+	// priorSuccesses are added to the counted requests, so that a single early loss does not stop reuse.
 	priorSuccesses = 8.0
-	// maxLossRate bounds the share of lost requests for requests that may be retried.
+	// maxLossRate is the maximum loss rate for requests that may be retried.
 	maxLossRate = 0.15
 
-	// maxLossRateNotIdempotent bounds the share of lost requests for requests that must not be retried.
+	// maxLossRateNotIdempotent is the maximum loss rate for requests that must not be retried.
 	maxLossRateNotIdempotent = 0.02
-	// priorLosses are added to the counted losses for requests that must not be retried. Together with
-	// priorSuccesses and maxLossRateNotIdempotent this requires 17 successes first.
+	// priorLosses are added to the counted losses for requests that must not be retried. With
+	// priorSuccesses and maxLossRateNotIdempotent, reuse requires 17 recent successes.
 	priorLosses = 0.5
 
-	// staleCloseWindow is how soon after a request its connection must end for the loss to count as a
-	// stale connection's. A later end has other causes.
+	// staleCloseWindow is the time after sending a request within which the connection must end for the
+	// loss to be counted. If it ends later, it was not stale when the request was sent.
 	staleCloseWindow = 250 * time.Millisecond
 )
 
-// Policy decides on reuse by the outcomes of requests on connections that were idle before. The zero
+// Policy decides on the reuse of connections by the outcomes of earlier requests. The zero
 // Policy has no observations and is ready for use. It is not safe for concurrent use.
 type Policy struct {
-	buckets   [bucketCount]counts
+	buckets   [bucketCount]decayedCounts
 	decayedAt control.Time
 }
 
-// counts are decaying counts of the requests sent on reused connections.
-type counts struct {
+// decayedCounts are decaying decayedCounts of the requests sent on reused connections.
+type decayedCounts struct {
 	requests float64
 	losses   float64
 }
 
-// Outcome is how a request ended on a connection that was idle before.
+// Outcome is how a request on a reused connection ended.
 type Outcome struct {
-	Idle    time.Duration // idle time of the connection when the request was sent
-	Elapsed time.Duration // from sending to the response's first byte, or to the end without one
+	Idle    time.Duration // how long the connection had been idle when the request was sent
+	Elapsed time.Duration // from sending the request to the first byte of the response, or to the end without a response
 	Lost    bool          // the connection ended without a response
 }
 
-// MayReuse reports whether a request may be sent on a connection with an idle time. notIdempotent
-// means that the request must not be retried if it may have been executed.
+// MayReuse reports whether a request may be sent on a connection that has been idle for the given time.
+// notIdempotent means that the request must not be retried if it may have been executed.
 func (p *Policy) MayReuse(now control.Time, idle time.Duration, notIdempotent bool) bool {
 	p.decay(now)
-	observed := p.buckets[bucketOf(idle)]
+	observed := p.buckets[bucketIndex(idle)]
 	requests := observed.requests + priorSuccesses
 	if notIdempotent {
 		return observed.losses+priorLosses <= maxLossRateNotIdempotent*requests
@@ -80,17 +79,17 @@
 	return observed.losses <= maxLossRate*requests
 }
 
-// RecordOutcome counts a request that was sent on a connection that was idle before.
+// RecordOutcome counts a request that was sent on a reused connection.
 func (p *Policy) RecordOutcome(now control.Time, outcome Outcome) {
 	p.decay(now)
-	observed := &p.buckets[bucketOf(outcome.Idle)]
+	observed := &p.buckets[bucketIndex(outcome.Idle)]
 	observed.requests++
 	if outcome.Lost && outcome.Elapsed < staleCloseWindow {
 		observed.losses++
 	}
 }
 
-// decay applies the decay since the last call to all counts.
+// decay reduces all counts by the decay since the last call.
 func (p *Policy) decay(now control.Time) {
 	factor := math.Exp(-now.Sub(p.decayedAt).Seconds() / decayTime.Seconds())
 	p.decayedAt = now
@@ -100,11 +99,11 @@
 	}
 }
 
-// bucketOf returns the index of the bucket for an idle time.
-func bucketOf(idle time.Duration) int {
-	bucket := 0
-	for bound := firstBucketBound; idle > bound && bucket < bucketCount-1; bound *= bucketGrowth {
-		bucket++
+// bucketIndex returns the index of the bucket for an idle time.
+func bucketIndex(idle time.Duration) int {
+	index := 0
+	for bound := firstBucketBound; idle > bound && index < bucketCount-1; bound *= bucketGrowth {
+		index++
 	}
-	return bucket
+	return index
 }
--- a/control/connreuse/connreuse_test.go
+++ b/control/connreuse/connreuse_test.go
@@ -9,11 +9,11 @@
 
 const ms = time.Millisecond
 
-func at(d time.Duration) control.Time { return control.Time(1e9).Add(d) }
+func at(elapsed time.Duration) control.Time { return control.Time(1e9).Add(elapsed) }
 
-// TestStaleIdleTimesAreAvoidedAndRetriedLater: if connections die after a second of idling, those idle
-// for longer are no longer reused and those idle for less are. After a minute without losses the
-// former are tried again.
+// TestStaleIdleTimesAreAvoidedAndRetriedLater: if a server closes connections after one idle second,
+// connections with longer idle times are no longer reused and those with shorter ones are. A minute
+// later the longer idle times are tried again.
 func TestStaleIdleTimesAreAvoidedAndRetriedLater(t *testing.T) {
 	var policy Policy
 	now := time.Duration(0)
@@ -34,25 +34,25 @@
 	}
 
 	if sent < 800 || lost > 15 || lost < 2 {
-		t.Errorf("%d sent, %d lost", sent, lost)
+		t.Errorf("%d requests sent on reused connections, %d lost", sent, lost)
 	}
 	if !policy.MayReuse(at(now), 500*ms, true) || policy.MayReuse(at(now), 3*time.Second, false) {
-		t.Error("the wrong idle time is trusted")
+		t.Error("want reuse after 500 ms and no reuse after 3 s")
 	}
 	if !policy.MayReuse(at(now+time.Minute), 3*time.Second, false) {
-		t.Error("never tried again")
+		t.Error("no reuse one minute after the last loss")
 	}
 }
 
-// TestNotIdempotentNeedsRecentSuccesses: a request that must not be retried is sent on a connection only
-// after recent successes at that idle time, and one loss is enough to stop it. Other requests are
-// allowed without successes. A connection that ends late is no loss.
+// TestNotIdempotentNeedsRecentSuccesses: for a request that must not be retried, reuse requires recent
+// successes at a similar idle time, and a single loss prevents it. Other requests need no successes. A
+// connection that ends late does not count as lost.
 func TestNotIdempotentNeedsRecentSuccesses(t *testing.T) {
 	var policy Policy
 	checkReuse := func(state string, now, idle time.Duration, notIdempotent, want bool) {
 		t.Helper()
 		if got := policy.MayReuse(at(now), idle, notIdempotent); got != want {
-			t.Errorf("%s: idle for %v, not idempotent %v: reused %v", state, idle, notIdempotent, got)
+			t.Errorf("%s: idle for %v, not idempotent %v: MayReuse returned %v", state, idle, notIdempotent, got)
 		}
 	}
 	recordSuccesses := func(count int) {
