--- a/control/connreuse/connreuse.go
+++ b/control/connreuse/connreuse.go
@@ -47,14 +47,14 @@
 	staleCloseWindow = 250 * time.Millisecond
 )
 
-// Policy decides on the reuse of connections by the outcomes of earlier requests. The zero
-// Policy has no observations and is ready for use. It is not safe for concurrent use.
+// Policy decides on the reuse of connections by the outcomes of earlier requests. The zero Policy has no
+// observations and is ready for use. It is not safe for concurrent use.
 type Policy struct {
 	buckets   [bucketCount]decayedCounts
 	decayedAt control.Time
 }
 
-// decayedCounts are decaying decayedCounts of the requests sent on reused connections.
+// decayedCounts counts the requests sent on reused connections, with exponential decay.
 type decayedCounts struct {
 	requests float64
 	losses   float64
@@ -63,7 +63,7 @@
 // Outcome is how a request on a reused connection ended.
 type Outcome struct {
 	Idle    time.Duration // how long the connection had been idle when the request was sent
-	Elapsed time.Duration // from sending the request to the first byte of the response, or to the end without a response
+	Elapsed time.Duration // until the first byte of the response, or until the connection ended without one
 	Lost    bool          // the connection ended without a response
 }
 
--- a/control/internal/ewma/ewma.go
+++ b/control/internal/ewma/ewma.go
@@ -1,15 +1,14 @@
-// Package ewma provides the exponentially weighted moving average of the decision packages.
+// Package ewma provides an exponentially weighted moving average.
 package ewma
 
-// Average is an exponentially weighted moving average. Each method takes the weight alpha of its value, from 0
-// to 1. The zero Average has no observations and is ready for use.
+// Average is an exponentially weighted moving average. The weight alpha of a new value is between 0 and 1.
+// The zero Average has no observations and is ready for use.
 type Average[T ~float64] struct {
-	// Value is the average, or 0 without observations. The owner may assign a value that is not averaged, such
-	// as a bound.
+	// Value is the average, or 0 without observations. The owner may also set it directly.
 	Value T
 }
 
-// Observe adds a value to the average. The first value becomes the average.
+// Observe adds a value to the average. If the average is 0, the value becomes the average.
 func (a *Average[T]) Observe(value T, alpha float64) {
 	if a.Value == 0 {
 		a.Value = value
@@ -17,13 +16,14 @@
 	a.Approach(value, alpha)
 }
 
-// Approach moves the average towards a value, also from 0. It is for rates, which start at 0.
+// Approach moves the average towards a value, even if the average is 0. It is for rates, which start at 0.
 func (a *Average[T]) Approach(value T, alpha float64) {
 	a.Value += T(alpha) * (value - a.Value)
 }
 
-// ObserveLow follows the lower values. A value below the average is first observed with fallAlpha. Every value
-// is then observed with riseAlpha. If riseAlpha is small, a few high values hardly move the average.
+// ObserveLow tracks the low values. If a value is below the average, it is first observed with fallAlpha.
+// Each value is then observed with riseAlpha. With a small riseAlpha, a few high values hardly change the
+// average.
 func (a *Average[T]) ObserveLow(value T, fallAlpha, riseAlpha float64) {
 	if value < a.Value {
 		a.Observe(value, fallAlpha)
--- a/control/internal/ewma/ewma_test.go
+++ b/control/internal/ewma/ewma_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestArithmeticIsBitIdenticalToTheFormula: decisions compare averages, so that a change of a last bit could
-// change a decision. The order of the operations is fixed.
+// TestArithmeticIsBitIdenticalToTheFormula: decisions compare averages, so a difference in the last bit could
+// change a decision.
 func TestArithmeticIsBitIdenticalToTheFormula(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := rapid.Float64Range(1e-9, 1e9).Draw(t, "before")
--- a/control/internal/indexedheap/indexedheap.go
+++ b/control/internal/indexedheap/indexedheap.go
@@ -1,9 +1,9 @@
-// Package indexedheap provides a binary min-heap that reports the index of each item to its owner. By its
-// index any item can be removed, or moved after its key has changed.
+// Package indexedheap provides a binary min-heap that reports the index of each item to its owner. With
+// the index, any item can be removed, or its order can be restored after its key has changed.
 //
-// The algorithm is that of the standard library's container/heap, step for step: the same calls give
-// the same order of items, also among items that compare as equal. This package adds type safety and
-// spares its users the methods of heap.Interface.
+// The algorithm is that of the standard library's container/heap: the same calls give the same order of
+// items, even of items that compare as equal. Unlike container/heap, this package is type-safe and needs
+// no implementation of heap.Interface.
 package indexedheap
 
 // NoIndex is the index of an item that is not in the heap.
@@ -28,11 +28,11 @@
 // Len returns the number of items.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// Min returns the least item without removing it. It panics if the heap is empty.
+// Min returns the smallest item without removing it. It panics if the heap is empty.
 func (h *Heap[T]) Min() T { return h.items[0] }
 
-// Items returns all items in heap order: the least is first, the others are not sorted. The slice
-// belongs to the heap and is valid until the next change.
+// Items returns all items in heap order: the smallest is first, the others are not sorted. The slice
+// belongs to the heap, must not be changed, and is valid until the next change of the heap.
 func (h *Heap[T]) Items() []T { return h.items }
 
 // Push adds an item in O(log n).
@@ -43,7 +43,7 @@
 	h.up(index)
 }
 
-// Pop removes and returns the least item in O(log n). It panics if the heap is empty.
+// Pop removes and returns the smallest item in O(log n). It panics if the heap is empty.
 func (h *Heap[T]) Pop() T {
 	last := len(h.items) - 1
 	h.swap(0, last)
@@ -51,7 +51,7 @@
 	return h.removeLast()
 }
 
-// Remove removes and returns the item at an index in O(log n). It panics if there is none.
+// Remove removes and returns the item at an index in O(log n). It panics if the index is out of range.
 func (h *Heap[T]) Remove(index int) T {
 	last := len(h.items) - 1
 	if index != last {
@@ -74,8 +74,8 @@
 func (h *Heap[T]) removeLast() T {
 	last := len(h.items) - 1
 	item := h.items[last]
-	var none T
-	h.items[last] = none // so that the item can be collected
+	var zero T
+	h.items[last] = zero // let the item be garbage-collected
 	h.items = h.items[:last]
 	h.setIndex(item, NoIndex)
 	return item
@@ -100,8 +100,8 @@
 	}
 }
 
-// down moves the item at start towards the leaves while one of its children is less. Only the first length
-// items count. It reports whether the item has moved.
+// down moves the item at start towards the leaves while one of its children is less. It ignores items at
+// indices from length on. It reports whether the item has moved.
 func (h *Heap[T]) down(start, length int) bool {
 	index := start
 	for {
--- a/control/internal/indexedheap/indexedheap_test.go
+++ b/control/internal/indexedheap/indexedheap_test.go
@@ -15,7 +15,7 @@
 	index int
 }
 
-// standardHeap is the same heap on the standard library's algorithm.
+// standardHeap implements heap.Interface for items.
 type standardHeap []*item
 
 func (h standardHeap) Len() int           { return len(h) }
@@ -39,12 +39,11 @@
 	return popped
 }
 
-// asItem returns the item behind a value of container/heap. It panics on any other value, which would be a
-// fault of the test.
+// asItem converts a value of container/heap to an item. It panics if the value has another type.
 func asItem(value any) *item {
 	result, ok := value.(*item)
 	if !ok {
-		panic(fmt.Sprintf("%T in the heap", value))
+		panic(fmt.Sprintf("value of type %T in the heap", value))
 	}
 	return result
 }
@@ -81,30 +80,30 @@
 	heap.Fix(&p.standard, index)
 }
 
-// checkRemoved checks that both heaps have removed the same item, which knows that it is in no heap.
+// checkRemoved checks that both heaps have removed the same item, and that its index is NoIndex.
 func (p *heapPair) checkRemoved(got, want *item) {
 	if *got != *want || got.index != NoIndex {
-		p.t.Fatalf("removed %v, container/heap removes %v", *got, *want)
+		p.t.Fatalf("removed %v, want %v as with container/heap", *got, *want)
 	}
 }
 
-// checkSame checks that both heaps have the same items in the same places, and that each item knows its index.
+// checkSame checks that both heaps have the same items in the same order, and that each item has its index.
 func (p *heapPair) checkSame() {
 	if p.indexed.Len() != len(p.standard) {
-		p.t.Fatalf("%d items, container/heap has %d", p.indexed.Len(), len(p.standard))
+		p.t.Fatalf("%d items, want %d as in container/heap", p.indexed.Len(), len(p.standard))
 	}
 	for i, got := range p.indexed.Items() {
 		if *got != *p.standard[i] || got.index != i {
-			p.t.Fatalf("item %d is %v, container/heap has %v", i, *got, *p.standard[i])
+			p.t.Fatalf("item %d is %v, want %v as in container/heap", i, *got, *p.standard[i])
 		}
 	}
 	if p.indexed.Len() > 0 && p.indexed.Min() != p.indexed.Items()[0] {
-		p.t.Fatal("the minimum is not the first item")
+		p.t.Fatal("Min does not return the first item")
 	}
 }
 
-// TestSameOrderAsContainerHeap: after any calls all items are where container/heap puts them, ties included,
-// and know their index.
+// TestSameOrderAsContainerHeap: after any sequence of calls all items are in the same order as in
+// container/heap, even items with equal keys, and each item has its index.
 func TestSameOrderAsContainerHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pair := newHeapPair(t)
