--- a/control/kvrelease/endpoints.go
+++ b/control/kvrelease/endpoints.go
@@ -7,13 +7,13 @@
 	"martenlock/control"
 )
 
-// endpointTable holds the engines that may be called, their last responses and failures, and the
-// number of calls in flight to each.
+// endpointTable holds the engines that may be called, the times of their last responses and failures, and
+// the number of calls in flight to each.
 type endpointTable struct {
 	listed        []control.EndpointID                // ascending
 	lastResponse  map[control.EndpointID]control.Time // of listed engines
 	lastFailure   map[control.EndpointID]control.Time // of listed engines
-	callsInFlight map[control.EndpointID]int          // of all engines, also those no longer listed
+	callsInFlight map[control.EndpointID]int          // also of engines that are no longer listed
 }
 
 func newEndpointTable() endpointTable {
@@ -36,24 +36,24 @@
 	return found
 }
 
-// recordResponse records a response of a listed engine. It ignores other engines: a late response
-// may come after the last change of the list, and nothing would remove its entry.
+// recordResponse records a response of a listed engine. It ignores other engines, because the entry of a
+// response that arrives after its engine was removed would never be deleted.
 func (t *endpointTable) recordResponse(now control.Time, id control.EndpointID) {
 	if t.isListed(id) {
 		t.lastResponse[id] = now
 	}
 }
 
-// recordFailure records a failure of a listed engine. It ignores others as recordResponse does.
+// recordFailure records a failure of a listed engine. Like recordResponse, it ignores other engines.
 func (t *endpointTable) recordFailure(now control.Time, id control.EndpointID) {
 	if t.isListed(id) {
 		t.lastFailure[id] = now
 	}
 }
 
-// recordUnresponsive records a failure if the engine has not responded to anything after a time.
-func (t *endpointTable) recordUnresponsive(now, since control.Time, id control.EndpointID) {
-	if t.lastResponse[id] <= since {
+// recordUnresponsive records a failure if the engine has not responded to any request after sentAt.
+func (t *endpointTable) recordUnresponsive(now, sentAt control.Time, id control.EndpointID) {
+	if t.lastResponse[id] <= sentAt {
 		t.recordFailure(now, id)
 	}
 }
@@ -67,8 +67,8 @@
 	}
 }
 
-// hasFreeCall reports whether one more call may be made to the engine.
-func (t *endpointTable) hasFreeCall(id control.EndpointID) bool {
+// hasCapacity reports whether one more call may be made to the engine.
+func (t *endpointTable) hasCapacity(id control.EndpointID) bool {
 	return t.callsInFlight[id] < maxCallsPerEndpoint
 }
 
@@ -77,8 +77,7 @@
 	return t.lastResponse[id] > t.lastFailure[id]
 }
 
-// preferred returns the listed engine to call next that is not excluded. It returns false if all
-// are.
+// preferred returns the listed engine to call next. It returns false if all listed engines are excluded.
 func (t *endpointTable) preferred(excluded []control.EndpointID) (preferred control.EndpointID, ok bool) {
 	for _, id := range t.listed {
 		if slices.Contains(excluded, id) {
@@ -92,12 +91,12 @@
 	return preferred, ok
 }
 
-// prefers reports whether a is called before b. Engines with free calls come first, then those that
-// are responsive. Of responsive engines the one that responded latest comes first. Of others the
-// one that failed longest ago, or never, comes first. Ties are broken by id.
+// prefers reports whether a is called before b. Engines with capacity for a call come first, then
+// responsive engines. Of two responsive engines, the one that responded most recently comes first. Of two
+// others, the one that failed longest ago, or never, comes first. Ties are broken by id.
 func (t *endpointTable) prefers(a, b control.EndpointID) bool {
-	if t.hasFreeCall(a) != t.hasFreeCall(b) {
-		return t.hasFreeCall(a)
+	if t.hasCapacity(a) != t.hasCapacity(b) {
+		return t.hasCapacity(a)
 	}
 	if t.isResponsive(a) != t.isResponsive(b) {
 		return t.isResponsive(a)
--- a/control/kvrelease/example_test.go
+++ b/control/kvrelease/example_test.go
@@ -18,7 +18,7 @@
 	first := scheduler.Poll(now)
 	fmt.Printf("%+v\n", first)
 
-	// Engine 2 does not respond, so that engine 1 is called too.
+	// Engine 2 does not respond, so engine 1 is called as well.
 	deadline, _ := scheduler.NextDeadline()
 	fmt.Println("next after", deadline.Sub(now))
 	second := scheduler.Poll(deadline)
--- a/control/kvrelease/kvrelease.go
+++ b/control/kvrelease/kvrelease.go
@@ -1,12 +1,12 @@
-// Package kvrelease decides which engine is called, and when, to release the KV state that a
-// request may have left behind. Any engine can release it for all engines, so that one successful
-// call is enough. Like package control, it does no I/O, reads no clock and starts no goroutine.
+// Package kvrelease decides when to call which engine to release the KV state that a request may have
+// left behind. Any engine can release it for all engines, so one successful call is enough. Like package
+// control, it does no I/O, reads no clock and starts no goroutine.
 //
-// The engine that responded latest is called first: it is alive, and an idle connection to it
-// probably exists. If it does not respond within a share of the retention limit, the next engine is
-// called too (a hedged request), and so on until a call succeeds. The calls in flight to one engine
-// are bounded, so that an engine that has just become unresponsive delays few releases. A release
-// is withdrawn if a later attempt of the request may need the retained state.
+// The engine that responded most recently is called first: it is probably responsive, and an idle
+// connection to it probably exists. If it does not respond within a fraction of the retention limit, the
+// next engine is called as well (hedged requests), and so on until a call succeeds. The number of calls in
+// flight to one engine is limited, so that an engine that has just become unresponsive delays only a few
+// releases. A release is withdrawn if a later attempt of the request may need the KV state.
 package kvrelease
 
 import (
@@ -17,26 +17,25 @@
 )
 
 const (
-	// hedgeShare is the share of the retention limit that one engine may take before the next is
-	// called too. It is small, so that several engines are called within the limit.
+	// hedgeShare is the delay before the next engine is called as well, as a fraction of the retention
+	// limit.
 	hedgeShare = 0.12
-	// callTimeoutShare is the share of the retention limit that a call may take. A call that takes
-	// longer has failed, and its engine is called last from then on.
+	// callTimeoutShare is the time-out of a call, as a fraction of the retention limit.
 	callTimeoutShare = 0.25
-	// minDelay is the least delay before the next call, the least time-out of a call, and the least
-	// retention limit. An engine needs some time to respond.
+	// minDelay is the minimum of the delay before the next call, of the time-out of a call and of the
+	// retention limit.
 	minDelay = 20 * time.Millisecond
 
-	// maxAgeMultiple is the age at which a release is dropped, as a multiple of the retention limit.
-	// By then the engines' own limits must have released the state.
+	// maxAgeMultiple is the age at which a release is dropped, as a multiple of the retention limit. By
+	// then the engines must have released the KV state on their own.
 	maxAgeMultiple = 30.0
 
-	// maxCalls bounds the calls in flight to all engines.
+	// maxCalls is the maximum number of calls in flight to all engines.
 	maxCalls = 24
-	// maxCallsPerEndpoint bounds the calls in flight to one engine.
+	// maxCallsPerEndpoint is the maximum number of calls in flight to one engine.
 	maxCallsPerEndpoint = 4
 
-	// MaxPending bounds the pending releases. Enqueue drops the oldest one to stay within it.
+	// MaxPending is the maximum number of pending releases. Enqueue drops the oldest one if necessary.
 	MaxPending = 4096
 )
 
@@ -47,8 +46,8 @@
 	Timeout  time.Duration
 }
 
-// Scheduler holds the releases that no engine has confirmed and decides on the calls for them. It
-// is not safe for concurrent use.
+// Scheduler schedules the calls for releases that no engine has confirmed. It is not safe for concurrent
+// use.
 type Scheduler struct {
 	retentionLimit time.Duration
 	pending        map[string]*pendingRelease
@@ -64,8 +63,8 @@
 	key            string
 	enqueuedAt     control.Time
 	nextCallAt     control.Time
-	awaitsFreeCall bool                 // the bounds on calls delayed it; due as soon as a call completes
-	called         []control.EndpointID // in this round
+	awaitsCapacity bool                 // delayed by the limits on calls in flight; due when a call completes
+	called         []control.EndpointID // engines called in the current round
 }
 
 // NewScheduler returns an empty Scheduler. The retention limit is how long KV state may be retained
@@ -81,7 +80,7 @@
 // Len returns the number of pending releases.
 func (s *Scheduler) Len() int { return len(s.pending) }
 
-// Dropped returns the number of releases that were dropped, for their number or their age.
+// Dropped returns the number of releases that were dropped because of MaxPending or their age.
 func (s *Scheduler) Dropped() uint64 { return s.dropped }
 
 // Enqueue adds a release, unless one with the same key is pending.
@@ -97,11 +96,11 @@
 	s.queue = append(s.queue, release)
 }
 
-// IsPending reports whether a release was enqueued and has not ended.
+// IsPending reports whether a release was enqueued and has not been confirmed, withdrawn or dropped.
 func (s *Scheduler) IsPending(key string) bool { return s.pending[key] != nil }
 
-// Withdraw cancels a release whose KV state may be needed again, and reports whether it was
-// pending. Calls in flight are not cancelled.
+// Withdraw cancels a release whose KV state may be needed again, and reports whether it was pending. It
+// does not cancel calls in flight.
 func (s *Scheduler) Withdraw(key string) bool {
 	release := s.pending[key]
 	if release == nil {
@@ -122,38 +121,38 @@
 	s.queue = slices.DeleteFunc(s.queue, func(queued *pendingRelease) bool { return queued == release })
 }
 
-// SetEndpoints replaces the list of engines that may be called. The responses and failures of
-// engines that are no longer listed are forgotten.
+// SetEndpoints replaces the list of engines that may be called. It discards the recorded responses and
+// failures of engines that are no longer listed.
 func (s *Scheduler) SetEndpoints(ids []control.EndpointID) { s.endpoints.setListed(ids) }
 
-// RecordResponse records that an engine has responded to any request. It has no effect for an
-// engine that is not listed.
+// RecordResponse records that an engine has responded to a request of any kind. It has no effect if the
+// engine is not listed.
 func (s *Scheduler) RecordResponse(now control.Time, id control.EndpointID) {
 	s.endpoints.recordResponse(now, id)
 }
 
-// RecordFailure records that an engine could not be reached or did not respond. It has no effect
-// for an engine that is not listed.
+// RecordFailure records that an engine could not be reached or did not respond. It has no effect if the
+// engine is not listed.
 func (s *Scheduler) RecordFailure(now control.Time, id control.EndpointID) {
 	s.endpoints.recordFailure(now, id)
 }
 
-// RecordUnresponsive records that an engine made no progress on something it was sent at a time,
-// as a failure. It has no effect if the engine has responded to anything since then: the cause may
-// be the connection.
-func (s *Scheduler) RecordUnresponsive(now, since control.Time, id control.EndpointID) {
-	s.endpoints.recordUnresponsive(now, since, id)
+// RecordUnresponsive records a failure of an engine that made no progress on a request that was sent at
+// sentAt. It has no effect if the engine has responded to any request since then, because the cause may
+// then be the connection.
+func (s *Scheduler) RecordUnresponsive(now, sentAt control.Time, id control.EndpointID) {
+	s.endpoints.recordUnresponsive(now, sentAt, id)
 }
 
-// Completion is what the end of a call means for its release.
+// Completion is the effect of the end of a call on its release.
 type Completion struct {
 	WasPending bool          // the release was pending before the call ended
-	Released   bool          // the call ended the release
+	Released   bool          // the call succeeded and ended the release
 	Age        time.Duration // of the release if it was pending
 }
 
-// Complete records the end of a call. A success ends its release. After a failure the release is
-// due at once.
+// Complete records the end of a call. After a success the release has ended. After a failure it is due at
+// once.
 func (s *Scheduler) Complete(now control.Time, call Call, succeeded bool) Completion {
 	s.callsInFlight--
 	s.callCompleted = true
@@ -175,12 +174,12 @@
 	return Completion{WasPending: true, Released: succeeded, Age: now.Sub(release.enqueuedAt)}
 }
 
-// Poll returns the calls to make now, for the oldest releases first. It must be called after every
+// Poll returns the calls to make now, those for the oldest releases first. It must be called after every
 // event, and at NextDeadline.
 func (s *Scheduler) Poll(now control.Time) []Call {
 	var calls []Call
 	for _, release := range slices.Clone(s.queue) {
-		if now.Sub(release.enqueuedAt) > s.shareOfLimit(maxAgeMultiple) {
+		if now.Sub(release.enqueuedAt) > s.scaledLimit(maxAgeMultiple) {
 			s.drop(release)
 			continue
 		}
@@ -209,16 +208,17 @@
 }
 
 func (s *Scheduler) isDue(now control.Time, release *pendingRelease) bool {
-	return now >= release.nextCallAt || release.awaitsFreeCall && s.callCompleted
+	return now >= release.nextCallAt || release.awaitsCapacity && s.callCompleted
 }
 
-// startCall returns a call for a release that is due. It returns false if the bounds on calls are
-// reached or all engines have been called. In the latter case the next call begins a new round.
+// startCall returns a call for a release that is due. It returns false if the limits on calls in flight
+// are reached, or if all engines have been called in the current round. In the latter case the next call
+// starts a new round.
 func (s *Scheduler) startCall(now control.Time, release *pendingRelease) (call Call, ok bool) {
-	release.nextCallAt = now.Add(max(s.shareOfLimit(hedgeShare), minDelay))
+	release.nextCallAt = now.Add(max(s.scaledLimit(hedgeShare), minDelay))
 	id, found := s.endpoints.preferred(release.called)
-	release.awaitsFreeCall = s.callsInFlight >= maxCalls || found && !s.endpoints.hasFreeCall(id)
-	if release.awaitsFreeCall {
+	release.awaitsCapacity = s.callsInFlight >= maxCalls || found && !s.endpoints.hasCapacity(id)
+	if release.awaitsCapacity {
 		return Call{}, false
 	}
 	if !found {
@@ -231,11 +231,11 @@
 	call = Call{
 		Key:      release.key,
 		Endpoint: id,
-		Timeout:  max(s.shareOfLimit(callTimeoutShare), minDelay),
+		Timeout:  max(s.scaledLimit(callTimeoutShare), minDelay),
 	}
 	return call, true
 }
 
-func (s *Scheduler) shareOfLimit(share float64) time.Duration {
-	return time.Duration(share * float64(s.retentionLimit))
+func (s *Scheduler) scaledLimit(factor float64) time.Duration {
+	return time.Duration(factor * float64(s.retentionLimit))
 }
--- a/control/kvrelease/kvrelease_test.go
+++ b/control/kvrelease/kvrelease_test.go
@@ -11,10 +11,10 @@
 
 const ms = time.Millisecond
 
-func at(d time.Duration) control.Time { return control.Time(1e9).Add(d) }
+func at(elapsed time.Duration) control.Time { return control.Time(1e9).Add(elapsed) }
 
-// TestLatestResponderIsCalledFirst: the engine that responded latest is called first and those that
-// failed last. After a success none is called again.
+// TestLatestResponderIsCalledFirst: the engine that responded most recently is called first, and engines
+// that failed are called last. After a success no engine is called again.
 func TestLatestResponderIsCalledFirst(t *testing.T) {
 	scheduler := NewScheduler(500 * ms)
 	scheduler.SetEndpoints([]control.EndpointID{4, 3, 2, 1})
@@ -34,15 +34,15 @@
 	scheduler.Complete(at(time.Second), Call{Key: "q", Endpoint: 4}, true)
 
 	if !slices.Equal(order, []control.EndpointID{3, 1, 4, 2}) {
-		t.Errorf("called %v", order)
+		t.Errorf("called engines %v, want 3, 1, 4, 2", order)
 	}
 	if scheduler.Len() != 0 || scheduler.Poll(at(2*time.Second)) != nil {
 		t.Error("called again after a success")
 	}
 }
 
-// TestOnlyResponsiveEngineIsCalledWithinTheLimit: if all engines but one are unresponsive, that one
-// is called within the retention limit.
+// TestOnlyResponsiveEngineIsCalledWithinTheLimit: if only one engine is responsive, it is called within
+// the retention limit.
 func TestOnlyResponsiveEngineIsCalledWithinTheLimit(t *testing.T) {
 	for responsive := range 5 {
 		scheduler := NewScheduler(500 * ms)
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestUnreachableEnginesAreRetriedAtABoundedRate: engines that cannot be reached are called in turn,
-// neither rarely nor without pause, until the release is dropped.
+// TestUnreachableEnginesAreRetriedAtABoundedRate: engines that cannot be reached are called in turn at a
+// moderate rate, until the release is dropped.
 func TestUnreachableEnginesAreRetriedAtABoundedRate(t *testing.T) {
 	scheduler := NewScheduler(100 * ms)
 	scheduler.SetEndpoints([]control.EndpointID{1, 2})
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestStateIsBounded: the calls in flight, the pending releases and the entries for engines are
-// bounded. A withdrawn release is not called for.
+// TestStateIsBounded: the numbers of calls in flight, pending releases and entries for engines are
+// bounded. No engine is called for a withdrawn release.
 func TestStateIsBounded(t *testing.T) {
 	scheduler := NewScheduler(500 * ms)
 	for i := range MaxPending + 10 {
@@ -99,7 +99,7 @@
 	}
 
 	if !scheduler.Withdraw("10") || scheduler.Withdraw("10") {
-		t.Error("withdrawn twice or not at all")
+		t.Error("a pending release was not withdrawn exactly once")
 	}
 
 	var listed []control.EndpointID
@@ -109,17 +109,17 @@
 	scheduler.SetEndpoints(listed)
 	calls := scheduler.Poll(at(0))
 	if len(calls) != maxCalls || calls[0].Key != "11" {
-		t.Errorf("%d calls, the first for %s", len(calls), calls[0].Key)
+		t.Errorf("%d calls, the first for release %s", len(calls), calls[0].Key)
 	}
 	callsByEngine := map[control.EndpointID]int{}
 	for _, call := range calls {
 		callsByEngine[call.Endpoint]++
-		if callsByEngine[call.Endpoint] > 4 { // an engine that has just become unresponsive delays no more
-			t.Errorf("%d calls at engine %d", callsByEngine[call.Endpoint], call.Endpoint)
+		if callsByEngine[call.Endpoint] > 4 { // limits the releases that an unresponsive engine delays
+			t.Errorf("%d calls to engine %d", callsByEngine[call.Endpoint], call.Endpoint)
 		}
 	}
 
-	// Engines are added and removed, and some respond after they were removed.
+	// Engines are added and removed, and some respond after their removal.
 	for id := range control.EndpointID(1000) {
 		scheduler.SetEndpoints([]control.EndpointID{id, id + 1})
 		scheduler.RecordResponse(at(0), id)
@@ -127,13 +127,13 @@
 		scheduler.RecordResponse(at(0), id-1)
 	}
 	if n := len(scheduler.endpoints.lastResponse) + len(scheduler.endpoints.lastFailure); n > 4 {
-		t.Errorf("%d entries for two engines", n)
+		t.Errorf("%d recorded responses and failures for two engines", n)
 	}
 }
 
-// TestManyReleasesEndInTimeDespiteUnresponsiveEngines: many releases at once all end within the
-// retention limit and the 300 ms that the platform allows in addition, although the engines that
-// responded latest have become unresponsive.
+// TestManyReleasesEndInTimeDespiteUnresponsiveEngines: many simultaneous releases all end within the
+// retention limit plus the 300 ms that the platform allows, although the engines that responded most
+// recently have become unresponsive.
 func TestManyReleasesEndInTimeDespiteUnresponsiveEngines(t *testing.T) {
 	for unresponsive := range 4 {
 		for _, releases := range []int{1, 60, 400} {
@@ -142,8 +142,8 @@
 	}
 }
 
-// releaseWithUnresponsiveEngines runs releases at five engines. Those that responded latest have
-// become unresponsive, the others take 2 ms.
+// releaseWithUnresponsiveEngines schedules releases on five engines. Those that responded most recently
+// have become unresponsive, the others take 2 ms.
 func releaseWithUnresponsiveEngines(t *testing.T, unresponsive, releases int) {
 	t.Helper()
 	const limit = 500 * ms
@@ -164,7 +164,8 @@
 	isResponsive := func(id control.EndpointID) bool { return int(id) <= 5-unresponsive }
 	for now := 10 * ms; scheduler.Len() > 0; now += ms {
 		if now > 10*ms+limit+300*ms {
-			t.Errorf("%d unresponsive: %d of %d releases are pending", unresponsive, scheduler.Len(), releases)
+			t.Errorf("%d unresponsive engines: %d of %d releases are still pending",
+				unresponsive, scheduler.Len(), releases)
 			break
 		}
 		inFlight = slices.DeleteFunc(inFlight, func(call callInFlight) bool {
@@ -184,12 +185,12 @@
 		mostInFlight = max(mostInFlight, len(inFlight))
 	}
 	if mostInFlight > maxCalls {
-		t.Errorf("%d calls in flight", mostInFlight)
+		t.Errorf("%d calls in flight, want at most %d", mostInFlight, maxCalls)
 	}
 }
 
-// TestUnresponsiveEngineIsCalledLast: an engine that made no progress on something it was sent is
-// called after the others, unless it has responded to anything since.
+// TestUnresponsiveEngineIsCalledLast: an engine that made no progress on a request is called after the
+// others, unless it has responded to any request since then.
 func TestUnresponsiveEngineIsCalledLast(t *testing.T) {
 	for respondedAt, want := range map[time.Duration]control.EndpointID{10 * ms: 1, 60 * ms: 2} {
 		scheduler := NewScheduler(500 * ms)
