--- a/control/membership/ended.go
+++ b/control/membership/ended.go
@@ -6,22 +6,22 @@
 // It holds at most MaxEndpoints. The zero value is empty and ready for use.
 type endedEndpoints struct {
 	ends  map[control.EndpointID]endRecord
-	order []control.EndpointID // in the order of their ends; some may have started or ended again
+	order []control.EndpointID // in the order of their ends; may include endpoints that have started again
 }
 
-// endRecord identifies the start of an endpoint that has ended.
+// endRecord is the end of an endpoint.
 type endRecord struct {
-	startedAt  control.Time
+	startedAt  control.Time // start of the endpoint that has ended
 	recordedAt control.Time
 }
 
-// startOf returns the start of an endpoint that has ended. It returns false if no end is remembered.
+// startOf returns the start time of an endpoint that has ended. It returns false if no end is recorded.
 func (e *endedEndpoints) startOf(id control.EndpointID) (startedAt control.Time, ok bool) {
 	end, ok := e.ends[id]
 	return end.startedAt, ok
 }
 
-// record remembers the end of an endpoint. It ignores the zero Endpoint, which was never in the view.
+// record records the end of an endpoint. It ignores the zero Endpoint, which was never in the view.
 func (e *endedEndpoints) record(now control.Time, endpoint Endpoint) {
 	if e.ends == nil {
 		e.ends = map[control.EndpointID]endRecord{}
@@ -33,10 +33,10 @@
 	e.order = append(e.order, endpoint.ID)
 }
 
-// forget drops the end of an endpoint that has started again.
+// forget removes the end of an endpoint that has started again.
 func (e *endedEndpoints) forget(id control.EndpointID) { delete(e.ends, id) }
 
-// expire drops the ends recorded more than EndedRetention ago.
+// expire removes the ends that were recorded more than EndedRetention ago.
 func (e *endedEndpoints) expire(now control.Time) {
 	for len(e.order) > 0 {
 		oldest := e.order[0]
--- a/control/membership/example_test.go
+++ b/control/membership/example_test.go
@@ -22,12 +22,12 @@
 		fmt.Println(err)
 	}
 
-	// A stale list with another endpoint changes nothing at first.
+	// A stale complete list with another endpoint changes nothing at first.
 	stale := membership.Update{Revision: 3, Complete: true, Endpoints: []membership.Endpoint{endpoint(2, control.Ready)}}
 	change, err := view.Apply(now, stale)
 	fmt.Println("unchanged:", change.IsEmpty(), err)
 
-	// It applies if nothing else arrives for StaleAcceptDelay.
+	// It is applied if nothing else arrives for StaleAcceptDelay.
 	deadline, _ := view.NextDeadline()
 	change = view.Poll(deadline)
 	fmt.Println("after", deadline.Sub(now), "revision", view.Revision(), "endpoint", change.Endpoints[0].ID)
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -1,13 +1,14 @@
-// Package membership maintains the endpoint list that discovery sends as complete lists and as
-// changes, in any order, current or stale. Like package control, it does no I/O and reads no clock.
+// Package membership maintains the endpoint list from the updates of discovery. Updates are complete lists
+// or changes, and may be out of order or stale. Like package control, the package does no I/O and reads no
+// clock.
 //
-// An update with the view's revision or a later one applies. An update with an earlier revision is
-// stale. It ends endpoints at once, since a request sent to an endpoint that has ended may be lost,
-// but it adds none. If nothing but stale complete lists arrives for StaleAcceptDelay, discovery has
-// lost its later revisions and restarted its count, and the list applies. Endpoints that a later
-// revision ended stay ended even then, until EndedRetention has passed.
+// An update with the view's revision or a later one is applied. An update with an earlier revision is
+// stale. It ends endpoints at once, since a request sent to an endpoint that has ended may be lost, but it
+// adds none. If only stale complete lists arrive for StaleAcceptDelay, discovery is assumed to have lost
+// its later revisions and restarted its count, and the latest of these lists is applied. Even then,
+// endpoints that a later revision ended stay ended until EndedRetention has passed.
 //
-// The package also has the time-outs and the backoff of the connections to discovery.
+// The package also defines the time-outs and the backoff of the connections to discovery.
 package membership
 
 import (
@@ -29,11 +30,11 @@
 // Update is one message of discovery.
 type Update struct {
 	Revision  uint64
-	Complete  bool // an endpoint that is not in Endpoints is gone
+	Complete  bool // a full list: endpoints that are not in Endpoints are gone
 	Endpoints []Endpoint
 }
 
-// Change is what an update or the passing of time has changed in a view.
+// Change is what an update or a poll has changed in a view.
 type Change struct {
 	control.EndpointUpdate
 }
@@ -42,20 +43,19 @@
 func (c Change) IsEmpty() bool { return !c.Full && len(c.Endpoints) == 0 }
 
 const (
-	// StaleAcceptDelay is the time after which a stale complete list applies if nothing else arrives.
-	// A current list that the stale one has overtaken arrives within it. It must be short: when
-	// discovery is back after an outage, the platform counts its list as known at once and allows only
-	// the drain grace in addition.
+	// StaleAcceptDelay is the time after which a stale complete list is applied if nothing else arrives. A
+	// current list that the stale one has overtaken arrives within this time. The delay must be shorter
+	// than the drain grace: after an outage of discovery, the platform expects the router to apply the new
+	// list within the drain grace.
 	StaleAcceptDelay = 500 * time.Millisecond
-	// EndedRetention is how long the end of an endpoint is remembered and overrides stale lists. A
-	// stale list applies in full if nothing else arrives for as long.
+	// EndedRetention is how long the end of an endpoint is remembered and overrides stale lists. If
+	// nothing else arrives for this time, a stale list is applied in full.
 	EndedRetention = 10 * time.Second
-	// MaxEndpoints bounds the endpoints in the view, and those remembered as ended.
+	// MaxEndpoints is the maximum number of endpoints in the view, and of those remembered as ended.
 	MaxEndpoints = 20000
 )
 
-// ErrTooManyEndpoints is returned for an update after which the view would have more than
-// MaxEndpoints.
+// ErrTooManyEndpoints is returned for an update after which the view could have more than MaxEndpoints.
 var ErrTooManyEndpoints = errors.New("membership: too many endpoints")
 
 // View is the current endpoint list. The zero View is empty and ready for use. It is not safe for
@@ -67,18 +67,18 @@
 	stale     staleList
 }
 
-// staleList is a complete list of an earlier revision than the view's. It applies if nothing else
+// staleList is a complete list of an earlier revision than the view's. It is applied if nothing else
 // arrives.
 type staleList struct {
 	update            *Update // the latest such list; nil for none
 	since             control.Time
-	partiallyAccepted bool // the list applies except for what a later revision ended
+	partiallyAccepted bool // the list was applied, except for endpoints that a later revision ended
 }
 
 // Revision returns the revision of the list.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Get returns an endpoint of the list, and false if it has none with that id.
+// Get returns the endpoint with the given id. It returns false if the list has none.
 func (v *View) Get(id control.EndpointID) (Endpoint, bool) {
 	endpoint, ok := v.endpoints[id]
 	return endpoint, ok
@@ -87,8 +87,8 @@
 // Len returns the number of endpoints.
 func (v *View) Len() int { return len(v.endpoints) }
 
-// Apply applies an update and returns what has changed. Its only error is ErrTooManyEndpoints, which
-// leaves the view unchanged.
+// Apply applies an update and returns what has changed. Its only error is ErrTooManyEndpoints, and the
+// view is then unchanged.
 func (v *View) Apply(now control.Time, update Update) (Change, error) {
 	if v.wouldExceedLimit(update) {
 		return Change{}, ErrTooManyEndpoints
@@ -103,7 +103,7 @@
 	return v.replace(now, v.withEndsOnly(update)), nil
 }
 
-// wouldExceedLimit reports whether the view could have more than MaxEndpoints after an update.
+// wouldExceedLimit reports whether the view could have more than MaxEndpoints after the update.
 func (v *View) wouldExceedLimit(update Update) bool {
 	if len(update.Endpoints) > MaxEndpoints {
 		return true
@@ -111,7 +111,7 @@
 	return !update.Complete && len(v.endpoints)+len(update.Endpoints) > MaxEndpoints
 }
 
-// keepStale keeps a stale complete list for Poll. The delay starts with the first of several lists.
+// keepStale keeps a stale complete list for Poll. The delay starts with the first of several such lists.
 func (v *View) keepStale(now control.Time, update Update) {
 	if v.stale.update == nil {
 		v.stale.since = now
@@ -120,8 +120,8 @@
 	v.stale.update = &update
 }
 
-// withEndsOnly returns the entries of a stale update that end endpoints which are ready, as an update
-// of the view's revision. The end of an earlier start does not end a later one.
+// withEndsOnly returns an update of the view's revision with those entries of a stale update that end ready
+// endpoints. It omits the end of an endpoint that has started again since.
 func (v *View) withEndsOnly(stale Update) Update {
 	ends := Update{Revision: v.revision}
 	for _, endpoint := range stale.Endpoints {
@@ -136,8 +136,7 @@
 	return ends
 }
 
-// Poll applies a stale list that is due and returns what has changed. It must be called at
-// NextDeadline.
+// Poll applies a stale list if it is due, and returns what has changed. It must be called at NextDeadline.
 func (v *View) Poll(now control.Time) Change {
 	deadline, ok := v.NextDeadline()
 	if !ok || now < deadline {
@@ -165,8 +164,8 @@
 	return v.stale.since.Add(StaleAcceptDelay), true
 }
 
-// withEndedDraining returns a copy of a stale list in which endpoints that a later revision ended are
-// draining, unless they have started again since.
+// withEndedDraining returns a copy of a stale list in which the endpoints that a later revision ended are
+// draining, except for those that have started again since.
 func (v *View) withEndedDraining(stale []Endpoint) []Endpoint {
 	endpoints := slices.Clone(stale)
 	for i := range endpoints {
@@ -179,8 +178,8 @@
 	return endpoints
 }
 
-// endedStart returns the start of an endpoint that is known to have ended. It returns false if none
-// is.
+// endedStart returns the start time of an endpoint that is known to have ended. It returns false for any
+// other endpoint.
 func (v *View) endedStart(id control.EndpointID) (startedAt control.Time, ok bool) {
 	current, isListed := v.endpoints[id]
 	if isListed && current.State == control.Draining {
--- a/control/membership/replace.go
+++ b/control/membership/replace.go
@@ -7,7 +7,7 @@
 	"martenlock/control"
 )
 
-// replace applies an update and its revision, which may be earlier than the view's.
+// replace applies an update and sets the view's revision to that of the update, which may be earlier.
 func (v *View) replace(now control.Time, update Update) Change {
 	v.revision = update.Revision
 	v.ended.expire(now)
@@ -32,8 +32,8 @@
 	return change
 }
 
-// latest returns an endpoint as an earlier entry of this update has it, or else as the previous list
-// has it. It returns false if neither has it.
+// latest returns an endpoint as set by an earlier entry of the same update, or else as in the previous
+// list. It returns false if the endpoint is in neither.
 func (v *View) latest(id control.EndpointID, previous map[control.EndpointID]Endpoint) (Endpoint, bool) {
 	endpoint, ok := v.endpoints[id]
 	if !ok {
@@ -42,9 +42,9 @@
 	return endpoint, ok
 }
 
-// usableEndpoint returns the endpoint that an entry describes. If the kind or the address of the entry
-// cannot be used, only its state counts: a known endpoint otherwise stays as it is until it ends, and
-// one that is not known is omitted, for which usableEndpoint returns false.
+// usableEndpoint returns the endpoint that an entry describes. If the kind or the address of the entry is
+// unusable, it returns the current endpoint with the state of the entry, or false if the endpoint is
+// unknown.
 func usableEndpoint(entry, current Endpoint, isKnown bool) (endpoint Endpoint, ok bool) {
 	isUsable := entry.Kind >= 0 && (entry.State == control.Ready || entry.Addr.IsValid())
 	if isUsable {
@@ -54,8 +54,8 @@
 	return current, isKnown
 }
 
-// set stores an endpoint, or removes it if it is gone. previous is the endpoint before, or the zero
-// Endpoint.
+// set stores an endpoint, or removes it if it is gone. previous is the endpoint before the update, or the
+// zero Endpoint if it was unknown.
 func (v *View) set(now control.Time, endpoint, previous Endpoint) {
 	if endpoint.State == control.Gone {
 		v.ended.record(now, previous)
@@ -68,7 +68,7 @@
 	}
 }
 
-// recordMissing records the ends of the endpoints that a complete list no longer has.
+// recordMissing records the ends of the endpoints that are missing in a complete list.
 func (v *View) recordMissing(now control.Time, previous map[control.EndpointID]Endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(previous)) {
 		_, isListed := v.endpoints[id]
@@ -78,7 +78,7 @@
 	}
 }
 
-// add adds an endpoint to the change. Of two entries for one endpoint the later one counts.
+// add adds an endpoint to the change. It replaces an earlier entry for the same endpoint.
 func (c *Change) add(endpoint control.Endpoint) {
 	c.Endpoints = slices.DeleteFunc(c.Endpoints, func(other control.Endpoint) bool { return other.ID == endpoint.ID })
 	c.Endpoints = append(c.Endpoints, endpoint)
--- a/control/membership/watch_test.go
+++ b/control/membership/watch_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// TestChangesAreKnownInTimeWhateverCallsFail: a change reaches the router within the time that the
-// platform grants, in whatever phase calls to discovery fail.
-func TestChangesAreKnownInTimeWhateverCallsFail(t *testing.T) {
-	const granted = 6 * time.Second
+// TestChangesAreKnownInTimeDespiteFailedCalls: a change reaches the router within the time that the
+// platform allows, even if two calls to discovery in a row become unresponsive.
+func TestChangesAreKnownInTimeDespiteFailedCalls(t *testing.T) {
+	const allowed = 6 * time.Second
 	backoff := NextBackoff(0)
 	worst := WatchTimeout + backoff + WatchTimeout + NextBackoff(backoff) + MaxBackoff
-	if worst >= granted || WatchTimeout <= HeartbeatInterval {
-		t.Errorf("%v in the worst case, time-out of a watch %v", worst, WatchTimeout)
+	if worst >= allowed || WatchTimeout <= HeartbeatInterval {
+		t.Errorf("a change takes %v in the worst case, WatchTimeout is %v", worst, WatchTimeout)
 	}
 
 	for range 20 {
 		backoff = NextBackoff(backoff)
 		if backoff > MaxBackoff || backoff < MinBackoff {
-			t.Error(backoff)
+			t.Errorf("backoff %v, want %v to %v", backoff, MinBackoff, MaxBackoff)
 		}
 	}
 }
