--- a/control/outcome/outcome.go
+++ b/control/outcome/outcome.go
@@ -1,6 +1,6 @@
-// Package outcome names how a request ended, or a part of one that is a request of its own to the decision
-// module. The packages scatter, batching and coalesce decide by it what the ends of several requests mean for
-// each other.
+// Package outcome defines how a request ended. The request may also be a part of a larger one, if package
+// control handles the part as a request of its own. Packages scatter, batching and coalesce use the outcome
+// of a request to decide about the requests that depend on it.
 package outcome
 
 //go:generate go tool stringer -linecomment -type=Outcome -output=enum_string.go
@@ -8,15 +8,15 @@
 // Outcome is how a request ended.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a request.
 const (
 	// Served is the outcome of a request whose answer was complete and passed the checks.
 	Served Outcome = iota // served
-	// Rejected is the outcome of a request that the router rejected, for overload or because it would have missed
-	// its deadline. No attempt has had an effect, so that a retry is harmless.
+	// Rejected is the outcome of a request that the router rejected because of overload or because it would
+	// have missed its deadline. No attempt has had an effect, so a retry is safe.
 	Rejected // rejected
 	// Failed is the outcome of a request that an engine may have executed.
 	Failed // failed
-	// InvalidRequest is the outcome of a request that an engine answered as invalid.
+	// InvalidRequest is the outcome of a request that an engine rejected as invalid.
 	InvalidRequest // invalid request
 )
--- a/control/outcome/outcome_test.go
+++ b/control/outcome/outcome_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// TestStringNamesEachOutcome: logs and test failures distinguish the outcomes, including an unknown one.
+// TestStringNamesEachOutcome: each outcome has a name of its own, also an unknown one.
 func TestStringNamesEachOutcome(t *testing.T) {
 	seen := map[string]bool{}
 	for value := Served; value <= InvalidRequest+1; value++ {
 		name := value.String()
 		if name == "" || seen[name] {
-			t.Errorf("outcome %d is called %q", uint8(value), name)
+			t.Errorf("outcome %d has the name %q, want a unique one", uint8(value), name)
 		}
 		seen[name] = true
 	}
 	if got, want := (InvalidRequest + 1).String(), "Outcome(4)"; got != want {
-		t.Errorf("an unknown outcome is called %q, want %q", got, want)
+		t.Errorf("an unknown outcome has the name %q, want %q", got, want)
 	}
 }
 
--- a/control/scatter/example_test.go
+++ b/control/scatter/example_test.go
@@ -8,7 +8,8 @@
 	"martenlock/control/scatter"
 )
 
-// Four items in shards of at most 500 tokens. The answers are merged when both shards are served.
+// Four items are split into shards of at most 500 tokens. The answers are merged after both shards were
+// served.
 func Example() {
 	shards := scatter.Plan([]float64{200, 200, 200, 200}, scatter.Limits{ShardTokens: 500})
 	fmt.Println(shards)
--- a/control/scatter/gather.go
+++ b/control/scatter/gather.go
@@ -9,32 +9,32 @@
 
 //go:generate go tool stringer -linecomment -type=Decision -output=enum_string.go
 
-// Decision is what to do about the whole request after the end of a shard.
+// Decision is what to do with the whole request after the end of a shard.
 type Decision uint8
 
-// The decisions.
+// The decisions about a request.
 const (
 	// Wait means that nothing is decided until further shards end.
 	Wait Decision = iota // wait
 	// Merge means to answer with the merged answers of all shards.
 	Merge // merge
-	// Reject means to reject the request. A retry of the whole is harmless.
+	// Reject means to reject the request. A retry of the whole request is safe.
 	Reject // reject
 	// Fail means to fail the request. It may have been executed in part.
 	Fail // fail
-	// RelayError means to answer with the engine's error about the shard that ended last.
+	// RelayError means to answer with the engine's error for the shard that ended last.
 	RelayError // relay error
 )
 
 // Gather collects the outcomes of the shards of one request. It makes at most one decision other than Wait.
 type Gather struct {
-	repeatable  bool   // any shard may be executed again
-	completed   []bool // by shard
+	repeatable  bool   // all shards may be executed again
+	completed   []bool // by index of the shard
 	outstanding int
 	decided     bool
 }
 
-// NewGather returns the Gather of a request of a class that was split into a number of shards.
+// NewGather returns a Gather for a request of the given class that was split into the given number of shards.
 func NewGather(shards int, class control.Class) *Gather {
 	return &Gather{
 		repeatable:  isRepeatable(class),
@@ -43,8 +43,9 @@
 	}
 }
 
-// isRepeatable reports whether a client may repeat a request whose shards were executed in part. An idempotency
-// key allows it only if all endpoints share the keys, since a repeat may reach other endpoints.
+// isRepeatable reports whether a client may repeat a request after some of its shards were executed. With
+// an idempotency key it may do so only if all endpoints share the keys, since the repeated request may
+// reach other endpoints.
 func isRepeatable(class control.Class) bool {
 	switch class.Idempotency {
 	case control.Idempotent:
@@ -56,8 +57,8 @@
 	return false
 }
 
-// Outstanding returns the shards that have not ended, in ascending order. They are to be cancelled once the
-// request is decided.
+// Outstanding returns the shards that have not ended, in ascending order. The caller must cancel them after a
+// decision other than Wait.
 func (g *Gather) Outstanding() []int {
 	var shards []int
 	for shard, completed := range g.completed {
@@ -68,12 +69,12 @@
 	return shards
 }
 
-// Complete records the end of a shard and decides about the whole request. It returns Wait for a shard that is
-// not known or has already ended, and for all shards after the decision.
+// Complete records the end of a shard and decides about the whole request. It returns Wait if the shard is
+// unknown or has already ended, and for all shards after the decision.
 //
-// The first shard that is not served decides: an answer needs all shards. Its rejection becomes that of the
-// whole request only if the request is repeatable or has no other shards. Otherwise other shards may have been
-// executed, and a retry of the whole would execute them again.
+// The first shard that is not served decides the request, because an answer needs all shards. If the shard
+// was rejected, the whole request is rejected only if it is repeatable or has no other shards. Otherwise it
+// fails: other shards may have been executed, and a retry of the whole request would execute them again.
 func (g *Gather) Complete(shard int, result outcome.Outcome) Decision {
 	if g.decided || shard < 0 || shard >= len(g.completed) || g.completed[shard] {
 		return Wait
@@ -99,8 +100,8 @@
 func (g *Gather) Cancel() { g.decided = true }
 
 // RetryAfter returns the Retry-After of a whole request, given that of one shard. The whole request needs
-// capacity for all shards. So it waits for oneShard times their number, but at most for bound, and never for
-// less than oneShard.
-func RetryAfter(oneShard time.Duration, shards int, bound time.Duration) time.Duration {
-	return min(oneShard*time.Duration(max(shards, 1)), max(bound, oneShard))
+// capacity for all shards, so the result is shardRetryAfter times their number. It is at most limit, but
+// never less than shardRetryAfter.
+func RetryAfter(shardRetryAfter time.Duration, shards int, limit time.Duration) time.Duration {
+	return min(shardRetryAfter*time.Duration(max(shards, 1)), max(limit, shardRetryAfter))
 }
--- a/control/scatter/gather_test.go
+++ b/control/scatter/gather_test.go
@@ -10,14 +10,14 @@
 	_ "martenlock/internal/proptest"
 )
 
-// gatherModel feeds random outcomes to a gather and checks each decision.
+// gatherModel completes the shards of a Gather with random outcomes and checks each decision.
 type gatherModel struct {
-	t               *rapid.T
-	gather          *Gather
-	shards          int
-	mustNotRunTwice bool // a shard that may have been executed must not be executed again
-	served          map[int]bool
-	decided         bool
+	t             *rapid.T
+	gather        *Gather
+	shards        int
+	notRepeatable bool // a retry must not execute a shard again
+	served        map[int]bool
+	decided       bool
 }
 
 func newGatherModel(t *rapid.T) *gatherModel {
@@ -28,13 +28,13 @@
 		t:      t,
 		gather: NewGather(shards, control.Class{Idempotency: idempotency, DedupScope: scope}),
 		shards: shards,
-		mustNotRunTwice: idempotency == control.NotIdempotent ||
+		notRepeatable: idempotency == control.NotIdempotent ||
 			idempotency == control.IdempotentWithKey && scope != control.DedupScopeAll,
 		served: map[int]bool{},
 	}
 }
 
-// complete reports a random end of a shard, which may be unknown or have ended before.
+// complete ends a random shard, which may be unknown or have ended before, with a random outcome.
 func (m *gatherModel) complete() {
 	shard := rapid.IntRange(-1, m.shards).Draw(m.t, "shard")
 	result := outcome.Outcome(rapid.IntRange(0, 3).Draw(m.t, "outcome"))
@@ -47,11 +47,12 @@
 		return
 	}
 	if m.decided {
-		m.t.Fatal("a second decision")
+		m.t.Fatal("the request was decided twice")
 	}
 	m.decided = true
 	if len(m.gather.Outstanding()) != outstanding-1 {
-		m.t.Fatalf("%d shards to cancel of %d outstanding", len(m.gather.Outstanding()), outstanding)
+		m.t.Fatalf("%d shards to cancel after a shard of %d outstanding ones ended",
+			len(m.gather.Outstanding()), outstanding)
 	}
 	m.checkDecision(decision, result)
 }
@@ -61,23 +62,24 @@
 	switch decision {
 	case Merge:
 		if len(m.served) != m.shards || result != outcome.Served {
-			m.t.Fatalf("a merge with %d of %d shards", len(m.served), m.shards)
+			m.t.Fatalf("decided to merge with %d of %d shards served", len(m.served), m.shards)
 		}
 	case Reject:
-		if result != outcome.Rejected || m.shards > 1 && m.mustNotRunTwice {
-			m.t.Fatalf("rejected for %v, must not run twice %v, %d shards", result, m.mustNotRunTwice, m.shards)
+		if result != outcome.Rejected || m.shards > 1 && m.notRepeatable {
+			m.t.Fatalf("decided to reject for outcome %v, not repeatable %v, %d shards",
+				result, m.notRepeatable, m.shards)
 		}
 	case RelayError:
 		if result != outcome.InvalidRequest {
-			m.t.Fatalf("an engine's error relayed for %v", result)
+			m.t.Fatalf("decided to relay an error for outcome %v", result)
 		}
-	case Wait, Fail: // a failure is always safe
+	case Wait, Fail: // to fail is always safe
 	}
 }
 
-// TestGatherDecidesOnce: for any order of outcomes, late and repeated ones included, there is at most one
-// decision. Shards are merged only if all were served. A request is rejected only if nothing that must not run
-// twice may have run.
+// TestGatherDecidesOnce: for any order of outcomes, including late and repeated ones, there is at most one
+// decision. Shards are merged only if all were served. A request is rejected only if a retry cannot execute
+// a shard twice that must not be executed twice.
 func TestGatherDecidesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newGatherModel(t)
@@ -88,22 +90,22 @@
 		m.gather.Cancel()
 
 		if m.gather.Complete(0, outcome.Served) != Wait {
-			t.Fatal("a decision after the cancellation")
+			t.Fatal("the request was decided after its cancellation")
 		}
 	})
 }
 
-// TestStringNamesEachDecision: logs and test failures distinguish the decisions, including an unknown one.
+// TestStringNamesEachDecision: each decision has a name of its own, also an unknown one.
 func TestStringNamesEachDecision(t *testing.T) {
 	seen := map[string]bool{}
 	for value := Decision(0); value <= RelayError+1; value++ {
 		name := value.String()
 		if name == "" || seen[name] {
-			t.Errorf("decision %d is called %q", uint8(value), name)
+			t.Errorf("decision %d has the name %q, want a unique one", uint8(value), name)
 		}
 		seen[name] = true
 	}
 	if got, want := (RelayError + 1).String(), "Decision(5)"; got != want {
-		t.Errorf("an unknown value is called %q, want %q", got, want)
+		t.Errorf("an unknown decision has the name %q, want %q", got, want)
 	}
 }
--- a/control/scatter/scatter.go
+++ b/control/scatter/scatter.go
@@ -1,7 +1,6 @@
 // Package scatter splits a large embeddings or rerank request into shards, which different engines serve at
-// the same time, and decides what the outcomes of the shards mean for the whole request (scatter and gather).
-// Each shard is a request of its own to the decision module, package control, which alone chooses its
-// endpoint and its attempts.
+// the same time, and combines the outcomes of the shards into that of the whole request (scatter-gather).
+// Package control handles each shard as a request of its own and chooses its endpoints.
 //
 // Like control, the package does no I/O, reads no clock and starts no goroutine.
 package scatter
@@ -10,19 +9,19 @@
 
 // Limits bound the shards of a request. A limit of 0 is no bound.
 type Limits struct {
-	ShardTokens float64 // estimated tokens of all items of a shard
-	ShardItems  int     // items of a shard
-	Shards      int     // shards of one request; it takes precedence over the other two
+	ShardTokens float64 // maximum estimated tokens of a shard
+	ShardItems  int     // maximum items of a shard
+	Shards      int     // maximum shards of a request; takes precedence over the other limits
 }
 
-// Shard is the half-open range of a request's items from From up to To.
+// Shard is the half-open range [From, To) of a request's items.
 type Shard struct {
 	From, To int
 }
 
-// Plan splits items, given by their tokens, into as few shards as the limits allow. The shards are of about the
-// same size, since the request ends with its largest shard. They keep the order of the items, so that answers
-// can be concatenated. An item is never split.
+// Plan splits items, given by their token counts, into as few shards as the limits allow. The shards have
+// about the same number of tokens, since the largest one determines when the request ends. They keep the
+// order of the items, so that their answers can be concatenated. An item is never split.
 func Plan(itemTokens []float64, limits Limits) []Shard {
 	totalTokens := 0.0
 	for _, tokens := range itemTokens {
@@ -40,9 +39,9 @@
 			itemsLeft := len(itemTokens) - index
 			fairTokens := (totalTokens - assignedTokens) / float64(shardsLeft)
 			isFull := shardTokens+tokens/2 >= fairTokens || index-start >= maxItems
-			restHasTooFewItems := itemsLeft <= shardsLeft-1
-			restHasTooManyItems := itemsLeft > (shardsLeft-1)*maxItems
-			if restHasTooFewItems || isFull && !restHasTooManyItems {
+			laterShardsNeedAllItems := itemsLeft <= shardsLeft-1
+			laterShardsWouldExceedLimit := itemsLeft > (shardsLeft-1)*maxItems
+			if laterShardsNeedAllItems || isFull && !laterShardsWouldExceedLimit {
 				shards = append(shards, Shard{start, index})
 				assignedTokens += shardTokens
 				start = index
@@ -57,8 +56,8 @@
 	return shards
 }
 
-// shardCount returns the least number of shards that keeps the limits. It is bounded by Limits.Shards and by
-// the number of items, even if the other limits are then exceeded.
+// shardCount returns the minimum number of shards that satisfies the limits. It is at most Limits.Shards
+// and the number of items, even if the other limits are then exceeded.
 func shardCount(items int, totalTokens float64, limits Limits) int {
 	count := 1
 	if limits.ShardTokens > 0 {
@@ -75,8 +74,8 @@
 	return count
 }
 
-// maxShardItems returns the most items that a shard may have: the limit, or more if count shards could not hold
-// all items otherwise.
+// maxShardItems returns the maximum number of items of a shard: the limit, or more if count shards could
+// not hold all items otherwise.
 func maxShardItems(items, count int, limits Limits) int {
 	if limits.ShardItems <= 0 {
 		return items
--- a/control/scatter/scatter_test.go
+++ b/control/scatter/scatter_test.go
@@ -8,8 +8,8 @@
 	_ "martenlock/internal/proptest"
 )
 
-// TestPlanCoversItemsWithinLimits: shards cover the items once and in order, keep the limits wherever they can
-// be kept, are of similar size, and are split only by a limit.
+// TestPlanCoversItemsWithinLimits: shards cover each item once and in order, satisfy the limits where
+// possible, and are of similar size. A request is split only if a limit requires it.
 func TestPlanCoversItemsWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		itemTokens := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 300).Draw(t, "tokens")
@@ -23,7 +23,7 @@
 
 		checkCover(t, shards, len(itemTokens))
 		checkLimits(t, shards, len(itemTokens), limits)
-		if limits.ShardItems == 0 { // the limit on items may force uneven shards
+		if limits.ShardItems == 0 { // a limit on items may require shards of different size
 			checkEven(t, shards, itemTokens)
 		}
 	})
@@ -34,33 +34,33 @@
 	covered := 0
 	for _, shard := range shards {
 		if shard.From != covered || shard.To <= shard.From {
-			t.Fatalf("shard %v after item %d", shard, covered)
+			t.Fatalf("shard %v, want it to start at item %d and not to be empty", shard, covered)
 		}
 		covered = shard.To
 	}
 	if covered != items {
-		t.Fatalf("%d of %d items", covered, items)
+		t.Fatalf("the shards cover %d of %d items", covered, items)
 	}
 }
 
-// checkLimits checks the numbers of shards and of items in each.
+// checkLimits checks the number of shards and the number of items of each shard.
 func checkLimits(t *rapid.T, shards []Shard, items int, limits Limits) {
 	canKeepItemLimit := limits.ShardItems > 0 &&
 		(limits.Shards == 0 || (items+limits.ShardItems-1)/limits.ShardItems <= limits.Shards)
 	for _, shard := range shards {
 		if shardItems := shard.To - shard.From; canKeepItemLimit && shardItems > limits.ShardItems {
-			t.Fatalf("shard %v of %d items, %d at most, in %v", shard, shardItems, limits.ShardItems, shards)
+			t.Fatalf("shard %v has %d items, want at most %d, in %v", shard, shardItems, limits.ShardItems, shards)
 		}
 	}
 	if limits.Shards > 0 && len(shards) > limits.Shards {
-		t.Fatalf("%d shards, %d at most", len(shards), limits.Shards)
+		t.Fatalf("%d shards, want at most %d", len(shards), limits.Shards)
 	}
 	if limits.ShardTokens == 0 && limits.ShardItems == 0 && len(shards) != 1 {
-		t.Fatalf("split without need: %v", shards)
+		t.Fatalf("split without a limit that requires it: %v", shards)
 	}
 }
 
-// checkEven checks that no shard has much more tokens than the mean.
+// checkEven checks that no shard has many more tokens than the mean.
 func checkEven(t *rapid.T, shards []Shard, itemTokens []float64) {
 	totalTokens, largestShard, largestItem := 0.0, 0.0, 0.0
 	for _, shard := range shards {
@@ -73,6 +73,7 @@
 		largestShard = max(largestShard, shardTokens)
 	}
 	if largestShard > totalTokens/float64(len(shards))+2*largestItem+1e-6 {
-		t.Fatalf("largest shard %v of %v in %d, largest item %v", largestShard, totalTokens, len(shards), largestItem)
+		t.Fatalf("the largest shard has %v of %v tokens in %d shards, the largest item %v",
+			largestShard, totalTokens, len(shards), largestItem)
 	}
 }
