--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -61,8 +61,8 @@
 	UnitServed UnitOutcome = iota // served
 	// UnitNotServed is the outcome of a unit that was rejected or failed.
 	UnitNotServed // not served
-	// UnitCancelled is the outcome of a unit that the client or the router cancelled. It does
-	// not count in the measured throughput.
+	// UnitCancelled is the outcome of a unit that the client or the router cancelled. It does not count in
+	// the measured throughput.
 	UnitCancelled // cancelled
 )
 
--- a/control/admission/queue_test.go
+++ b/control/admission/queue_test.go
@@ -15,7 +15,7 @@
 
 const second = time.Second
 
-// at returns the time that is elapsed after the start of a test.
+// at returns the start of a test plus elapsed.
 func at(elapsed time.Duration) control.Time { return control.Time(1e12).Add(elapsed) }
 
 func unitsOf(count int, tokens float64) []float64 { return slices.Repeat([]float64{tokens}, count) }
@@ -368,7 +368,7 @@
 		}
 	}
 	if !slices.Equal(order, []RequestID{1, 3, 2}) {
-		t.Errorf("requests were admitted in the order %v", order)
+		t.Errorf("requests were admitted in the order %v, want 1, 3, 2", order)
 	}
 }
 
@@ -405,7 +405,7 @@
 	}
 	s.run(s.now + 9*second)
 	if len(s.rejected) > 0 {
-		t.Errorf("rejected: %v", s.rejected)
+		t.Errorf("rejected: %v, want none", s.rejected)
 	}
 
 	// An accepted request is rejected when the endpoints become ten times slower.
@@ -439,7 +439,7 @@
 	s.enqueue(1, 1, 1000, 1000, time.Hour)
 	s.run(second)
 	if len(s.outstanding) != 8 {
-		t.Errorf("%d of 8 endpoints have a unit", len(s.outstanding))
+		t.Errorf("%d of 8 endpoints have a unit, want all", len(s.outstanding))
 	}
 
 	for range 100 {
@@ -447,7 +447,7 @@
 		s.run(s.now + 20*time.Millisecond)
 	}
 	if len(s.outstanding) != 1 {
-		t.Errorf("%d units outstanding while small requests are late", len(s.outstanding))
+		t.Errorf("%d units outstanding while small requests are late, want 1", len(s.outstanding))
 	}
 
 	for range 50 {
@@ -455,7 +455,7 @@
 	}
 	s.run(s.now + second/2)
 	if len(s.outstanding) != 8 {
-		t.Errorf("%d of 8 endpoints have a unit after small requests were on time again", len(s.outstanding))
+		t.Errorf("%d of 8 endpoints have a unit while small requests are on time, want all", len(s.outstanding))
 	}
 }
 
@@ -516,8 +516,8 @@
 		s.enqueue(RequestID(i+2), uint64(i+1), 1, 1000, time.Hour)
 		s.run(s.now + 5*time.Millisecond)
 	}
-	if n := len(s.queue.tenants); n > 5*softMaxTenants {
-		t.Errorf("%d tenants are known, want at most %d", n, 5*softMaxTenants)
+	if known := len(s.queue.tenants); known > 5*softMaxTenants {
+		t.Errorf("%d tenants are known, want at most %d", known, 5*softMaxTenants)
 	}
 }
 
--- a/control/batching/batching.go
+++ b/control/batching/batching.go
@@ -98,8 +98,8 @@
 
 // MayBatch reports whether requests of a class may share a batch. This requires that each request can be
 // retried by itself after the batch has failed.
-func MayBatch(class control.Class, attempts int) bool {
-	return class.Idempotency == control.Idempotent && attempts > 1
+func MayBatch(class control.Class, maxAttempts int) bool {
+	return class.Idempotency == control.Idempotent && maxAttempts > 1
 }
 
 // MayBeRequestFault reports whether a request of the batch may be the cause of an attempt's result.
--- a/control/coalesce/coalesce_test.go
+++ b/control/coalesce/coalesce_test.go
@@ -91,12 +91,12 @@
 	m.lastID++
 	added := &expectedRequest{key: Key{byte(rapid.IntRange(0, 2).Draw(m.t, "key"))}}
 	added.deadline = m.now + control.Time(rapid.IntRange(1, 50).Draw(m.t, "timeout"))
-	_, isComputed := m.leaderOf(added.key)
+	_, hasLeader := m.leaderOf(added.key)
 	m.requests[m.lastID] = added
-	if m.group.Add(added.key, m.lastID, added.deadline) == isComputed {
-		m.t.Fatalf("request %d is a leader: %v; its key had a leader: %v", m.lastID, !isComputed, isComputed)
+	if m.group.Add(added.key, m.lastID, added.deadline) == hasLeader {
+		m.t.Fatalf("request %d is a leader: %v; its key had a leader: %v", m.lastID, !hasLeader, hasLeader)
 	}
-	if !isComputed {
+	if !hasLeader {
 		m.recordLeader(m.lastID)
 	}
 }
@@ -173,7 +173,7 @@
 }
 
 // TestEachRequestEndsOnce: for any sequence of events each request ends once, and a follower no later than
-// at its deadline. At most one request of a key is computed at a time. A failure of the leader ends all
+// at its deadline. At most one request of a key is computed at a time. The failure of a leader also ends its
 // followers. No state is left when all requests have ended.
 func TestEachRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/control/connlimit/descriptors_test.go
+++ b/control/connlimit/descriptors_test.go
@@ -13,7 +13,7 @@
 		{10, 8, 1},
 	} {
 		if got := MaxClients(c.configured, c.descriptors); got != c.want {
-			t.Errorf("%+v: got %d", c, got)
+			t.Errorf("MaxClients(%d, %d) = %d, want %d", c.configured, c.descriptors, got, c.want)
 		}
 	}
 }
@@ -24,10 +24,10 @@
 	for descriptors := range 2000 {
 		budget := SplitDescriptors(descriptors)
 		if budget.Clients < 1 || budget.Engines < 1 || budget.Clients < budget.Engines || budget.Clients > budget.Engines+1 {
-			t.Fatalf("%d descriptors: %+v", descriptors, budget)
+			t.Fatalf("%d descriptors: %+v, want an even split", descriptors, budget)
 		}
 		if descriptors >= 42 && budget.Clients+budget.Engines+40 != descriptors {
-			t.Fatalf("%d descriptors: %+v and 40 reserved descriptors do not add up", descriptors, budget)
+			t.Fatalf("%d descriptors: %+v and 40 reserved descriptors do not add up to it", descriptors, budget)
 		}
 		if limit := AcceptLimit(budget.Clients); limit != budget.Clients+20 {
 			t.Fatalf("AcceptLimit(%d) = %d, want 20 more", budget.Clients, limit)
--- a/control/connreuse/connreuse_test.go
+++ b/control/connreuse/connreuse_test.go
@@ -34,7 +34,7 @@
 	}
 
 	if sent < 800 || lost > 15 || lost < 2 {
-		t.Errorf("%d requests sent on reused connections, %d lost", sent, lost)
+		t.Errorf("%d requests sent on reused connections, %d lost; want at least 800 and 2 to 15", sent, lost)
 	}
 	if !policy.MayReuse(at(now), 500*ms, true) || policy.MayReuse(at(now), 3*time.Second, false) {
 		t.Error("want reuse after 500 ms and no reuse after 3 s")
--- a/control/kvrelease/endpoints.go
+++ b/control/kvrelease/endpoints.go
@@ -36,15 +36,15 @@
 	return found
 }
 
-// recordResponse records a response of a listed engine. It ignores other engines, because the entry of a
-// response that arrives after its engine was removed would never be deleted.
+// recordResponse records a response of a listed engine. It ignores late responses of engines that are no
+// longer listed, because their entries would never be deleted.
 func (t *endpointTable) recordResponse(now control.Time, id control.EndpointID) {
 	if t.isListed(id) {
 		t.lastResponse[id] = now
 	}
 }
 
-// recordFailure records a failure of a listed engine. Like recordResponse, it ignores other engines.
+// recordFailure records a failure of a listed engine. Like recordResponse, it ignores all other engines.
 func (t *endpointTable) recordFailure(now control.Time, id control.EndpointID) {
 	if t.isListed(id) {
 		t.lastFailure[id] = now
--- a/control/kvrelease/kvrelease.go
+++ b/control/kvrelease/kvrelease.go
@@ -22,8 +22,8 @@
 	hedgeShare = 0.12
 	// callTimeoutShare is the time-out of a call, as a fraction of the retention limit.
 	callTimeoutShare = 0.25
-	// minDelay is the minimum of the delay before the next call, of the time-out of a call and of the
-	// retention limit.
+	// minDelay is the lower bound of the retention limit, of the delay before the next call and of the
+	// time-out of a call.
 	minDelay = 20 * time.Millisecond
 
 	// maxAgeMultiple is the age at which a release is dropped, as a multiple of the retention limit. By
@@ -110,7 +110,7 @@
 	return true
 }
 
-// drop abandons a release and counts it.
+// drop removes a release and counts it as dropped.
 func (s *Scheduler) drop(release *pendingRelease) {
 	s.remove(release)
 	s.dropped++
--- a/control/kvrelease/kvrelease_test.go
+++ b/control/kvrelease/kvrelease_test.go
@@ -83,7 +83,8 @@
 	}
 
 	if calls < 20 || calls > 600 || scheduler.Len() != 0 || scheduler.Dropped() != 1 {
-		t.Errorf("%d calls, %d pending, %d dropped", calls, scheduler.Len(), scheduler.Dropped())
+		t.Errorf("%d calls, %d pending, %d dropped; want 20 to 600 calls, none pending, 1 dropped",
+			calls, scheduler.Len(), scheduler.Dropped())
 	}
 }
 
@@ -95,7 +96,7 @@
 		scheduler.Enqueue(at(0), fmt.Sprint(i))
 	}
 	if scheduler.Len() != MaxPending || scheduler.Dropped() != 10 {
-		t.Errorf("%d pending, %d dropped", scheduler.Len(), scheduler.Dropped())
+		t.Errorf("%d pending, %d dropped; want %d and 10", scheduler.Len(), scheduler.Dropped(), MaxPending)
 	}
 
 	if !scheduler.Withdraw("10") || scheduler.Withdraw("10") {
@@ -109,13 +110,13 @@
 	scheduler.SetEndpoints(listed)
 	calls := scheduler.Poll(at(0))
 	if len(calls) != maxCalls || calls[0].Key != "11" {
-		t.Errorf("%d calls, the first for release %s", len(calls), calls[0].Key)
+		t.Errorf("%d calls, the first for release %s; want %d and 11", len(calls), calls[0].Key, maxCalls)
 	}
 	callsByEngine := map[control.EndpointID]int{}
 	for _, call := range calls {
 		callsByEngine[call.Endpoint]++
 		if callsByEngine[call.Endpoint] > 4 { // limits the releases that an unresponsive engine delays
-			t.Errorf("%d calls to engine %d", callsByEngine[call.Endpoint], call.Endpoint)
+			t.Errorf("%d calls to engine %d, want at most 4", callsByEngine[call.Endpoint], call.Endpoint)
 		}
 	}
 
@@ -126,8 +127,8 @@
 		scheduler.RecordFailure(at(0), id)
 		scheduler.RecordResponse(at(0), id-1)
 	}
-	if n := len(scheduler.endpoints.lastResponse) + len(scheduler.endpoints.lastFailure); n > 4 {
-		t.Errorf("%d recorded responses and failures for two engines", n)
+	if entries := len(scheduler.endpoints.lastResponse) + len(scheduler.endpoints.lastFailure); entries > 4 {
+		t.Errorf("%d recorded responses and failures for two engines, want at most 4", entries)
 	}
 }
 
--- a/control/scatter/gather_test.go
+++ b/control/scatter/gather_test.go
@@ -51,7 +51,7 @@
 	}
 	m.decided = true
 	if len(m.gather.Outstanding()) != outstanding-1 {
-		m.t.Fatalf("%d shards to cancel after a shard of %d outstanding ones ended",
+		m.t.Fatalf("%d shards are outstanding after the end of one of %d",
 			len(m.gather.Outstanding()), outstanding)
 	}
 	m.checkDecision(decision, result)
