--- a/control/admission/limits_test.go
+++ b/control/admission/limits_test.go
@@ -56,7 +56,8 @@
 		{1, 601, 600, true},
 		{1, 599, 600, false},
 	} {
-		if limit, neverFits := limits.NeverFits(&estimator, c.prompt, c.answer); neverFits != c.neverFits || limit != c.limit {
+		limit, neverFits := limits.NeverFits(&estimator, c.prompt, c.answer)
+		if neverFits != c.neverFits || limit != c.limit {
 			t.Errorf("%+v: got limit %v, never fits %v", c, limit, neverFits)
 		}
 	}
@@ -68,7 +69,10 @@
 		{[]EndpointCapacity{{control.RolePrefill, 1000}, {control.RoleDecode, 300}}, 599, 0, 300, false},
 		{[]EndpointCapacity{{control.RolePrefill, 1000}, {control.RoleDecode, 300}}, 601, 0, 300, true},
 		{[]EndpointCapacity{{control.RolePrefill, 100}, {control.RoleDecode, 300}}, 201, 0, 100, true},
-		{[]EndpointCapacity{{control.RolePrefill, 100}, {control.RoleDecode, 300}, {control.RoleColocated, 0}}, 1e9, 0, math.Inf(1), false},
+		{
+			[]EndpointCapacity{{control.RolePrefill, 100}, {control.RoleDecode, 300}, {control.RoleColocated, 0}},
+			1e9, 0, math.Inf(1), false,
+		},
 		{[]EndpointCapacity{{control.RoleColocated, 100}, {control.RoleColocated, 400}}, 700, 40, 400, false},
 		{[]EndpointCapacity{{control.RoleColocated, 100}, {control.RoleColocated, 400}}, 700, 60, 400, true},
 	} {
--- a/control/admission/queue_test.go
+++ b/control/admission/queue_test.go
@@ -90,7 +90,9 @@
 }
 
 // enqueue offers a request of equal units to the queue and reports whether it was accepted.
-func (s *simulation) enqueue(id RequestID, tenant uint64, units int, tokens float64, timeout time.Duration) bool {
+func (s *simulation) enqueue(
+	id RequestID, tenant uint64, units int, tokens float64, timeout time.Duration,
+) bool {
 	_, rejected := s.queue.Enqueue(at(s.now), Request{id, tenant, unitsOf(units, tokens), at(s.now + timeout)})
 	return !rejected
 }
@@ -467,7 +469,11 @@
 	s.run(3 * second)
 
 	for id := RequestID(2); id < 80; id++ { // its units take 200 ms each and are cancelled after 100 ms
-		s.queue.ObserveSmall(at(s.now), SmallRequest{Elapsed: second, Objective: second, ClientTimeout: 50 * time.Millisecond})
+		s.queue.ObserveSmall(at(s.now), SmallRequest{
+			Elapsed:       second,
+			Objective:     second,
+			ClientTimeout: 50 * time.Millisecond,
+		})
 		s.enqueue(id, 1, 2, 2000, time.Hour)
 		s.run(s.now + 100*time.Millisecond)
 		s.cancel(id)
--- a/control/batching/batcher_test.go
+++ b/control/batching/batcher_test.go
@@ -203,7 +203,8 @@
 // checkEmpty checks that the batcher has no state left.
 func (m *model) checkEmpty() {
 	batcher := m.batcher
-	if batcher.Len() != 0 || len(batcher.queues) != 0 || len(batcher.batches) != 0 || batcher.deadlines.Len() != 0 {
+	if batcher.Len() != 0 || len(batcher.queues) != 0 ||
+		len(batcher.batches) != 0 || batcher.deadlines.Len() != 0 {
 		m.t.Fatalf("left: %d requests, %d queues, %d batches, %d deadlines",
 			batcher.Len(), len(batcher.queues), len(batcher.batches), batcher.deadlines.Len())
 	}
--- a/control/batching/example_test.go
+++ b/control/batching/example_test.go
@@ -12,12 +12,22 @@
 // With one endpoint, the first request is sent at once. The two that arrive before it ends share the next
 // batch.
 func Example() {
-	batcher := batching.NewBatcher(batching.Settings{BatchTokens: 1000, BatchItems: 8, MaxWait: 20 * time.Millisecond})
+	batcher := batching.NewBatcher(batching.Settings{
+		BatchTokens: 1000,
+		BatchItems:  8,
+		MaxWait:     20 * time.Millisecond,
+	})
 	batcher.SetReadyEndpoints(1)
 	now := control.Time(0)
 	deadline := now.Add(time.Second)
 	for id := range batching.RequestID(3) {
-		batcher.Enqueue(now, batching.Key{}, batching.Request{ID: id, Items: 1, Tokens: 10, Objective: deadline, Deadline: deadline})
+		batcher.Enqueue(now, batching.Key{}, batching.Request{
+			ID:        id,
+			Items:     1,
+			Tokens:    10,
+			Objective: deadline,
+			Deadline:  deadline,
+		})
 		for _, batch := range batcher.Poll(now).Batches {
 			fmt.Println("batch", batch.ID, "of requests", batch.Requests)
 		}
--- a/control/batching/sequentialretry_test.go
+++ b/control/batching/sequentialretry_test.go
@@ -27,7 +27,8 @@
 				outstanding[id] = true
 			}
 			remaining := count - len(ended)
-			if len(outstanding) == 0 || !causeFound && len(outstanding) > 1 || causeFound && len(outstanding) < remaining {
+			if len(outstanding) == 0 || !causeFound && len(outstanding) > 1 ||
+				causeFound && len(outstanding) < remaining {
 				t.Fatalf("%d of %d remaining requests are outstanding, cause found: %v",
 					len(outstanding), remaining, causeFound)
 			}
--- a/control/connlimit/descriptors_test.go
+++ b/control/connlimit/descriptors_test.go
@@ -23,7 +23,8 @@
 func TestSplitDescriptorsStaysWithinTheLimit(t *testing.T) {
 	for descriptors := range 2000 {
 		budget := SplitDescriptors(descriptors)
-		if budget.Clients < 1 || budget.Engines < 1 || budget.Clients < budget.Engines || budget.Clients > budget.Engines+1 {
+		if budget.Clients < 1 || budget.Engines < 1 ||
+			budget.Clients < budget.Engines || budget.Clients > budget.Engines+1 {
 			t.Fatalf("%d descriptors: %+v, want an even split", descriptors, budget)
 		}
 		if descriptors >= 42 && budget.Clients+budget.Engines+40 != descriptors {
--- a/control/membership/example_test.go
+++ b/control/membership/example_test.go
@@ -17,13 +17,21 @@
 	}
 	const now = control.Time(1_000_000)
 	var view membership.View
-	current := membership.Update{Revision: 7, Complete: true, Endpoints: []membership.Endpoint{endpoint(1, control.Ready)}}
+	current := membership.Update{
+		Revision:  7,
+		Complete:  true,
+		Endpoints: []membership.Endpoint{endpoint(1, control.Ready)},
+	}
 	if _, err := view.Apply(now, current); err != nil {
 		fmt.Println(err)
 	}
 
 	// A stale complete list with another endpoint changes nothing at first.
-	stale := membership.Update{Revision: 3, Complete: true, Endpoints: []membership.Endpoint{endpoint(2, control.Ready)}}
+	stale := membership.Update{
+		Revision:  3,
+		Complete:  true,
+		Endpoints: []membership.Endpoint{endpoint(2, control.Ready)},
+	}
 	change, err := view.Apply(now, stale)
 	fmt.Println("unchanged:", change.IsEmpty(), err)
 
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -11,10 +11,15 @@
 )
 
 func newEndpoint(id control.EndpointID, state control.EndpointState) Endpoint {
-	return Endpoint{Endpoint: control.Endpoint{ID: id, State: state}, Addr: netip.MustParseAddrPort("127.0.0.1:80")}
+	return Endpoint{
+		Endpoint: control.Endpoint{ID: id, State: state},
+		Addr:     netip.MustParseAddrPort("127.0.0.1:80"),
+	}
 }
 
-func newEndpointStartedAt(id control.EndpointID, state control.EndpointState, startedAt control.Time) Endpoint {
+func newEndpointStartedAt(
+	id control.EndpointID, state control.EndpointState, startedAt control.Time,
+) Endpoint {
 	endpoint := newEndpoint(id, state)
 	endpoint.StartedAt = startedAt
 	return endpoint
@@ -55,23 +60,109 @@
 		changes bool
 		ready   []control.EndpointID
 	}{
-		{"the first list", 0, Update{4, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(2, control.Ready)}}, true, []control.EndpointID{1, 2}},
+		{
+			"the first list", 0,
+			Update{4, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(2, control.Ready)}},
+			true,
+			[]control.EndpointID{1, 2},
+		},
 		{"an empty change", 0, Update{4, false, nil}, false, []control.EndpointID{1, 2}},
-		{"a change", 1, Update{5, false, []Endpoint{newEndpoint(1, control.Draining), newEndpoint(3, control.Ready)}}, true, []control.EndpointID{2, 3}},
-		{"a stale change adds nothing", 2, Update{4, false, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(9, control.Ready)}}, false, []control.EndpointID{2, 3}},
-		{"a stale change ends", 2, Update{4, false, []Endpoint{newEndpoint(3, control.Draining)}}, true, []control.EndpointID{2}},
-		{"an endpoint is gone", 3, Update{6, false, []Endpoint{newEndpoint(3, control.Gone)}}, true, []control.EndpointID{2}},
-		{"a stale list", 4, Update{2, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(3, control.Ready), newEndpoint(4, control.Ready)}}, false, []control.EndpointID{2}},
-		{"the stale list is not accepted early", 4 + StaleAcceptDelay - 1000, Update{Revision: pollOnly}, false, []control.EndpointID{2}},
-		{"a later revision arrives", 4 + StaleAcceptDelay - 1000, Update{7, false, nil}, false, []control.EndpointID{2}},
-		{"the stale list was dropped", 4 + StaleAcceptDelay, Update{Revision: pollOnly}, false, []control.EndpointID{2}},
-		{"a stale list again", 5 * time.Second, Update{2, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(3, control.Ready), newEndpoint(4, control.Ready)}}, false, []control.EndpointID{2}},
-		{"the stale list again, before it is accepted", 5*time.Second + StaleAcceptDelay/2, Update{2, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(3, control.Ready), newEndpoint(4, control.Ready)}}, false, []control.EndpointID{2}},
-		{"the stale list is accepted, except for ended endpoints", 5*time.Second + StaleAcceptDelay, Update{Revision: pollOnly}, true, []control.EndpointID{4}},
-		{"a revision after the accepted one", 6 * time.Second, Update{3, false, []Endpoint{newEndpoint(5, control.Ready)}}, true, []control.EndpointID{4, 5}},
-		{"a stale list for the third time", 7 * time.Second, Update{2, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(4, control.Ready)}}, false, []control.EndpointID{4, 5}},
-		{"it is accepted, except for ended endpoints", 7*time.Second + StaleAcceptDelay, Update{Revision: pollOnly}, true, []control.EndpointID{4}},
-		{"it is accepted in full after EndedRetention", 7*time.Second + EndedRetention, Update{Revision: pollOnly}, true, []control.EndpointID{1, 4}},
+		{
+			"a change", 1,
+			Update{5, false, []Endpoint{newEndpoint(1, control.Draining), newEndpoint(3, control.Ready)}},
+			true,
+			[]control.EndpointID{2, 3},
+		},
+		{
+			"a stale change adds nothing", 2,
+			Update{4, false, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(9, control.Ready)}},
+			false,
+			[]control.EndpointID{2, 3},
+		},
+		{
+			"a stale change ends", 2,
+			Update{4, false, []Endpoint{newEndpoint(3, control.Draining)}},
+			true,
+			[]control.EndpointID{2},
+		},
+		{
+			"an endpoint is gone", 3,
+			Update{6, false, []Endpoint{newEndpoint(3, control.Gone)}},
+			true,
+			[]control.EndpointID{2},
+		},
+		{
+			"a stale list", 4,
+			Update{2, true, []Endpoint{
+				newEndpoint(1, control.Ready), newEndpoint(3, control.Ready), newEndpoint(4, control.Ready),
+			}},
+			false,
+			[]control.EndpointID{2},
+		},
+		{
+			"the stale list is not accepted early", 4 + StaleAcceptDelay - 1000,
+			Update{Revision: pollOnly},
+			false,
+			[]control.EndpointID{2},
+		},
+		{
+			"a later revision arrives", 4 + StaleAcceptDelay - 1000,
+			Update{7, false, nil},
+			false,
+			[]control.EndpointID{2},
+		},
+		{
+			"the stale list was dropped", 4 + StaleAcceptDelay,
+			Update{Revision: pollOnly},
+			false,
+			[]control.EndpointID{2},
+		},
+		{
+			"a stale list again", 5 * time.Second,
+			Update{2, true, []Endpoint{
+				newEndpoint(1, control.Ready), newEndpoint(3, control.Ready), newEndpoint(4, control.Ready),
+			}},
+			false,
+			[]control.EndpointID{2},
+		},
+		{
+			"the stale list again, before it is accepted", 5*time.Second + StaleAcceptDelay/2,
+			Update{2, true, []Endpoint{
+				newEndpoint(1, control.Ready), newEndpoint(3, control.Ready), newEndpoint(4, control.Ready),
+			}},
+			false,
+			[]control.EndpointID{2},
+		},
+		{
+			"the stale list is accepted, except for ended endpoints", 5*time.Second + StaleAcceptDelay,
+			Update{Revision: pollOnly},
+			true,
+			[]control.EndpointID{4},
+		},
+		{
+			"a revision after the accepted one", 6 * time.Second,
+			Update{3, false, []Endpoint{newEndpoint(5, control.Ready)}},
+			true,
+			[]control.EndpointID{4, 5},
+		},
+		{
+			"a stale list for the third time", 7 * time.Second,
+			Update{2, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(4, control.Ready)}},
+			false,
+			[]control.EndpointID{4, 5},
+		},
+		{
+			"it is accepted, except for ended endpoints", 7*time.Second + StaleAcceptDelay,
+			Update{Revision: pollOnly},
+			true,
+			[]control.EndpointID{4},
+		},
+		{
+			"it is accepted in full after EndedRetention", 7*time.Second + EndedRetention,
+			Update{Revision: pollOnly},
+			true,
+			[]control.EndpointID{1, 4},
+		},
 		{"an empty complete list", 30 * time.Second, Update{3, true, nil}, true, nil},
 	}
 	for _, step := range steps {
@@ -97,9 +188,15 @@
 // started again since, whether the end or the new start is in a stale list.
 func TestRestartedEndpointIsReadyDespiteItsEarlierEnd(t *testing.T) {
 	var view View
-	apply(t, &view, 1, Update{5, true, []Endpoint{newEndpointStartedAt(1, control.Draining, 10), newEndpointStartedAt(2, control.Ready, 20)}})
+	apply(t, &view, 1, Update{5, true, []Endpoint{
+		newEndpointStartedAt(1, control.Draining, 10),
+		newEndpointStartedAt(2, control.Ready, 20),
+	}})
 
-	change := apply(t, &view, 2, Update{4, true, []Endpoint{newEndpointStartedAt(1, control.Ready, 30), newEndpointStartedAt(2, control.Draining, 10)}})
+	change := apply(t, &view, 2, Update{4, true, []Endpoint{
+		newEndpointStartedAt(1, control.Ready, 30),
+		newEndpointStartedAt(2, control.Draining, 10),
+	}})
 	if !change.IsEmpty() {
 		t.Error("the end of an earlier start ended a restarted endpoint")
 	}
@@ -124,7 +221,8 @@
 	}})
 
 	endpoint, _ := view.Get(1)
-	if len(change.Endpoints) != 1 || endpoint.State != control.Draining || endpoint.Kind != 1 || endpoint.Cell != 7 || endpoint.Addr != listed.Addr {
+	if len(change.Endpoints) != 1 || endpoint.State != control.Draining ||
+		endpoint.Kind != 1 || endpoint.Cell != 7 || endpoint.Addr != listed.Addr {
 		t.Errorf("change %+v, endpoint %+v", change, endpoint)
 	}
 }
@@ -134,10 +232,14 @@
 func TestLaterEntryForAnEndpointCounts(t *testing.T) {
 	var view View
 
-	change := apply(t, &view, 1, Update{1, true, []Endpoint{newEndpoint(1, control.Ready), newEndpoint(1, control.Draining)}})
+	change := apply(t, &view, 1, Update{1, true, []Endpoint{
+		newEndpoint(1, control.Ready),
+		newEndpoint(1, control.Draining),
+	}})
 
 	endpoint, _ := view.Get(1)
-	if endpoint.State != control.Draining || len(change.Endpoints) != 1 || change.Endpoints[0].State != control.Draining {
+	if endpoint.State != control.Draining ||
+		len(change.Endpoints) != 1 || change.Endpoints[0].State != control.Draining {
 		t.Errorf("change %+v, endpoint %+v", change, endpoint)
 	}
 }
--- a/control/membership/replace.go
+++ b/control/membership/replace.go
@@ -80,6 +80,8 @@
 
 // add adds an endpoint to the change. It replaces an earlier entry for the same endpoint.
 func (c *Change) add(endpoint control.Endpoint) {
-	c.Endpoints = slices.DeleteFunc(c.Endpoints, func(other control.Endpoint) bool { return other.ID == endpoint.ID })
+	c.Endpoints = slices.DeleteFunc(c.Endpoints, func(other control.Endpoint) bool {
+		return other.ID == endpoint.ID
+	})
 	c.Endpoints = append(c.Endpoints, endpoint)
 }
