--- a/internal/openai/check.go
+++ b/internal/openai/check.go
@@ -11,7 +11,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// Reasons of a ResponseError.
+// Reasons that a ResponseError wraps.
 var (
 	ErrInvalidJSON    = errors.New("response is not valid JSON")
 	ErrNoResultList   = errors.New("list of results is missing")
@@ -25,9 +25,9 @@
 	ErrDimensionCount = errors.New("wrong number of dimensions")
 )
 
-// ResponseError reports an engine's response that must not be passed on to a client.
+// ResponseError describes why an engine's response is invalid. The response must not be passed on to a client.
 type ResponseError struct {
-	Field string // JSON path, such as "data[3].embedding"; "" for the response as a whole
+	Field string // JSON path, such as "data[3].embedding"; "" for the whole response
 	Err   error  // wraps one of the reasons above
 }
 
@@ -42,16 +42,16 @@
 // Unwrap returns the reason.
 func (e *ResponseError) Unwrap() error { return e.Err }
 
-// bytesPerFloat is the size of one element of an embedding in base64, in bytes.
+// bytesPerFloat is the size in bytes of one element of a base64 embedding after decoding.
 const bytesPerFloat = 4
 
 // HasCheckedResponse reports whether CheckResponse examines responses to the request.
 func (r *Request) HasCheckedResponse() bool { return r.API.HasOneStage() }
 
-// CheckResponse checks an engine's response to an embeddings or rerank request. It returns a
-// *ResponseError if a result is missing, is not a finite number, belongs to no item, or if an
-// embedding differs in length from the others or from the requested one. Responses of other
-// operations are not examined.
+// CheckResponse checks an engine's response to an embeddings or rerank request. There must be one
+// result for each item, or top_n results of a rerank request. Scores and elements of embeddings must
+// be finite. All embeddings must have the same length, and the requested one if the request has
+// dimensions. If not, it returns a *ResponseError. It does not examine responses of other operations.
 func (r *Request) CheckResponse(body []byte) error {
 	if !r.HasCheckedResponse() {
 		return nil
@@ -67,21 +67,22 @@
 	checker := resultChecker{api: r.API, seen: make([]bool, r.ItemCount), dimensions: r.Dimensions}
 	var err error
 	list.ForEach(func(_, result gjson.Result) bool {
-		err = checker.check(result)
+		err = checker.checkResult(result)
 		return err == nil
 	})
 	if err != nil {
 		return err
 	}
-	want := r.wantedResults()
-	if checker.checked != want {
-		return &ResponseError{Field: name, Err: fmt.Errorf("%w: %d, want %d", ErrResultCount, checker.checked, want)}
+	want := r.expectedResultCount()
+	if checker.checkedCount != want {
+		return &ResponseError{Field: name, Err: fmt.Errorf("%w: %d, want %d", ErrResultCount, checker.checkedCount, want)}
 	}
 	return nil
 }
 
-// wantedResults returns how many results a response must have.
-func (r *Request) wantedResults() int {
+// expectedResultCount returns the number of results that a response must have. A rerank request
+// limits it with top_n.
+func (r *Request) expectedResultCount() int {
 	if r.API == Rerank && r.TopN > 0 {
 		return min(r.TopN, r.ItemCount)
 	}
@@ -90,14 +91,14 @@
 
 // resultChecker checks the results of one response in order.
 type resultChecker struct {
-	api        API
-	seen       []bool // by index of the request's item
-	dimensions int    // requested, or else of the embeddings checked so far; 0 while unknown
-	checked    int    // results
+	api          API
+	seen         []bool // whether an item of the request has a result already, by the item's index
+	dimensions   int    // requested length of an embedding, or else length of the last one; 0 if neither is known
+	checkedCount int    // number of results checked so far
 }
 
-// check checks the next result. It returns a *ResponseError, or nil.
-func (c *resultChecker) check(result gjson.Result) error {
+// checkResult returns a *ResponseError if the next result is invalid.
+func (c *resultChecker) checkResult(result gjson.Result) error {
 	err := c.checkIndex(result.Get("index"))
 	if err != nil {
 		return err
@@ -107,17 +108,17 @@
 	} else {
 		err = c.checkEmbedding(result.Get("embedding"))
 	}
-	c.checked++
+	c.checkedCount++
 	return err
 }
 
-// memberError returns the error of a member of the current result.
+// memberError returns a *ResponseError for a member of the current result.
 func (c *resultChecker) memberError(member string, reason error) error {
-	field := fmt.Sprintf("%s[%d].%s", c.api.resultMember(), c.checked, member)
+	field := fmt.Sprintf("%s[%d].%s", c.api.resultMember(), c.checkedCount, member)
 	return &ResponseError{Field: field, Err: reason}
 }
 
-// checkIndex checks that the result belongs to an item that no earlier result belongs to.
+// checkIndex checks that the index is that of an item without an earlier result.
 func (c *resultChecker) checkIndex(value gjson.Result) error {
 	index, err := strconv.Atoi(value.Raw)
 	if err != nil || index < 0 || index >= len(c.seen) || c.seen[index] {
@@ -127,7 +128,6 @@
 	return nil
 }
 
-// checkScore checks the score of a rerank result.
 func (c *resultChecker) checkScore(score gjson.Result) error {
 	if !isFiniteNumber(score) {
 		return c.memberError("relevance_score", ErrNoScore)
@@ -135,7 +135,8 @@
 	return nil
 }
 
-// checkEmbedding checks the elements of an embedding and their number.
+// checkEmbedding checks that all elements of an embedding are finite and that it has the expected
+// length.
 func (c *resultChecker) checkEmbedding(embedding gjson.Result) error {
 	dimensions, err := countDimensions(embedding)
 	if err != nil {
@@ -151,7 +152,8 @@
 	return nil
 }
 
-// countDimensions returns the number of elements of an embedding in either encoding.
+// countDimensions returns the number of elements of an embedding, which is a list of numbers or a
+// base64 string.
 func countDimensions(embedding gjson.Result) (int, error) {
 	switch {
 	case embedding.Type == gjson.String:
@@ -162,7 +164,8 @@
 	return 0, ErrNoEmbedding
 }
 
-// countBase64Floats returns the number of 32-bit floats in base64. All must be finite.
+// countBase64Floats returns the number of 32-bit floats in a base64 string. It returns an error if
+// one of them is not finite.
 func countBase64Floats(text string) (int, error) {
 	raw, err := base64.StdEncoding.DecodeString(text)
 	if err != nil || len(raw)%bytesPerFloat != 0 {
@@ -178,7 +181,8 @@
 	return len(raw) / bytesPerFloat, nil
 }
 
-// countNumbers returns the number of elements of a list. All must be finite numbers.
+// countNumbers returns the number of elements of a list. It returns an error if one of them is not a
+// finite number.
 func countNumbers(list gjson.Result) (int, error) {
 	count := 0
 	var err error
--- a/internal/openai/embeddings.go
+++ b/internal/openai/embeddings.go
@@ -14,8 +14,8 @@
 
 // decodeEmbeddings decodes the members that only embeddings requests have.
 func (r *Request) decodeEmbeddings(fields *requestFields, options *DecodeOptions) *Error {
-	encoding, err := decodeString("encoding_format", fields.encoding)
-	isKnown := !isSet(fields.encoding) || encoding == encodingFloat || encoding == encodingBase64
+	encoding, err := decodeString("encoding_format", fields.encodingFormat)
+	isKnown := !isSet(fields.encodingFormat) || encoding == encodingFloat || encoding == encodingBase64
 	if err != nil || !isKnown {
 		return InvalidRequest("encoding_format", "encoding_format must be float or base64")
 	}
@@ -26,25 +26,25 @@
 	return r.decodeInputs("input", fields.input, options)
 }
 
-// inputKind is the type of one element of a list of inputs.
+// inputKind is the kind of an element of a list of inputs.
 type inputKind uint8
 
 const (
 	inputInvalid inputKind = iota // invalid
 	inputText                     // text
-	// inputToken means that the list as a whole is one input.
+	// inputToken is a token. The list as a whole is one input.
 	inputToken // token
-	// inputTokenList is a list of the tokens of one input.
+	// inputTokenList is a list of tokens, which is one input.
 	inputTokenList // token list
 )
 
-// invalidInputs returns the error of a member that is not a valid list of inputs.
-func invalidInputs(name string) *Error {
+// invalidInputsError returns the error for a member that decodeInputs does not accept.
+func invalidInputsError(name string) *Error {
 	return InvalidRequest(name, "%s must be a string, a list of strings, a list of tokens or a list of lists of tokens; none empty", name)
 }
 
-// decodeInputs decodes inputs in any of the published forms: a string, a list of strings, a list
-// of tokens, or a list of lists of tokens.
+// decodeInputs decodes a member that holds inputs: a string, a list of strings, a list of tokens, or
+// a list of lists of tokens.
 func (r *Request) decodeInputs(name string, value gjson.Result, options *DecodeOptions) *Error {
 	switch {
 	case value.Type == gjson.String && value.Str != "":
@@ -55,31 +55,31 @@
 	case value.IsArray():
 		return r.decodeInputList(name, value, options)
 	}
-	return invalidInputs(name)
+	return invalidInputsError(name)
 }
 
-// decodeInputList decodes a list of inputs, all of one kind.
+// decodeInputList decodes a list of inputs. All its elements must be of the same kind.
 func (r *Request) decodeInputList(name string, list gjson.Result, options *DecodeOptions) (err *Error) {
 	count := 0
 	listKind := inputInvalid
 	list.ForEach(func(_, input gjson.Result) bool {
 		kind, tokens := measureInput(input, options)
-		before := r.PromptTokens
+		earlierTokens := r.PromptTokens
 		r.PromptTokens += tokens
-		r.LongestItemTokens = max(r.LongestItemTokens, r.PromptTokens-before)
+		r.LongestItemTokens = max(r.LongestItemTokens, r.PromptTokens-earlierTokens)
 		count++
 		if count == 1 {
 			listKind = kind
 		}
 		if kind == inputInvalid || kind != listKind {
-			err = invalidInputs(name)
+			err = invalidInputsError(name)
 		} else if count > options.MaxInputs && listKind != inputToken {
 			err = InvalidRequest(name, "%s has more than %d items", name, options.MaxInputs)
 		}
 		return err == nil
 	})
 	if count == 0 {
-		return invalidInputs(name)
+		return invalidInputsError(name)
 	}
 	r.ItemCount = count
 	if listKind == inputToken {
@@ -89,7 +89,7 @@
 	return err
 }
 
-// measureInput returns the kind of one element of a list of inputs and its tokens.
+// measureInput returns the kind of an element of a list of inputs and its number of tokens.
 func measureInput(input gjson.Result, options *DecodeOptions) (kind inputKind, tokens float64) {
 	switch {
 	case input.Type == gjson.String && input.Str != "":
@@ -119,7 +119,7 @@
 	return count
 }
 
-// isToken reports whether value is a token, written as a number.
+// isToken reports whether value is a token, which is an unsigned 32-bit integer.
 func isToken(value gjson.Result) bool {
 	if value.Type != gjson.Number {
 		return false
--- a/internal/openai/embeddingsresponse.go
+++ b/internal/openai/embeddingsresponse.go
@@ -16,10 +16,11 @@
 	PromptTokens int64     // the input's share of the response's usage
 }
 
-// SplitResponse returns the results of an embeddings response that CheckResponse has accepted, in the
-// order of the request's inputs. The usage is divided in proportion to tokens, the estimates of the
-// inputs. The shares are whole numbers and add up to the response's usage.
-func (r *Request) SplitResponse(body []byte, tokens []float64) []EmbeddingResult {
+// SplitResponse splits an embeddings response that CheckResponse has accepted. It returns one result
+// for each input, in the order of the request. The prompt tokens of the response's usage are divided
+// in proportion to inputTokens, the estimated number of tokens of each input. The shares are whole
+// numbers and add up to the total.
+func (r *Request) SplitResponse(body []byte, inputTokens []float64) []EmbeddingResult {
 	results := make([]EmbeddingResult, r.ItemCount)
 	gjson.GetBytes(body, r.API.resultMember()).ForEach(func(_, result gjson.Result) bool {
 		i := int(result.Get("index").Int())
@@ -29,14 +30,15 @@
 		return true
 	})
 	promptTokens := gjson.GetBytes(body, "usage.prompt_tokens").Int()
-	for i, share := range splitByWeight(promptTokens, tokens) {
+	for i, share := range splitByWeight(promptTokens, inputTokens) {
 		results[i].PromptTokens = share
 	}
 	return results
 }
 
-// splitByWeight splits total in proportion to weights. It rounds the running sums, so the shares
-// add up to total and each is off by less than one.
+// splitByWeight splits total in proportion to weights. It rounds the running sums, so that the shares
+// add up to total and each differs by at most 1 from the exact share. If all weights are 0, the first
+// share is the whole total.
 func splitByWeight(total int64, weights []float64) []int64 {
 	sum := 0.0
 	for _, weight := range weights {
@@ -47,31 +49,32 @@
 	runningSum := 0.0
 	for i, weight := range weights {
 		runningSum += weight
-		upTo := total
+		cumulative := total
 		isLast := i == len(weights)-1
 		if !isLast && sum > 0 {
 			rounded := int64(float64(total)*runningSum/sum + 0.5)
-			upTo = min(rounded, total)
+			cumulative = min(rounded, total)
 		}
-		shares[i] = upTo - assigned
-		assigned = upTo
+		shares[i] = cumulative - assigned
+		assigned = cumulative
 	}
 	return shares
 }
 
-// Estimated sizes of what AssembleResponse writes, in bytes. They are generous, so that it mostly
-// allocates once.
+// Estimated sizes in bytes of parts of a response. They are high enough that AssembleResponse
+// usually allocates once.
 const (
-	responseBytes  = 200 // without the results
-	embeddingBytes = 60  // around each embedding
+	responseOverhead  = 200 // all but the results
+	embeddingOverhead = 60  // of each result, without the embedding itself
 )
 
-// AssembleResponse returns an embeddings response with the given embeddings and usage. Its other
-// members are copied from template, a response to a request with the same batch key.
+// AssembleResponse returns an embeddings response with the given embeddings and number of prompt
+// tokens. Its other members are copied from template, a response to a request with the same batch
+// key.
 func AssembleResponse(template []byte, embeddings []Embedding, promptTokens int64) []byte {
-	size := responseBytes
+	size := responseOverhead
 	for _, embedding := range embeddings {
-		size += len(embedding) + embeddingBytes
+		size += len(embedding) + embeddingOverhead
 	}
 	out := make([]byte, 0, size)
 	return appendObject(out, gjson.ParseBytes(template), func(out []byte, key string, value gjson.Result) []byte {
@@ -85,7 +88,7 @@
 	})
 }
 
-// appendTo appends the result of the input at index.
+// appendTo appends a result with the embedding of the input at index.
 func (e Embedding) appendTo(out []byte, index int) []byte {
 	out = append(out, `{"object":"embedding","index":`...)
 	out = strconv.AppendInt(out, int64(index), 10)
@@ -94,8 +97,7 @@
 	return append(out, '}')
 }
 
-// appendEmbeddingsUsage appends the usage of an embeddings response. All its tokens are prompt
-// tokens.
+// appendEmbeddingsUsage appends the usage of an embeddings response, which has prompt tokens only.
 func appendEmbeddingsUsage(out []byte, promptTokens int64) []byte {
 	out = append(out, `{"prompt_tokens":`...)
 	out = strconv.AppendInt(out, promptTokens, 10)
@@ -104,6 +106,6 @@
 	return append(out, '}')
 }
 
-// ResponseTemplate returns a copy of an embeddings response without its embeddings, to be used as
-// the template of AssembleResponse.
+// ResponseTemplate returns a copy of an embeddings response without its embeddings, for use as the
+// template of AssembleResponse.
 func ResponseTemplate(body []byte) []byte { return bytes.Clone(AssembleResponse(body, nil, 0)) }
--- a/internal/openai/embeddingsresponse_test.go
+++ b/internal/openai/embeddingsresponse_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestSplitResponseOrdersByIndexAndSharesOutAllTokens(t *testing.T) {
+func TestSplitResponseOrdersByIndexAndDividesAllTokens(t *testing.T) {
 	request := decode(t, Embeddings, `{"model":"m","input":["a","b","c"]}`)
 	const body = `{"data":[{"index":2,"embedding":[3]},{"index":0,"embedding":[1]},{"index":1,"embedding":"AA=="}],"usage":{"prompt_tokens":10}}`
 	for _, c := range []struct {
@@ -20,7 +20,7 @@
 		got := fmt.Sprintf("%s %d, %s %d, %s %d", results[0].Embedding, results[0].PromptTokens,
 			results[1].Embedding, results[1].PromptTokens, results[2].Embedding, results[2].PromptTokens)
 		if got != c.want {
-			t.Errorf("tokens %v: %s, want %s", c.tokens, got, c.want)
+			t.Errorf("input tokens %v: %s, want %s", c.tokens, got, c.want)
 		}
 	}
 }
--- a/internal/openai/enginebody_test.go
+++ b/internal/openai/enginebody_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// object is a JSON object of any members.
+// object is a decoded JSON object.
 type object map[string]any
 
 // parseObject decodes an object, or fails the test.
@@ -31,7 +31,7 @@
 	}
 	if request.Model != "m" || !request.Stream || request.MaxTokens != 14 || request.User != "me" || request.CacheKey != "k" ||
 		request.PrefixHash == 0 || request.PrefixTokens >= request.PromptTokens {
-		t.Errorf("%+v", request)
+		t.Errorf("decoded %+v", request)
 	}
 	original := parseObject(t, []byte(body))
 	prefill := parseObject(t, request.AppendPrefillBody(nil))
@@ -40,15 +40,15 @@
 	transfer, isObject := prefill["kv_transfer_params"].(map[string]any)
 	if prefill["stream"] != false || prefill["max_tokens"] != 1.0 || prefill["stream_options"] != nil || prefill["n"] != nil ||
 		!isObject || transfer["do_remote_decode"] != true {
-		t.Errorf("for a prefill engine: %v", prefill)
+		t.Errorf("body for a prefill engine: %v", prefill)
 	}
 	if fmt.Sprint(decode["kv_transfer_params"]) != "map[x:1]" || colocated["kv_transfer_params"] != nil {
-		t.Errorf("for a decode engine: %v; for a colocated engine: %v", decode, colocated)
+		t.Errorf("body for a decode engine: %v; for a colocated engine: %v", decode, colocated)
 	}
 	for _, forwarded := range []object{decode, colocated} {
 		forwarded["kv_transfer_params"] = original["kv_transfer_params"]
 		if !reflect.DeepEqual(forwarded, original) {
-			t.Errorf("changed: %v, was %v", forwarded, original)
+			t.Errorf("forwarded %v, want %v", forwarded, original)
 		}
 	}
 	if !strings.Contains(string(request.AppendColocatedBody(nil)), `"unknown":{"a":[1.50, null]}`) {
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -13,7 +13,7 @@
 	codeContextLengthExceeded = "context_length_exceeded"
 )
 
-// Error is an error answer in the form of OpenAI's API.
+// Error is an error response in the format of OpenAI's API.
 type Error struct {
 	Status  int    // HTTP status
 	Message string // for the client's developers
@@ -25,8 +25,8 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Message }
 
-// InvalidRequest returns an Error with status 400. param is the name of the invalid member, or "" if the
-// request as a whole is invalid. format and args are those of fmt.Sprintf.
+// InvalidRequest returns an Error with status 400. param is the name of the invalid member, or "" if
+// the error concerns the whole request. format and args are those of fmt.Sprintf.
 func InvalidRequest(param, format string, args ...any) *Error {
 	return &Error{
 		Status:  http.StatusBadRequest,
@@ -36,11 +36,12 @@
 	}
 }
 
-// ContextLengthError returns the error of a request that is too long for the model. limit is the
-// model's context length and prompt the estimated length of the request, both in tokens.
-func (r *Request) ContextLengthError(limit, prompt float64) *Error {
+// ContextLengthError returns the error for a request that is too long for the model. contextLength
+// is the model's limit and promptTokens the estimated length of the request's prompt or longest
+// item, both in tokens.
+func (r *Request) ContextLengthError(contextLength, promptTokens float64) *Error {
 	param := r.API.contentMember()
-	message := fmt.Sprintf("This model's maximum context length is %.0f tokens. However, your %s have about %.0f tokens", limit, param, prompt)
+	message := fmt.Sprintf("This model's maximum context length is %.0f tokens. However, your %s have about %.0f tokens", contextLength, param, promptTokens)
 	if r.RequestedMaxTokens > 0 {
 		message += fmt.Sprintf(" and %d are asked for the answer", r.RequestedMaxTokens)
 	}
@@ -49,7 +50,7 @@
 	return err
 }
 
-// AppendJSON appends the error as the JSON body of an answer.
+// AppendJSON appends the error as the JSON body of a response.
 func (e *Error) AppendJSON(out []byte) []byte {
 	out = append(out, `{"error":{"message":`...)
 	out = gjson.AppendJSONString(out, e.Message)
--- a/internal/openai/generation.go
+++ b/internal/openai/generation.go
@@ -9,7 +9,7 @@
 
 // decodeChat decodes the members that only chat completions have.
 func (r *Request) decodeChat(fields *requestFields, options *DecodeOptions) *Error {
-	err := r.decodeAnswerOptions(fields, options)
+	err := r.decodeGenerationOptions(fields, options)
 	if err != nil {
 		return err
 	}
@@ -18,7 +18,7 @@
 
 // decodeCompletion decodes the members that only completions have.
 func (r *Request) decodeCompletion(fields *requestFields, options *DecodeOptions) *Error {
-	err := r.decodeAnswerOptions(fields, options)
+	err := r.decodeGenerationOptions(fields, options)
 	if err != nil {
 		return err
 	}
@@ -30,8 +30,8 @@
 	return r.decodeInputs("prompt", fields.prompt, options)
 }
 
-// decodeAnswerOptions decodes whether the answer is streamed and how long it may be.
-func (r *Request) decodeAnswerOptions(fields *requestFields, options *DecodeOptions) (err *Error) {
+// decodeGenerationOptions decodes whether the response is streamed and how many tokens it may have.
+func (r *Request) decodeGenerationOptions(fields *requestFields, options *DecodeOptions) (err *Error) {
 	r.Stream, err = decodeBool("stream", fields.stream)
 	if err != nil {
 		return err
@@ -43,11 +43,11 @@
 	if err != nil {
 		return err
 	}
-	maxCompletion, err := decodeCount("max_completion_tokens", fields.maxCompletion)
+	maxCompletion, err := decodeCount("max_completion_tokens", fields.maxCompletionTokens)
 	if err != nil {
 		return err
 	}
-	choices, err := decodeCount("n", fields.choices)
+	choices, err := decodeCount("n", fields.choiceCount)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// decodeMessages decodes the messages of a chat completion and estimates its shared prefix.
+// decodeMessages decodes the messages of a chat completion and hashes its shared prefix.
 func (r *Request) decodeMessages(messages gjson.Result, options *DecodeOptions) (err *Error) {
 	if !messages.IsArray() {
 		return InvalidRequest("messages", "messages must be a list")
--- a/internal/openai/items.go
+++ b/internal/openai/items.go
@@ -11,12 +11,12 @@
 // userMember is the member that names the end user. It does not influence the response.
 const userMember = "user"
 
-// itemsIndex returns the position of the member that holds the request's items.
+// itemsIndex returns the index in r.members of the member that holds the request's items.
 func (r *Request) itemsIndex() int { return r.indexOf(r.API.contentMember()) }
 
 // Items returns the inputs of an embeddings request or the documents of a rerank request as raw
-// JSON, and the estimated tokens of each. A document's tokens include those of the query. Other
-// requests have no items.
+// JSON, and the estimated number of tokens of each. A document's tokens include those of the query.
+// For other requests it returns nil.
 func (r *Request) Items(options DecodeOptions) (raw [][]byte, tokens []float64) {
 	if !r.HasCheckedResponse() {
 		return nil, nil
@@ -34,8 +34,8 @@
 	return raw, tokens
 }
 
-// singleInput returns the only input of a member as raw JSON. That is the only element of a list,
-// unless it is a token: a list of tokens is one input.
+// singleInput returns the input of an embeddings request that has only one, as raw JSON. A list of
+// tokens is one input as a whole; any other list is reduced to its only element.
 func singleInput(value []byte) []byte {
 	list := gjson.ParseBytes(value)
 	if !list.IsArray() {
@@ -48,7 +48,7 @@
 	return value[first.Index : first.Index+len(first.Raw)]
 }
 
-// queryTokens returns the estimated tokens of a rerank query. It returns 0 for other requests.
+// queryTokens returns the estimated number of tokens of a rerank query, or 0 for other requests.
 func (r *Request) queryTokens(options *DecodeOptions) float64 {
 	i := r.indexOf("query")
 	if i < 0 {
@@ -57,7 +57,8 @@
 	return options.tokens(len(r.members[i].value))
 }
 
-// itemTokens returns the estimated tokens of one item, or the length of a list of tokens.
+// itemTokens returns the number of tokens of one item. It is exact for a list of tokens and estimated
+// for a text.
 func itemTokens(item gjson.Result, options *DecodeOptions) float64 {
 	if !item.IsArray() {
 		return options.tokens(len(item.Raw))
@@ -70,8 +71,8 @@
 	return count
 }
 
-// Shard returns a copy of the request with the given items in place of its own. tokens is their
-// sum. The members of r are not modified.
+// Shard returns a copy of the request with the given items in place of its own. tokens is the number
+// of tokens of all these items. r is not modified.
 func (r *Request) Shard(items [][]byte, tokens float64) *Request {
 	shard := *r
 	shard.members = slices.Clone(r.members)
@@ -83,8 +84,8 @@
 	return &shard
 }
 
-// Batch returns a request for the items of several requests with the same batch key. r is one of
-// them. The result names no user.
+// Batch returns one request for the items of several requests that have the same batch key. r is one
+// of these requests. The result has no user, since the requests may come from different ones.
 func (r *Request) Batch(items [][]byte, tokens float64) *Request {
 	batch := r.Shard(items, tokens)
 	batch.members = slices.DeleteFunc(batch.members, func(m member) bool { return m.name == userMember })
@@ -93,21 +94,21 @@
 	return batch
 }
 
-// WriteBatchKey writes the members that decide the response to an embeddings request, except its
-// inputs. The inputs of requests with the same key may be computed in one batch.
+// WriteBatchKey writes to hash the members of an embeddings request that affect the response, except
+// the inputs. The inputs of requests with the same key may be sent to an engine in one batch.
 func (r *Request) WriteBatchKey(hash io.Writer) {
 	r.writeMembers(hash, userMember, r.API.contentMember())
 }
 
-// WriteCacheKey writes the members that decide the response, which are all except user.
+// WriteCacheKey writes to hash the members that affect the response, which are all except user.
 func (r *Request) WriteCacheKey(hash io.Writer) {
 	r.writeMembers(hash, userMember)
 }
 
-// writeMembers writes all members except some to hash.
-func (r *Request) writeMembers(hash io.Writer, without ...string) {
+// writeMembers writes all members except the excluded ones to hash.
+func (r *Request) writeMembers(hash io.Writer, excluded ...string) {
 	for _, m := range r.members {
-		if slices.Contains(without, m.name) {
+		if slices.Contains(excluded, m.name) {
 			continue
 		}
 		_, _ = hash.Write(m.raw) // a hash.Hash never returns an error
--- a/internal/openai/items_test.go
+++ b/internal/openai/items_test.go
@@ -48,15 +48,15 @@
 		t.Errorf("shard of %d items and %v tokens, of a request of %d", shard.ItemCount, shard.PromptTokens, request.ItemCount)
 	}
 	if got, want := string(request.AppendColocatedBody(nil)), `{"model":"m","input":["a","b","c"],"user":"me","x":[1]}`; got != want {
-		t.Errorf("the request itself became %s", got)
+		t.Errorf("the original request changed to %s, want %s", got, want)
 	}
 }
 
-func TestBatchNamesNoUser(t *testing.T) {
+func TestBatchHasNoUser(t *testing.T) {
 	request := decode(t, Embeddings, `{"model":"m","input":"a","user":"me"}`)
 	batch := request.Batch([][]byte{[]byte(`"a"`), []byte(`"b"`)}, 2)
 	if got, want := string(batch.AppendColocatedBody(nil)), `{"model":"m","input":["a","b"]}`; got != want || batch.User != "" {
-		t.Errorf("%s of user %q, want %s", got, batch.User, want)
+		t.Errorf("body %s and user %q, want %s and no user", got, batch.User, want)
 	}
 }
 
@@ -87,7 +87,7 @@
 		{"cache key of another model", cacheKey, otherModel, false},
 	} {
 		if equal := key(base, c.write) == key(c.other, c.write); equal != c.equal {
-			t.Errorf("%s: equal is %v, want %v", c.name, equal, c.equal)
+			t.Errorf("%s: keys are equal: %v, want %v", c.name, equal, c.equal)
 		}
 	}
 }
--- a/internal/openai/json.go
+++ b/internal/openai/json.go
@@ -6,17 +6,18 @@
 	"github.com/tidwall/gjson"
 )
 
-// maxDepth is the most levels that a body may nest. The JSON library recurses on each level,
-// so without a bound a client could overflow its stack.
+// maxDepth is the most levels of nesting in a JSON text. The JSON library recurses on each level,
+// so without a limit a client could overflow the stack.
 const maxDepth = 200
 
-// IsValidJSON reports whether text is one valid JSON value of at most maxDepth levels.
+// IsValidJSON reports whether text is one valid JSON value that is nested at most maxDepth levels
+// deep.
 func IsValidJSON(text []byte) bool {
 	return isDepthBounded(text) && gjson.ValidBytes(text)
 }
 
-// isDepthBounded reports whether text nests at most maxDepth levels. It counts brackets outside
-// of strings and does not check that they match: gjson.ValidBytes does.
+// isDepthBounded reports whether text is nested at most maxDepth levels deep. It counts brackets
+// outside of strings. It does not check that they match, which gjson.ValidBytes does.
 func isDepthBounded(text []byte) bool {
 	depth := 0
 	inString := false
@@ -75,7 +76,8 @@
 	return int(count), nil
 }
 
-// appendObject appends a copy of an object. appendValue appends the value of each member.
+// appendObject appends an object with the keys of the given one. appendValue appends the new value
+// of a key, given the old value.
 func appendObject(out []byte, object gjson.Result, appendValue func(out []byte, key string, value gjson.Result) []byte) []byte {
 	out = append(out, '{')
 	isFirst := true
--- a/internal/openai/loadreport.go
+++ b/internal/openai/loadreport.go
@@ -7,15 +7,15 @@
 	"github.com/tidwall/gjson"
 )
 
-// customMetrics is the member of OrcaLoadReport that holds metrics of the engine's own.
+// customMetrics is the member of OrcaLoadReport that holds engine-specific metrics.
 const customMetrics = "named_metrics"
 
-// ParseLoadReport parses an ORCA load report, which engines attach to responses as a header
-// field. Its value is a JSON object after "JSON " or key=value pairs after "TEXT ". Metrics are
-// named as in OrcaLoadReport (xDS, orca.proto); custom ones are under named_metrics.
+// ParseLoadReport parses an ORCA load report, a header field that engines add to responses. Its value
+// is "JSON " and a JSON object, or "TEXT " and comma-separated key=value pairs. Metrics are named as
+// in OrcaLoadReport (xDS, orca.proto); engine-specific ones are under named_metrics.
 //
-// It returns the values of the named metrics in order. If one is missing it returns nil: an
-// engine with half a report would look idle.
+// It returns the values of the metrics in names, in that order. If one is missing it returns nil,
+// because an engine with an incomplete report could seem idle.
 func ParseLoadReport(header []byte, names []string) []float64 {
 	if len(names) == 0 {
 		return nil
@@ -50,8 +50,7 @@
 	return values
 }
 
-// parseTextReport returns the values of the named metrics in a report of comma-separated
-// key=value pairs, or nil.
+// parseTextReport returns the values of the named metrics in a text report, or nil.
 func parseTextReport(report []byte, names []string) []float64 {
 	values := make([]float64, 0, len(names))
 	for _, name := range names {
@@ -64,8 +63,8 @@
 	return values
 }
 
-// findTextMetric returns the value of the first pair with the given name. found is false if there
-// is none or if its value is not a number.
+// findTextMetric returns the value of the first pair with the given name in a text report. found is
+// false if there is none or if its value is not a number.
 func findTextMetric(report []byte, name string) (value float64, found bool) {
 	for pair := range bytes.SplitSeq(report, []byte{','}) {
 		key, text, _ := bytes.Cut(bytes.TrimSpace(pair), []byte{'='})
--- a/internal/openai/merge.go
+++ b/internal/openai/merge.go
@@ -10,10 +10,10 @@
 	"martenlock/control/scatter"
 )
 
-// MergeResponses returns the response to the request, made of the responses to its shards, which
-// CheckResponse has accepted. Indexes are those of the whole request, and usage is summed. Rerank
-// results are sorted by score and cut to top_n; of equal scores the earlier document is first.
-// Other members are copied from the first shard's response.
+// MergeResponses merges the responses to the request's shards, which CheckResponse must have
+// accepted. Result indexes become those of the whole request, and usage is summed. Rerank results
+// are sorted by descending score and cut to top_n; documents with equal scores stay in the order of
+// the request. Other members are copied from the first shard's response.
 func (r *Request) MergeResponses(shards []scatter.Shard, bodies [][]byte) []byte {
 	name := r.API.resultMember()
 	usage := usageTotals{}
@@ -62,7 +62,7 @@
 type mergedResult struct {
 	index int // of the item in the whole request
 	score float64
-	value gjson.Result // as in the shard's response
+	value gjson.Result // the result in the shard's response
 }
 
 // appendTo appends the result with its index in the whole request.
@@ -75,10 +75,9 @@
 	})
 }
 
-// usageTotals are the sums of the numbers in several responses' usage, by name.
+// usageTotals maps the name of each number in usage to its sum over several responses.
 type usageTotals map[string]int64
 
-// add adds the usage of one response.
 func (u usageTotals) add(usage gjson.Result) {
 	usage.ForEach(func(key, value gjson.Result) bool {
 		if value.Type == gjson.Number {
--- a/internal/openai/models.go
+++ b/internal/openai/models.go
@@ -6,8 +6,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// AppendModels appends the answer to GET /v1/models. created is the models' creation time in Unix
-// seconds.
+// AppendModels appends the body of the response to GET /v1/models. created is the models' creation
+// time in Unix seconds.
 func AppendModels(out []byte, models []string, created int64) []byte {
 	out = append(out, `{"object":"list","data":`...)
 	out = appendArray(out, len(models), func(out []byte, i int) []byte {
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -1,20 +1,20 @@
-// Package openai decodes requests in the published form of OpenAI's API (chat completions,
-// completions, embeddings) and of Jina's and Cohere's rerank API, as far as a router needs them.
-// It also makes the bodies that are forwarded to engines. Members that it does not know are
-// kept byte for byte.
+// Package openai decodes requests of OpenAI's API (chat completions, completions, embeddings) and
+// of Jina's and Cohere's rerank API, as far as a router needs them. It also builds the request
+// bodies for engines, and checks, splits and merges their responses. JSON members that it does not
+// know are forwarded byte for byte.
 //
-// For prefill and decode on separate engines it follows vLLM's disaggregated form (vLLM's docs,
-// "Disaggregated prefilling", and the proxy example there). The request to the prefill engine
-// asks for one token and has kv_transfer_params with do_remote_decode. The kv_transfer_params
-// of its response are passed to the decode engine.
+// For prefill and decode on separate engines it follows vLLM's protocol (vLLM's documentation,
+// "Disaggregated prefilling", and its example proxy). The request to the prefill engine asks for
+// one token and has kv_transfer_params with do_remote_decode. The kv_transfer_params of its
+// response are passed to the decode engine.
 package openai
 
 //go:generate go tool stringer -linecomment -type=API,inputKind -output=enum_string.go
 
-// API is one operation. Its String is its name in the configuration.
+// API is an operation, such as chat completions. String returns its name in the configuration.
 type API uint8
 
-// The operations.
+// The operations that a router serves.
 const (
 	Chat        API = iota // chat
 	Completions            // completions
@@ -22,22 +22,22 @@
 	Rerank                 // rerank
 )
 
-// apis are all operations, in the order in which error messages list them.
-var apis = [...]API{Chat, Completions, Embeddings, Rerank}
+// allAPIs lists the operations in the order of their constants.
+var allAPIs = [...]API{Chat, Completions, Embeddings, Rerank}
 
-// APINames returns the operations' names in the configuration, by API.
+// APINames returns the names of the operations in the configuration. The index of a name is its API.
 func APINames() []string {
-	names := make([]string, len(apis))
-	for i, api := range apis {
+	names := make([]string, len(allAPIs))
+	for i, api := range allAPIs {
 		names[i] = api.String()
 	}
 	return names
 }
 
-// ParseAPI returns the operation of a name in the configuration. The second result reports
+// ParseAPI returns the operation with a name in the configuration. The second result reports
 // whether there is one.
 func ParseAPI(name string) (API, bool) {
-	for _, api := range apis {
+	for _, api := range allAPIs {
 		if api.String() == name {
 			return api, true
 		}
@@ -61,7 +61,7 @@
 	return 0, false
 }
 
-// HasOneStage reports whether the operation has no separate prefill and decode.
+// HasOneStage reports whether the operation has no separate stages for prefill and decode.
 func (a API) HasOneStage() bool { return a == Embeddings || a == Rerank }
 
 // contentMember returns the name of the request member that holds the model's input.
@@ -79,8 +79,8 @@
 	return ""
 }
 
-// resultMember returns the name of the response member that holds the list of results, one for
-// each item of the request. It is "" for operations whose responses are not checked.
+// resultMember returns the name of the response member that lists the results for the request's
+// items. It returns "" for operations whose responses are not checked.
 func (a API) resultMember() string {
 	switch a {
 	case Embeddings:
--- a/internal/openai/openai_test.go
+++ b/internal/openai/openai_test.go
@@ -8,7 +8,7 @@
 func TestAPINamesAreThoseOfTheConfiguration(t *testing.T) {
 	names := APINames()
 	if want := []string{"chat", "completions", "embeddings", "rerank"}; !slices.Equal(names, want) {
-		t.Errorf("%v, want %v", names, want)
+		t.Errorf("names %v, want %v", names, want)
 	}
 	for i, name := range names {
 		if api, ok := ParseAPI(name); !ok || int(api) != i || api.String() != name {
--- a/internal/openai/prefillresponse.go
+++ b/internal/openai/prefillresponse.go
@@ -2,14 +2,14 @@
 
 import "github.com/tidwall/gjson"
 
-// PrefillResponse is what the router needs of a prefill engine's response.
+// PrefillResponse holds the parts of a prefill engine's response that the router uses.
 type PrefillResponse struct {
-	KVTransfer   []byte // raw JSON: what a decode engine needs to fetch the KV state
+	KVTransfer   []byte // kv_transfer_params as raw JSON, with which a decode engine fetches the KV state
 	CachedTokens int    // tokens of the prompt that were in the engine's KV cache
 }
 
 // ParsePrefillResponse parses the response of a prefill engine. The second result is false if the
-// response names no KV state to fetch.
+// response is not valid JSON or does not name the engine that holds the KV state.
 func ParsePrefillResponse(body []byte) (PrefillResponse, bool) {
 	if !IsValidJSON(body) {
 		return PrefillResponse{}, false
@@ -22,6 +22,5 @@
 	return PrefillResponse{KVTransfer: []byte(transfer.Raw), CachedTokens: int(cachedTokens)}, true
 }
 
-// ParsePromptTokens returns the length of the prompt in tokens according to a response's usage. It
-// returns 0 if the response has none.
+// ParsePromptTokens returns the number of prompt tokens in a response's usage, or 0 if it is missing.
 func ParsePromptTokens(body []byte) float64 { return gjson.GetBytes(body, "usage.prompt_tokens").Num }
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -7,53 +7,53 @@
 	"github.com/tidwall/gjson"
 )
 
-// DecodeOptions are the limits of a request and the parameters of its estimates.
+// DecodeOptions are the limits on requests and the parameters for estimating their token counts.
 type DecodeOptions struct {
-	BytesPerToken    float64 // for estimates: prompts are not tokenized
-	PrefixMessages   int     // first messages of a chat that other sessions may share
-	PrefixBytes      int     // first bytes of a completion's prompt that other sessions may share
-	DefaultMaxTokens int     // limit of an answer's tokens if the request has none
-	MaxInputs        int     // of an embeddings request
-	MaxDocuments     int     // of a rerank request
+	BytesPerToken    float64 // average length of a token, because prompts are not tokenized
+	PrefixMessages   int     // first messages of a chat that form its shared prefix; 0 for no shared prefix
+	PrefixBytes      int     // first bytes of a completion's prompt that form its shared prefix; 0 for no shared prefix
+	DefaultMaxTokens int     // limit on output tokens for requests that set none
+	MaxInputs        int     // most inputs of an embeddings request, or prompts of a completion
+	MaxDocuments     int     // most documents of a rerank request
 }
 
 // tokens returns the estimated number of tokens of a text, given its length in bytes.
 func (o *DecodeOptions) tokens(bytes int) float64 { return float64(bytes) / o.BytesPerToken }
 
 // Request is a decoded request. Its strings and slices refer to the body that it was decoded
-// from. Token counts of prompts are estimates.
+// from. Token counts of prompts are estimates, except for prompts that the client has tokenized.
 type Request struct {
 	API                API
 	Model              string
 	Stream             bool
-	MaxTokens          int     // limit of the tokens of all its answers together
-	RequestedMaxTokens int     // the request's own limit of the tokens of one answer; 0 for none
-	LongestItemTokens  float64 // tokens of the longest input, or of the whole prompt of a chat
-	PromptTokens       float64 // tokens of all inputs together
-	PrefixHash         uint64  // hash of the prefix that it may share with other sessions; 0 for none
-	PrefixTokens       float64 // tokens of that prefix
+	MaxTokens          int     // limit on output tokens, summed over all choices
+	RequestedMaxTokens int     // limit on output tokens of one choice that the request sets; 0 for none
+	LongestItemTokens  float64 // tokens of the longest input, of the longest document with the query, or of all messages of a chat
+	PromptTokens       float64 // tokens of all inputs, documents or messages
+	PrefixHash         uint64  // hash of the prefix that requests of other sessions may share; 0 for none
+	PrefixTokens       float64 // tokens of that prefix; 0 for none
 	User               string
 	CacheKey           string // prompt_cache_key
-	ItemCount          int    // inputs of an embeddings request, or documents of a rerank request
-	TopN               int    // results of a rerank response; 0 for all
+	ItemCount          int    // inputs of an embeddings request, prompts of a completion, or documents of a rerank request
+	TopN               int    // most results of a rerank response; 0 for all
 	Dimensions         int    // requested length of an embedding; 0 for the model's default
 	members            []member
 }
 
-// member is one member of a request's object. Its slices refer to the body.
+// member is one member of a request's JSON object.
 type member struct {
 	name  string // the key, unescaped
-	raw   []byte // the key, colon and value
-	value []byte
+	raw   []byte // the key, colon and value as JSON
+	value []byte // as JSON
 }
 
 const (
-	// maxMembers is the most members of a request. Each is compared with all earlier ones, so
-	// without a bound a client could cause quadratic work.
+	// maxMembers is the most members that a request may have. Each name is compared with all earlier
+	// ones, so without a limit a client could cause quadratic work.
 	maxMembers = 200
 
-	// typicalMembers is the initial capacity of the list. Most requests have fewer.
-	typicalMembers = 8
+	// memberCapacity is the initial capacity of Request.members, enough for most requests.
+	memberCapacity = 8
 )
 
 // Decode decodes and checks the body of a request. The Request refers to body, which must not
@@ -67,7 +67,7 @@
 	if !root.IsObject() {
 		return nil, InvalidRequest("", "the body is not a JSON object")
 	}
-	r := &Request{API: api, members: make([]member, 0, typicalMembers)}
+	r := &Request{API: api, members: make([]member, 0, memberCapacity)}
 	var fields requestFields
 	var err *Error
 	root.ForEach(func(key, value gjson.Result) bool {
@@ -75,7 +75,7 @@
 		if err != nil {
 			return false
 		}
-		field := fields.pointer(key.Str)
+		field := fields.byName(key.Str)
 		if field != nil {
 			*field = value
 		}
@@ -91,8 +91,8 @@
 	return r, nil
 }
 
-// addMember records one member of the body. It returns an error if there are too many or if the
-// name is repeated: engines differ in which of two they use.
+// addMember records one member of the body. It returns an error if the body has too many members
+// or repeats a name, because engines differ in which of two equal names they use.
 func (r *Request) addMember(body []byte, key, value gjson.Result) *Error {
 	name := key.Str
 	if r.indexOf(name) >= 0 {
@@ -106,12 +106,12 @@
 	return nil
 }
 
-// indexOf returns the position of a member in the list, or -1.
+// indexOf returns the index of a member in r.members, or -1.
 func (r *Request) indexOf(name string) int {
 	return slices.IndexFunc(r.members, func(m member) bool { return m.name == name })
 }
 
-// decode checks the members that the router looks at and sets the fields that depend on them.
+// decode checks the members that the router reads and sets the fields that depend on them.
 func (r *Request) decode(fields *requestFields, options *DecodeOptions) *Error {
 	err := r.decodeCommon(fields)
 	if err != nil {
@@ -143,6 +143,6 @@
 	if err != nil {
 		return err
 	}
-	r.CacheKey, err = decodeString("prompt_cache_key", fields.cacheKey)
+	r.CacheKey, err = decodeString("prompt_cache_key", fields.promptCacheKey)
 	return err
 }
--- a/internal/openai/request_test.go
+++ b/internal/openai/request_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// options are small, so that short requests reach the limits.
+// options has low limits, so that short requests reach them.
 var options = DecodeOptions{BytesPerToken: 4, PrefixMessages: 1, PrefixBytes: 8, DefaultMaxTokens: 100, MaxInputs: 3, MaxDocuments: 2}
 
 func TestDecodeRejectsInvalidRequestsAndNamesMember(t *testing.T) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// checkEncodedMessage reports an error whose JSON lacks its message or has a code.
+// checkEncodedMessage fails the test if the JSON of an error lacks its message or has a code.
 func checkEncodedMessage(t *testing.T, err *Error) {
 	t.Helper()
 	var response struct {
@@ -70,7 +70,7 @@
 	encoded := err.AppendJSON(nil)
 	jsonErr := json.Unmarshal(encoded, &response)
 	if jsonErr != nil || response.Error.Message == nil || *response.Error.Message != err.Message || response.Error.Code != nil {
-		t.Errorf("%s: %v", encoded, jsonErr)
+		t.Errorf("error encoded as %s, decoded with error %v; want message %q and no code", encoded, jsonErr, err.Message)
 	}
 }
 
@@ -92,8 +92,8 @@
 	}
 }
 
-// FuzzDecode checks that an accepted request is forwarded as valid JSON that differs from the
-// original only in what the router sets.
+// FuzzDecode checks that the bodies for engines are valid JSON, and that the body for a colocated
+// engine differs from the client's only in kv_transfer_params.
 func FuzzDecode(f *testing.F) {
 	f.Add(byte(0), []byte(`{"model":"m","messages":[{"role":"user","content":"\u00e9"}],"x":{"y":[1]}}`))
 	f.Add(byte(2), []byte(`{"model":"m","input":[[1,2],[3]]}`))
@@ -110,11 +110,11 @@
 		delete(original, "kv_transfer_params")
 		var forwarded object
 		if err := json.Unmarshal(request.AppendColocatedBody(nil), &forwarded); err != nil || !reflect.DeepEqual(original, forwarded) {
-			t.Fatalf("%v: %v became %v", err, original, forwarded)
+			t.Fatalf("forwarded %v (error %v), want %v", forwarded, err, original)
 		}
 		for _, engineBody := range [][]byte{request.AppendPrefillBody(nil), request.AppendDecodeBody(nil, []byte("{}"))} {
 			if !json.Valid(engineBody) {
-				t.Fatalf("%s", engineBody)
+				t.Fatalf("body for an engine is not valid JSON: %s", engineBody)
 			}
 		}
 	})
--- a/internal/openai/requestfields.go
+++ b/internal/openai/requestfields.go
@@ -2,38 +2,37 @@
 
 import "github.com/tidwall/gjson"
 
-// requestFields are the members of a request that the router looks at. A field whose member the
-// request lacks is the zero Result, which does not exist.
+// requestFields holds the members of a request that the router reads. If the request lacks a
+// member, its field is the zero Result, whose Exists method returns false.
 type requestFields struct {
-	model           gjson.Result
-	user            gjson.Result
-	cacheKey        gjson.Result
-	stream          gjson.Result
-	streamOptions   gjson.Result
-	maxTokens       gjson.Result // the older name of maxCompletion
-	maxCompletion   gjson.Result
-	choices         gjson.Result
-	messages        gjson.Result
-	prompt          gjson.Result
-	input           gjson.Result
-	encoding        gjson.Result
-	dimensions      gjson.Result
-	query           gjson.Result
-	documents       gjson.Result
-	topN            gjson.Result
-	returnDocuments gjson.Result
+	model               gjson.Result
+	user                gjson.Result
+	promptCacheKey      gjson.Result
+	stream              gjson.Result
+	streamOptions       gjson.Result
+	maxTokens           gjson.Result // the older name of max_completion_tokens
+	maxCompletionTokens gjson.Result
+	choiceCount         gjson.Result // n
+	messages            gjson.Result
+	prompt              gjson.Result
+	input               gjson.Result
+	encodingFormat      gjson.Result
+	dimensions          gjson.Result
+	query               gjson.Result
+	documents           gjson.Result
+	topN                gjson.Result
+	returnDocuments     gjson.Result
 }
 
-// pointer returns the field of a member. It returns nil if the router does not look at the
-// member.
-func (f *requestFields) pointer(name string) *gjson.Result {
+// byName returns the field for a member's name, or nil if the router does not read the member.
+func (f *requestFields) byName(name string) *gjson.Result {
 	switch name {
 	case "model":
 		return &f.model
 	case "user":
 		return &f.user
 	case "prompt_cache_key":
-		return &f.cacheKey
+		return &f.promptCacheKey
 	case "stream":
 		return &f.stream
 	case "stream_options":
@@ -41,9 +40,9 @@
 	case "max_tokens":
 		return &f.maxTokens
 	case "max_completion_tokens":
-		return &f.maxCompletion
+		return &f.maxCompletionTokens
 	case "n":
-		return &f.choices
+		return &f.choiceCount
 	case "messages":
 		return &f.messages
 	case "prompt":
@@ -51,7 +50,7 @@
 	case "input":
 		return &f.input
 	case "encoding_format":
-		return &f.encoding
+		return &f.encodingFormat
 	case "dimensions":
 		return &f.dimensions
 	case "query":
--- a/internal/openai/rerank.go
+++ b/internal/openai/rerank.go
@@ -25,8 +25,8 @@
 	return r.decodeDocuments(query, fields.documents, options)
 }
 
-// decodeDocuments decodes the documents. An engine scores each together with the query, so each
-// counts with the tokens of the query.
+// decodeDocuments decodes the documents. An engine scores each document together with the query, so
+// the tokens of each include those of the query.
 func (r *Request) decodeDocuments(query string, documents gjson.Result, options *DecodeOptions) (err *Error) {
 	documents.ForEach(func(_, document gjson.Result) bool {
 		text := document
