--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Budget counts the connections of all pools that share it and closes the longest idle one when a
-// new one needs its place. The zero Budget is ready for use.
+// Budget limits the total number of connections of all pools that share it. At the limit it closes
+// an idle connection to make room for a new one. The zero Budget is ready for use.
 type Budget struct {
 	open int
-	// idle holds the connections in order of becoming idle. An entry is stale if its connection was
-	// used or closed since.
+	// idle lists connections in the order in which they became idle. Its entries are not removed when
+	// a connection is used or closed, so it may have stale entries and several of one connection.
 	idle []*Conn
 }
 
@@ -15,24 +15,24 @@
 func (b *Budget) Open() int { return b.open }
 
 // ensureCapacity reports whether one more connection is within maxTotal. If necessary, it closes idle
-// connections, longest idle first. A maxTotal of 0 sets no bound.
+// connections in the order of their first entries in idle. A maxTotal of 0 means no limit.
 func (b *Budget) ensureCapacity(maxTotal int) bool {
 	for maxTotal > 0 && b.open >= maxTotal && len(b.idle) > 0 {
-		longestIdle := b.idle[0]
+		oldest := b.idle[0]
 		b.idle = b.idle[1:]
-		if longestIdle.isIdle() {
-			longestIdle.closeIdle(CloseEvicted)
+		if oldest.isIdle() {
+			oldest.closeIdle(CloseEvicted)
 		}
 	}
 	return maxTotal == 0 || b.open < maxTotal
 }
 
-// The bound on the entries of Budget.idle, stale ones included, is
-// maxEntriesPerConn*open + extraEntries. It is well above the number of connections, so that stale
-// entries are removed in bulk.
+// Stale entries are removed from Budget.idle when it has more than
+// maxEntriesPerConn*open + extraEntries entries. This limit exceeds the number of connections, so
+// that each removal covers many stale entries.
 const (
 	maxEntriesPerConn = 4
-	extraEntries      = 16 // so that a few connections do not cause a removal every few requests
+	extraEntries      = 16 // prevents frequent removals while few connections are open
 )
 
 // addIdle records that a connection has become idle.
@@ -43,8 +43,8 @@
 	b.idle = append(b.idle, c)
 }
 
-// removeStale removes stale and repeated entries. It also removes those of added, whose place is
-// at the end now.
+// removeStale removes entries of connections that are not idle, and all but the first of each
+// connection. It also removes all entries of added, which the caller then appends.
 func (b *Budget) removeStale(added *Conn) {
 	seen := map[*Conn]bool{added: true}
 	b.idle = slices.DeleteFunc(b.idle, func(c *Conn) bool {
--- a/internal/upstream/budget_test.go
+++ b/internal/upstream/budget_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestIdleConnectionClosedWhereBudgetIsSpent: the connections to all engines together are bounded. An
-// idle one is closed for a new one, but one in use is not.
-func TestIdleConnectionClosedWhereBudgetIsSpent(t *testing.T) {
+// TestIdleConnectionClosedAtBudgetLimit: at the limit on connections to all engines, an idle connection
+// is closed to make room for a new one. A connection in use is not closed.
+func TestIdleConnectionClosedAtBudgetLimit(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 9, MaxTotal: 1})
 	f.request(false)
 	other := f.newPool(f.pool.Addr)
@@ -22,7 +22,7 @@
 			t.Errorf("above the budget: %v, want ErrNoConn", err)
 		}
 		if f.pool.Open() != 0 || f.pool.Budget.Open() != 1 {
-			t.Errorf("%d and %d open", f.pool.Open(), f.pool.Budget.Open())
+			t.Errorf("%d connections of the first pool and %d of both are open, want 0 and 1", f.pool.Open(), f.pool.Budget.Open())
 		}
 	})
 
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -2,37 +2,38 @@
 
 //go:generate go tool stringer -linecomment -type=CloseReason -output=enum_string.go
 
-// CloseReason is why a connection to an engine was closed. Its String is the word in logs.
+// CloseReason is why a connection to an engine was closed. String returns its name in logs.
 type CloseReason uint8
 
-// The reasons of a close.
+// The reasons for closing a connection.
 const (
-	// CloseAborted is a close by Conn.Abort: this side cancelled the request.
+	// CloseAborted means that Conn.Abort was called, for example because the request was cancelled.
 	CloseAborted CloseReason = iota // aborted
-	// CloseNotReusable follows a response that allows no further request.
+	// CloseNotReusable means that the connection cannot be kept after a complete response.
 	CloseNotReusable // not_reusable
-	// CloseIdleTimeout is the end of Options.IdleTimeout.
+	// CloseIdleTimeout means that the connection was idle for Options.IdleTimeout.
 	CloseIdleTimeout // idle_timeout
-	// CloseEvicted closes the longest idle connection when a new one needs its place.
+	// CloseEvicted means that the Budget closed an idle connection to make room for a new one.
 	CloseEvicted // evicted
-	// CloseDelisted closes an idle connection whose engine left the endpoint list or restarted.
+	// CloseDelisted means that the connection was idle when its engine left the endpoint list or restarted.
 	CloseDelisted // delisted
-	// CloseNotTrusted closes an idle connection that must not carry the next request: it was not quiet,
-	// or Options.ReusePolicy decided so.
+	// CloseNotTrusted means that an idle connection was not used for the next request, because bytes or
+	// an end of stream had arrived on it, or because Options.ReusePolicy rejected it.
 	CloseNotTrusted // not_trusted
-	// CloseConnectTimeout is the end of Options.ConnectTimeout.
+	// CloseConnectTimeout means that the connection was not established within Options.ConnectTimeout.
 	CloseConnectTimeout // connect_timeout
-	// CloseConnectFailed is a connection that was refused or failed otherwise before it was established.
+	// CloseConnectFailed means that the connection was refused or failed in another way before it was
+	// established.
 	CloseConnectFailed // connect_failed
-	// CloseSendTimeout is the end of the bound set by Conn.SendWithin.
+	// CloseSendTimeout means that the request was not sent within the time set by Conn.SendWithin.
 	CloseSendTimeout // send_timeout
-	// CloseMalformedResponse follows a response that the parser rejects.
+	// CloseMalformedResponse means that the parser rejected the response.
 	CloseMalformedResponse // malformed_response
-	// CloseStrayBytes follows bytes that belong to no request.
+	// CloseStrayBytes means that the engine sent bytes while no request was in progress.
 	CloseStrayBytes // stray_bytes
-	// ClosedByEngine is an orderly close by the engine.
+	// ClosedByEngine means that the engine closed the connection without a reset.
 	ClosedByEngine // closed_by_engine
-	// CloseReset is a reset or another network error on an established connection.
+	// CloseReset means a reset or another network error on an established connection.
 	CloseReset // reset
 )
 
--- a/internal/upstream/closereason_test.go
+++ b/internal/upstream/closereason_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// TestCloseReasonWordsOfLogs pins the words that logs print and docs/platform.md lists, and which of them are
-// routine.
-func TestCloseReasonWordsOfLogs(t *testing.T) {
-	words := []struct {
-		word      string
+// TestCloseReasonNamesInLogs checks the names of the reasons, which appear in logs and in docs/platform.md, and
+// which reasons are routine.
+func TestCloseReasonNamesInLogs(t *testing.T) {
+	reasons := []struct {
+		name      string
 		isRoutine bool
 	}{
 		CloseAborted:           {"aborted", true},
@@ -23,13 +23,13 @@
 		ClosedByEngine:         {"closed_by_engine", false},
 		CloseReset:             {"reset", false},
 	}
-	for i, want := range words {
+	for i, want := range reasons {
 		reason := CloseReason(i)
-		if reason.String() != want.word || reason.IsRoutine() != want.isRoutine {
-			t.Errorf("%q, routine %v; want %q, %v", reason, reason.IsRoutine(), want.word, want.isRoutine)
+		if reason.String() != want.name || reason.IsRoutine() != want.isRoutine {
+			t.Errorf("%q, routine %v; want %q, %v", reason, reason.IsRoutine(), want.name, want.isRoutine)
 		}
 	}
-	if unknown := CloseReason(len(words)).String(); unknown != "CloseReason(13)" {
+	if unknown := CloseReason(len(reasons)).String(); unknown != "CloseReason(13)" {
 		t.Errorf("unknown reason: %q", unknown)
 	}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,17 +9,17 @@
 	"martenlock/internal/timerwheel"
 )
 
-// maxCopiedBody is the size in bytes up to which a body is copied behind its head, so that one
-// buffer and one system call send both. Larger bodies are sent without a copy.
+// maxCopiedBody is the largest size in bytes of a body that is copied behind its head, so that both
+// are sent from one buffer with one system call. Larger bodies are sent without a copy.
 const maxCopiedBody = 16 << 10
 
-// Conn is a connection to an engine and carries one request at a time. The caller of Pool.Start may
-// use it until its ResponseHandler gets Complete or Failed, or until Abort.
+// Conn is a connection to an engine. It carries one request at a time. The caller of Pool.Start may
+// use it until Complete or Failed is called on the ResponseHandler, or until the caller calls Abort.
 type Conn struct {
 	pool        *Pool
 	conn        *eventloop.Conn
 	parser      *http1.Parser
-	addr        netip.AddrPort // of the engine when the current request was started
+	addr        netip.AddrPort // the engine's address when the current request was started
 	established bool
 	closed      bool
 	timer       timerwheel.Timer // ConnectTimeout until established, IdleTimeout while idle
@@ -27,17 +27,17 @@
 	handler      ResponseHandler // of the current request; nil while idle
 	request      request
 	sendDeadline sendDeadline
-	keepAlive    bool // the current response allows another request
+	keepAlive    bool // the current response allows another request on the connection
 	reuse        reuse
 }
 
-// request is what must be sent once the connection is established.
+// request is a request that is sent once the connection is established.
 type request struct{ head, body []byte }
 
-// sendDeadline bounds when the request's last byte must have left this process.
+// sendDeadline is the time by which the request's last byte must have left this process.
 type sendDeadline struct {
 	timer timerwheel.Timer
-	at    time.Duration // of the loop's clock; valid while the timer runs
+	at    time.Duration // on the loop's clock; valid while the timer runs
 }
 
 // isIdle reports whether the connection waits for a request.
@@ -71,8 +71,8 @@
 }
 
 // SendWithin closes the connection if the request's last byte has not left this process within d. The
-// handler then gets Failed. A d of 0 or less sets no bound. If a bound is set already, the one that
-// ends first counts.
+// Failed is then called on its handler. A d of 0 or less sets no limit. If a limit is set already, the
+// earlier of the two applies.
 func (c *Conn) SendWithin(d time.Duration) {
 	if d <= 0 {
 		return
@@ -82,21 +82,21 @@
 		return
 	}
 	c.sendDeadline.at = at
-	c.sendDeadline.timer.Fire = c.sendTimedOut
+	c.sendDeadline.timer.Fire = c.handleSendTimeout
 	c.pool.Loop.StartTimer(&c.sendDeadline.timer, d)
 }
 
-func (c *Conn) sendTimedOut() {
+func (c *Conn) handleSendTimeout() {
 	if c.handler != nil && !c.RequestWritten() {
 		c.fail(CloseSendTimeout, "")
 	}
 }
 
-// Abort closes the connection at once. Its handler gets no further call. On a closed connection it
-// does nothing.
+// Abort closes the connection at once. No further method is called on its handler. On a closed
+// connection it does nothing.
 func (c *Conn) Abort() { c.close(CloseAborted) }
 
-// close closes the connection without a call of its handler. Later calls have no effect.
+// close closes the connection without calling its handler. Later calls have no effect.
 func (c *Conn) close(reason CloseReason) {
 	c.handler = nil
 	if c.closed {
@@ -109,8 +109,8 @@
 	c.pool.connClosed(c, reason)
 }
 
-// expire handles the end of ConnectTimeout or IdleTimeout.
-func (c *Conn) expire() {
+// handleTimeout closes the connection after ConnectTimeout or IdleTimeout.
+func (c *Conn) handleTimeout() {
 	if !c.established {
 		c.fail(CloseConnectTimeout, "")
 		return
@@ -118,14 +118,14 @@
 	c.closeIdle(CloseIdleTimeout)
 }
 
-// closeIdle closes the connection while it is idle.
+// closeIdle closes an idle connection.
 func (c *Conn) closeIdle(reason CloseReason) {
 	c.pool.removeIdle(c)
 	c.close(reason)
 }
 
-// fail closes the connection and calls Failed on its handler, if there is one. malformed is
-// ConnError.Malformed.
+// fail closes the connection and calls Failed on its handler, if there is one. malformed is the value
+// of ConnError.Malformed.
 func (c *Conn) fail(reason CloseReason, malformed string) {
 	err := ConnError{
 		Established:      c.established,
@@ -143,7 +143,7 @@
 	handler.Failed(err)
 }
 
-// Opened implements eventloop.Handler. It sends the request that waits for the connection.
+// Opened implements eventloop.Handler. It sends the request for which the connection was made.
 func (c *Conn) Opened(*eventloop.Conn) {
 	c.established = true
 	c.pool.Loop.StopTimer(&c.timer)
@@ -152,8 +152,8 @@
 	}
 }
 
-// Data implements eventloop.Handler. It parses the response and passes it to the handler. Bytes that
-// belong to no request close the connection.
+// Data implements eventloop.Handler. It parses the response and passes it to the handler. If bytes
+// arrive while no request is in progress, it closes the connection.
 func (c *Conn) Data(conn *eventloop.Conn, b []byte) int {
 	c.observeReuse(false)
 	consumed := 0
@@ -184,12 +184,12 @@
 	}
 }
 
-// endResponse handles a complete response. The connection becomes idle or is closed.
+// endResponse handles the end of a response. It keeps the connection as idle or closes it.
 func (c *Conn) endResponse() {
 	handler := c.handler
 	c.handler = nil
 	c.pool.Loop.StopTimer(&c.sendDeadline.timer)
-	if c.reusable() {
+	if c.isReusable() {
 		c.conn.Resume()
 		c.reuse.idleSince = c.pool.Loop.Now()
 		c.pool.addIdle(c)
@@ -199,16 +199,17 @@
 	handler.Complete()
 }
 
-// reusable reports whether the connection may be kept after a complete response. The response may
-// have come before the whole request was sent, and the engine may have moved or left the list.
-func (c *Conn) reusable() bool {
+// isReusable reports whether the connection may be kept after a complete response. It may not if the
+// response forbids it, if the request has not been sent completely, or if the engine has a new address
+// or has left the endpoint list.
+func (c *Conn) isReusable() bool {
 	sameEngine := !c.pool.Removed && c.addr == c.pool.Addr
 	return c.keepAlive && sameEngine && c.conn.UnsentBytes() == 0
 }
 
-// EOF implements eventloop.Handler. The engine's close may be what completes the response.
+// EOF implements eventloop.Handler. It completes a response whose end is marked by the engine's close.
 func (c *Conn) EOF(conn *eventloop.Conn) {
-	if conn.Paused() { // EOF is called again after Resume, when the unread bytes were delivered
+	if conn.Paused() { // EOF is called again after Resume, once the unread bytes have been delivered
 		return
 	}
 	if c.handler != nil && c.parser.EndOfInput() {
@@ -220,10 +221,10 @@
 	c.fail(ClosedByEngine, "")
 }
 
-// Writable implements eventloop.Handler. The whole request is buffered at once, so nothing waits for it.
+// Writable implements eventloop.Handler. It does nothing, because the whole request is buffered at once.
 func (c *Conn) Writable(*eventloop.Conn) {}
 
-// Closed implements eventloop.Handler. The current request fails with the connection.
+// Closed implements eventloop.Handler. It fails the current request.
 func (c *Conn) Closed(*eventloop.Conn, error) {
 	if c.established {
 		c.fail(CloseReset, "")
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -9,8 +9,8 @@
 	"martenlock/internal/timerwheel"
 )
 
-// TestRequestNotSentWithinDeadlineFails: a request whose last byte has not left within SendWithin
-// fails as not written, whatever the time to connect may be. One that has left does not.
+// TestRequestNotSentWithinDeadlineFails: a request whose last byte has not left this process within
+// SendWithin fails and is reported as not written. A request that has been sent does not fail.
 func TestRequestNotSentWithinDeadlineFails(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 9})
 	testEnds := make(chan struct{})
@@ -46,7 +46,7 @@
 	}
 }
 
-// headBuilder builds its request's head, and counts how often.
+// headBuilder counts how often the head of its request is built.
 type headBuilder struct {
 	*recordedResponse
 	headsBuilt int
@@ -57,8 +57,8 @@
 	return getRequest
 }
 
-// TestRequestHeadBuiltOnceWhenConnectionEstablished: a HeadBuilder's head is built when the connection
-// is established, once, and replaces the one given to Start.
+// TestRequestHeadBuiltOnceWhenConnectionEstablished: RequestHead of a HeadBuilder is called once, when
+// the connection is established, and its result replaces the head given to Start.
 func TestRequestHeadBuiltOnceWhenConnectionEstablished(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4})
 	for i := range 2 { // over a new connection, then over an idle one
@@ -68,13 +68,13 @@
 				t.Error(err)
 			}
 			if b.headsBuilt != i {
-				t.Errorf("connection %d: head was built %d times within Start", i, b.headsBuilt)
+				t.Errorf("request %d: head was built %d times within Start, want %d", i, b.headsBuilt, i)
 			}
 		})
 		f.expectComplete(b.recordedResponse)
 		if b.headsBuilt != 1 {
-			t.Errorf("head was built %d times", b.headsBuilt)
+			t.Errorf("request %d: head was built %d times, want once", i, b.headsBuilt)
 		}
 	}
-	f.expectEngineSaw("connection", "request", "request")
+	f.expectEngineEvents("connection", "request", "request")
 }
--- a/internal/upstream/connerror.go
+++ b/internal/upstream/connerror.go
@@ -4,14 +4,14 @@
 type ConnError struct {
 	// Established is set if the connection was established.
 	Established bool
-	// RequestWritten is set if the last byte of the request had left this process, so that the engine
-	// may have the whole request.
+	// RequestWritten is set if the last byte of the request had left this process. The engine may have
+	// received the whole request then.
 	RequestWritten bool
 	// ReusedConnection is set if the connection was idle before this request and no byte of the
 	// response has arrived. The engine may have closed it before the request reached it.
 	ReusedConnection bool
-	// Malformed is why the parser rejected the response. It is empty if the connection failed
-	// otherwise.
+	// Malformed is why the parser rejected the response. It is empty if the connection failed for
+	// another reason.
 	Malformed string
 }
 
--- a/internal/upstream/connerror_test.go
+++ b/internal/upstream/connerror_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestConnErrorSaysHowFarTheRequestCame: the text tells apart what a caller treats differently.
-func TestConnErrorSaysHowFarTheRequestCame(t *testing.T) {
+// TestConnErrorTextTellsHowFarTheRequestGot: each stage at which a request can fail has its own text.
+func TestConnErrorTextTellsHowFarTheRequestGot(t *testing.T) {
 	for want, err := range map[string]ConnError{
 		"upstream: connection not established":                         {},
 		"upstream: connection closed before the request was written":   {Established: true},
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -17,9 +17,9 @@
 // getRequest is the head of a request without a body.
 var getRequest = []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 
-// recordedResponse is a ResponseHandler that reports how the response ended.
+// recordedResponse is a ResponseHandler that records how the response ended.
 type recordedResponse struct {
-	ended chan ConnError // the zero value for a complete response
+	ended chan ConnError // receives the zero value for a complete response
 }
 
 func newRecordedResponse() *recordedResponse { return &recordedResponse{make(chan ConnError, 1)} }
@@ -32,23 +32,23 @@
 func (r *recordedResponse) Failed(err ConnError) {
 	select {
 	case r.ended <- err:
-	default: // it has ended already
+	default: // the response has ended already
 	}
 }
 
-// fixture is a pool on a loop, beside an engine that answers every request.
+// fixture is a pool on a loop, and an engine that responds to every request.
 type fixture struct {
-	t           *testing.T
-	loop        eventlooptest.Loop
-	pool        *Pool
-	afterAnswer chan func(net.Conn) // what the engine does after its next answer, if anything is in it
-	engineSaw   chan string         // "connection", "request" and, at a connection's end, "gone"
+	t             *testing.T
+	loop          eventlooptest.Loop
+	pool          *Pool
+	afterResponse chan func(net.Conn) // the engine calls a function from it after its next response
+	engineEvents  chan string         // "connection", "request", or "closed" at the end of a connection
 }
 
-// newFixture returns a pool with the given options, whose limits and time-out to connect it sets.
+// newFixture returns a pool with the given options, except that it sets Limits and ConnectTimeout itself.
 func newFixture(t *testing.T, options Options) *fixture {
 	t.Helper()
-	f := &fixture{t: t, afterAnswer: make(chan func(net.Conn), 1), engineSaw: make(chan string, 100)}
+	f := &fixture{t: t, afterResponse: make(chan func(net.Conn), 1), engineEvents: make(chan string, 100)}
 	engine := enginetest.Listen(t, f.serveAsEngine)
 	f.loop = eventlooptest.Start(t)
 	options.Limits = http1.Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1 << 20}
@@ -62,18 +62,18 @@
 	return &Pool{Loop: f.loop.Loop, Options: f.pool.Options, Budget: f.pool.Budget, Addr: addr}
 }
 
-// serveAsEngine answers the requests on one connection.
+// serveAsEngine responds to the requests on one connection.
 func (f *fixture) serveAsEngine(conn *net.TCPConn) {
-	f.engineSaw <- "connection"
+	f.engineEvents <- "connection"
 	for reader := bufio.NewReader(conn); ; {
 		if _, err := http.ReadRequest(reader); err != nil {
-			f.engineSaw <- "gone"
+			f.engineEvents <- "closed"
 			return
 		}
-		f.engineSaw <- "request"
-		var after func(net.Conn) // received before the answer: what is sent later is for the next request
+		f.engineEvents <- "request"
+		var after func(net.Conn) // received before responding, so that a later one applies to the next request
 		select {
-		case after = <-f.afterAnswer:
+		case after = <-f.afterResponse:
 		default:
 		}
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -95,25 +95,25 @@
 	f.expectComplete(response)
 }
 
-// expectComplete waits for the end of a response and expects it to be complete.
+// expectComplete waits for the end of a response and fails the test if it is not complete.
 func (f *fixture) expectComplete(response *recordedResponse) {
 	f.t.Helper()
 	if err := <-response.ended; err != (ConnError{}) {
-		f.t.Fatalf("%+v", err)
+		f.t.Fatalf("response failed: %+v", err)
 	}
 }
 
-// expectEngineSaw checks what the engine saw next.
-func (f *fixture) expectEngineSaw(events ...string) {
+// expectEngineEvents checks the next events at the engine.
+func (f *fixture) expectEngineEvents(events ...string) {
 	f.t.Helper()
 	for _, want := range events {
 		select {
-		case got := <-f.engineSaw:
+		case got := <-f.engineEvents:
 			if got != want {
-				f.t.Errorf("the engine saw %q, not %q", got, want)
+				f.t.Errorf("event %q at the engine, want %q", got, want)
 			}
 		case <-time.After(5 * time.Second):
-			f.t.Fatalf("the engine saw no %q", want)
+			f.t.Fatalf("no event at the engine within 5 s, want %q", want)
 		}
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,13 +16,13 @@
 	Options *Options
 	Budget  *Budget
 	Addr    netip.AddrPort // connections to an earlier address are not kept for reuse
-	// Removed is set once the engine has left the endpoint list. Connections that become idle are
-	// closed then.
+	// Removed is set once the engine has left the endpoint list. Connections are then closed instead
+	// of becoming idle.
 	Removed bool
 	// OnConnClosed, if set, is called when a connection has closed.
 	OnConnClosed func(reason CloseReason)
 
-	idle      []*Conn // the most recently used last
+	idle      []*Conn // in the order of last use, most recent last
 	conns     map[*Conn]struct{}
 	connsMade int
 }
@@ -39,7 +39,7 @@
 // Start sends a request over an idle or a new connection. head must not change until
 // ResponseHandler.Connected has returned or the request has ended. body belongs to the connection and
 // must not change. notIdempotent is set if the request must not be retried once it may have been
-// executed. An error wraps ErrNoConn. After an error handler gets no call.
+// executed. If Start returns an error, it wraps ErrNoConn, and no method of handler is called.
 func (p *Pool) Start(handler ResponseHandler, head, body []byte, notIdempotent bool) (*Conn, error) {
 	c := p.takeIdle(notIdempotent)
 	if c == nil {
@@ -59,22 +59,22 @@
 }
 
 // takeIdle returns the most recently used idle connection that may carry the request, or nil. It
-// closes connections on which bytes or an end have arrived since their last response, and those
-// that the policy trusts with no request.
+// closes connections on which bytes or an end of stream have arrived since their last response, and
+// those that the policy does not allow even for an idempotent request.
 func (p *Pool) takeIdle(notIdempotent bool) *Conn {
 	policy := p.Options.ReusePolicy
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
 		c := p.idle[last]
 		c.reuse.idleFor = p.Loop.Now() - c.reuse.idleSince
-		isQuiet := c.conn.NoInputPending()
-		isTrusted := policy == nil || policy.MayReuse(c.reuse.idleFor, notIdempotent)
-		if isQuiet && !isTrusted && notIdempotent {
-			return nil // an idempotent request may still use it
+		hasNoInput := c.conn.NoInputPending()
+		isAllowed := policy == nil || policy.MayReuse(c.reuse.idleFor, notIdempotent)
+		if hasNoInput && !isAllowed && notIdempotent {
+			return nil // an idempotent request may still use the connection
 		}
 		p.idle = p.idle[:last]
 		p.Loop.StopTimer(&c.timer)
-		if isQuiet && isTrusted {
+		if hasNoInput && isAllowed {
 			c.reuse.pending = true
 			c.reuse.sentAt = p.Loop.Now()
 			return c
@@ -84,13 +84,13 @@
 	return nil
 }
 
-// dial starts a new connection within the limits of the pool and the budget.
+// dial starts a new connection if the limits of the pool and the budget allow it.
 func (p *Pool) dial() (*Conn, error) {
 	if len(p.conns) >= p.Options.MaxPerEngine || !p.Budget.ensureCapacity(p.Options.MaxTotal) {
 		return nil, ErrNoConn
 	}
 	c := &Conn{pool: p, parser: http1.NewResponseParser(&p.Options.Limits)}
-	c.timer.Fire = c.expire
+	c.timer.Fire = c.handleTimeout
 	conn, err := p.Loop.Dial(p.Addr, c)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNoConn, err)
@@ -114,12 +114,12 @@
 	p.Budget.addIdle(c)
 }
 
-// removeIdle removes a connection from the idle ones, if it is one of them.
+// removeIdle removes a connection from the idle connections. If it is not idle, removeIdle does nothing.
 func (p *Pool) removeIdle(c *Conn) {
 	p.idle = slices.DeleteFunc(p.idle, func(other *Conn) bool { return other == c })
 }
 
-// connClosed is called once for each connection, when it has closed.
+// connClosed is called once for each connection, after it was closed.
 func (p *Pool) connClosed(c *Conn, reason CloseReason) {
 	delete(p.conns, c)
 	p.Budget.open--
--- a/internal/upstream/reuse.go
+++ b/internal/upstream/reuse.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// ReusePolicy decides whether an idle connection may carry a request, and observes the outcome.
+// ReusePolicy decides whether an idle connection may carry a request, and observes the outcomes.
 type ReusePolicy interface {
 	// MayReuse reports whether a connection that was idle for idleFor may carry a request.
 	// notIdempotent is set if the request must not be retried once it may have been executed.
 	MayReuse(idleFor time.Duration, notIdempotent bool) bool
-	// Observe is called once for each request on a connection that was idle for idleFor. If lost is
-	// set, the connection closed before the first byte of the response. elapsed is the time from
-	// sending the request to that byte or to the close.
+	// Observe is called once for each request on a connection that was idle for idleFor. lost is set
+	// if the connection closed before the first byte of the response. elapsed is the time from sending
+	// the request to that byte or to the close.
 	Observe(idleFor, elapsed time.Duration, lost bool)
 }
 
-// reuse is what Options.ReusePolicy needs to know of a request on a connection that was idle before.
-// Times are of the loop's clock.
+// reuse holds what Options.ReusePolicy is told about a request on a reused connection. Times are on
+// the loop's clock.
 type reuse struct {
 	idleSince time.Duration
 	idleFor   time.Duration // before the current request
 	sentAt    time.Duration
-	pending   bool // the outcome is still to be observed; false on a new connection
+	pending   bool // the outcome has not been observed yet; false on a new connection
 }
 
-// observeReuse passes the outcome of a reuse to the policy. It does so once for each request.
+// observeReuse passes the outcome of a reuse to the policy, once for each request.
 func (c *Conn) observeReuse(lost bool) {
 	if !c.reuse.pending {
 		return
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,10 +1,9 @@
-// Package upstream holds a router's connections to engines. Each engine has a Pool, which keeps
+// Package upstream manages a router's connections to engines. Each engine has a Pool, which keeps
 // connections for reuse. A Conn carries one request at a time and passes its response to a
-// ResponseHandler. The package knows neither what requests mean nor which engine should get them,
-// and it never sends a request twice.
+// ResponseHandler. The package does not interpret requests, choose engines or retry.
 //
-// Nothing here locks. All methods must be called on the event loop of the pool, and the interfaces
-// that callers implement are called on it.
+// The package does no locking. All methods must be called on the event loop of the pool. The
+// interfaces that callers implement are called on it too.
 package upstream
 
 import (
@@ -14,18 +13,19 @@
 	"martenlock/internal/http1"
 )
 
-// ErrNoConn is wrapped by the error of Pool.Start if this machine, not the engine, could not make a
-// connection: a limit is reached, or the system has no descriptor or port left. A system error is
-// wrapped beside it.
+// ErrNoConn is wrapped by errors of Pool.Start. It means that no connection could be started for a
+// reason on this machine, not at the engine: a limit is reached, or the system has no descriptor or
+// port left. In the second case the error wraps the system's error too.
 var ErrNoConn = errors.New("upstream: no connection available")
 
-// Options bound the connections of pools. Pools share the value and read it at each use. A change
-// applies to connections made later, and to existing ones from the next time that they become idle.
+// Options configure the connections of pools. Pools share the value and read it at each use. Changed
+// Limits and ReusePolicy apply to existing connections at once, IdleTimeout from the next time that
+// they become idle, and the other fields to new connections.
 type Options struct {
 	Limits         http1.Limits  // of responses
-	ConnectTimeout time.Duration // from Pool.Start until the connection is established
-	IdleTimeout    time.Duration // idle connections are closed after it
-	MaxPerEngine   int           // connections of one pool
-	MaxTotal       int           // connections of all pools that share the Budget; 0 sets no bound
-	ReusePolicy    ReusePolicy   // nil allows every idle connection
+	ConnectTimeout time.Duration // from starting a connection until it is established
+	IdleTimeout    time.Duration // after which idle connections are closed
+	MaxPerEngine   int           // most connections of one pool
+	MaxTotal       int           // most connections of all pools that share the Budget; 0 for no limit
+	ReusePolicy    ReusePolicy   // nil allows the reuse of every idle connection
 }
