--- a/internal/enginecall/call.go
+++ b/internal/enginecall/call.go
@@ -1,5 +1,5 @@
-// Package enginecall makes short calls to engines whose response matters only by its head, such as health checks
-// and releases of KV state.
+// Package enginecall makes short calls to engines, such as health checks and releases of KV state. It ignores the
+// bodies of the responses.
 package enginecall
 
 import (
@@ -17,7 +17,7 @@
 
 // The outcomes of a call.
 const (
-	// NoConnection means that this process could not make a connection. The engine is not at fault.
+	// NoConnection means that no connection could be started for a reason on this machine, not at the engine.
 	NoConnection Outcome = iota // no connection
 	// Responded means that the response is complete, whatever its status.
 	Responded // responded
@@ -27,22 +27,22 @@
 	TimedOut // timed out
 )
 
-// Result is the result of a Call.
+// Result describes how a Call ended.
 type Result struct {
 	Outcome   Outcome
-	Status    int                // of the response; 0 if its head has not arrived
+	Status    int                // HTTP status of the response; 0 if its head has not arrived
 	ConnError upstream.ConnError // set if Outcome is ConnFailed
-	// WrittenBeforeTimeout is set if Outcome is TimedOut and the engine may have the whole call. For
-	// ConnFailed see ConnError.RequestWritten.
+	// WrittenBeforeTimeout is set if Outcome is TimedOut and the engine may have received the whole
+	// request. If Outcome is ConnFailed, ConnError.RequestWritten has this information.
 	WrittenBeforeTimeout bool
 }
 
-// Call is a request to an engine. The engine may get it twice without harm.
+// Call is a request to an engine. It must be idempotent, because it may be sent over a reused connection.
 type Call struct {
-	Head, Body []byte            // as for upstream.Pool.Start
+	Head, Body []byte            // as in upstream.Pool.Start
 	Timeout    time.Duration     // from Start until the response is complete
-	OnHead     func(*http1.Head) // receives the response's head, valid during the call; may be nil
-	OnDone     func(Result)      // receives the result, once; it may be called before Start returns
+	OnHead     func(*http1.Head) // receives the response's head, valid only during the call; may be nil
+	OnDone     func(Result)      // receives the result, once, possibly before Start returns
 }
 
 // Start sends the call over a connection of pool.
@@ -58,22 +58,22 @@
 	pool.Loop.StartTimer(&running.timer, c.Timeout)
 }
 
-// runningCall is a Call that was started.
+// runningCall is a Call that has been started.
 type runningCall struct {
 	Call
 	pool   *upstream.Pool
-	conn   *upstream.Conn // nil until assigned and after the response has ended
+	conn   *upstream.Conn // nil until Start assigns it, and after the response has ended
 	timer  timerwheel.Timer
-	status int
+	status int // HTTP status; 0 until the response's head arrives
 	ended  bool
 }
 
-// handleTimeout ends a call whose response is not complete in time.
+// handleTimeout ends a call whose response was not complete within Call.Timeout.
 func (c *runningCall) handleTimeout() {
 	c.finish(Result{Outcome: TimedOut, WrittenBeforeTimeout: c.conn == nil || c.conn.RequestWritten()})
 }
 
-// Connected implements upstream.ResponseHandler. What was sent matters only at the end of the call.
+// Connected implements upstream.ResponseHandler. It does nothing.
 func (c *runningCall) Connected() {}
 
 // Head implements upstream.ResponseHandler.
@@ -84,7 +84,7 @@
 	}
 }
 
-// Data implements upstream.ResponseHandler. The body is ignored.
+// Data implements upstream.ResponseHandler. It ignores the body.
 func (c *runningCall) Data([]byte) {}
 
 // Complete implements upstream.ResponseHandler.
@@ -99,8 +99,8 @@
 	c.finish(Result{Outcome: ConnFailed, ConnError: err})
 }
 
-// finish ends the call and reports its result. Later calls have no effect. A connection that is still
-// in use is aborted.
+// finish ends the call, reports its result, and aborts the connection if the call still uses it. It has
+// an effect only once.
 func (c *runningCall) finish(result Result) {
 	if c.ended {
 		return
--- a/internal/enginecall/call_test.go
+++ b/internal/enginecall/call_test.go
@@ -18,12 +18,12 @@
 // never is a time-out that no test reaches.
 const never = time.Hour
 
-// callFixture is a pool of connections on a loop, to an engine that the test acts as.
+// callFixture is a pool on a loop, with connections to an engine that the test implements.
 type callFixture struct {
 	t       *testing.T
 	loop    eventlooptest.Loop
 	pool    *upstream.Pool
-	results chan Result // buffered beyond what a test may get
+	results chan Result // with a buffer for more results than a test expects, so that sending never blocks
 }
 
 // newCallFixture returns a pool whose connections go to addr.
@@ -40,8 +40,8 @@
 	return &callFixture{t: t, loop: loop, pool: pool, results: make(chan Result, 10)}
 }
 
-// call makes a call and returns its result. It checks that no second result follows in the same
-// iteration.
+// call makes a call and returns its result. It fails the test if a second result follows before the end
+// of the loop's iteration.
 func (f *callFixture) call(timeout time.Duration, body []byte) Result {
 	f.t.Helper()
 	head := http1.AppendField(http1.AppendRequest(nil, http.MethodPost, "/"), "Host", "engine")
@@ -55,7 +55,7 @@
 	result := <-f.results
 	f.loop.DoIteration(func() {})
 	if len(f.results) != 0 {
-		f.t.Errorf("a second result: %+v", <-f.results)
+		f.t.Errorf("the call has a second result: %+v", <-f.results)
 	}
 	return result
 }
@@ -84,8 +84,8 @@
 	}
 }
 
-// unsendableBody returns more bytes than the kernel buffers for a peer that does not read.
-func unsendableBody() []byte { return make([]byte, 64<<20) }
+// bodyBeyondKernelBuffers returns a body that cannot be sent completely to a peer that does not read.
+func bodyBeyondKernelBuffers() []byte { return make([]byte, 64<<20) }
 
 // TestCallEndsWithCompleteResponse: the result has the status, OnHead gets the head, and the
 // connection is kept for the next call.
@@ -102,7 +102,7 @@
 	if got := f.call(never, []byte("ids")); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	f.expectRemaining(1, 1, 1) // the timer closes the idle connection
+	f.expectRemaining(1, 1, 1) // the remaining timer is the idle time-out
 	var load string
 	f.loop.Do(func() {
 		Call{
@@ -113,7 +113,7 @@
 		}.Start(f.pool)
 	})
 	if got := <-f.results; got != want || load != "3" {
-		t.Errorf("%+v with load %q, want %+v with 3", got, load, want)
+		t.Errorf("%+v with load %q, want %+v with load 3", got, load, want)
 	}
 	f.loop.Do(func() {
 		if f.pool.ConnsMade() != 1 {
@@ -122,7 +122,7 @@
 	})
 }
 
-// TestCallEndsWithFailedConnection: the result says how far the call came, and no connection or timer
+// TestCallEndsWithFailedConnection: the result tells how far the call got, and no connection or timer
 // remains.
 func TestCallEndsWithFailedConnection(t *testing.T) {
 	for _, c := range []struct {
@@ -137,7 +137,7 @@
 		},
 		{
 			name: "reset before it was written",
-			body: unsendableBody(),
+			body: bodyBeyondKernelBuffers(),
 			engine: func(conn *net.TCPConn) {
 				if _, err := conn.Read(make([]byte, 1)); err != nil {
 					t.Error(err)
@@ -180,22 +180,21 @@
 	}
 }
 
-// TestCallTimesOutBeforeItWasWritten: the engine reads nothing, so the end of the body never leaves this
-// process.
+// TestCallTimesOutBeforeItWasWritten: the engine reads nothing, so the request cannot be sent completely.
 func TestCallTimesOutBeforeItWasWritten(t *testing.T) {
 	testEnds := make(chan struct{})
 	engine := enginetest.Listen(t, func(*net.TCPConn) { <-testEnds })
 	defer close(testEnds)
 	f := newCallFixture(t, engine.Addr())
 	want := Result{Outcome: TimedOut}
-	if got := f.call(time.Millisecond, unsendableBody()); got != want {
+	if got := f.call(time.Millisecond, bodyBeyondKernelBuffers()); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	f.expectRemaining(0, 0, 0)
 }
 
-// TestCallTimesOutAfterItWasWritten: on a connection of an earlier call, the request is written in the
-// iteration that starts the timer. So the time-out follows it on any machine.
+// TestCallTimesOutAfterItWasWritten: the call reuses the connection of an earlier one, so its request is
+// written before the time-out even on a slow machine.
 func TestCallTimesOutAfterItWasWritten(t *testing.T) {
 	f := newCallFixture(t, enginetest.Listen(t, func(conn *net.TCPConn) {
 		readRequest(t, bufio.NewReader(conn))
@@ -213,7 +212,7 @@
 	f.expectRemaining(0, 0, 0)
 }
 
-// TestCallWithoutConnectionEndsWithinStart: if the pool allows no connection, OnDone is called before
+// TestCallWithoutConnectionEndsWithinStart: if the pool can make no connection, OnDone is called before
 // Start returns.
 func TestCallWithoutConnectionEndsWithinStart(t *testing.T) {
 	f := newCallFixture(t, enginetest.RefusingAddress(t))
@@ -221,7 +220,7 @@
 	f.loop.Do(func() {
 		Call{Timeout: never, OnDone: func(result Result) { f.results <- result }}.Start(f.pool)
 		if len(f.results) != 1 {
-			t.Errorf("%d results when Start has returned, want 1", len(f.results))
+			t.Errorf("%d results after Start returned, want 1", len(f.results))
 		}
 	})
 	if got := <-f.results; got != (Result{Outcome: NoConnection}) {
@@ -230,8 +229,8 @@
 	f.expectRemaining(0, 0, 0)
 }
 
-// TestCallEndsOnceWhateverFollows: a call reports its first end and no other.
-func TestCallEndsOnceWhateverFollows(t *testing.T) {
+// TestCallReportsOnlyItsFirstEnd: a call that has ended ignores any later response, failure or time-out.
+func TestCallReportsOnlyItsFirstEnd(t *testing.T) {
 	ends := map[string]func(*runningCall){
 		"response": (*runningCall).Complete,
 		"failure":  func(c *runningCall) { c.Failed(upstream.ConnError{}) },
@@ -244,8 +243,8 @@
 				call := &runningCall{pool: f.pool}
 				call.OnDone = func(result Result) { f.results <- result }
 				end(call)
-				for _, again := range ends {
-					again(call)
+				for _, laterEnd := range ends {
+					laterEnd(call)
 				}
 			})
 			if len(f.results) != 1 {
