--- a/internal/decisionloop/example_test.go
+++ b/internal/decisionloop/example_test.go
@@ -9,18 +9,18 @@
 	"martenlock/internal/eventloop"
 )
 
-// printedExchange prints the module's actions for one request.
-type printedExchange struct{}
+// printingExchange prints the actions that it is to execute.
+type printingExchange struct{}
 
-func (printedExchange) Forward(action control.Forward) {
+func (printingExchange) Forward(action control.Forward) {
 	fmt.Printf("forward request %d to endpoint %d\n", action.ID, action.Endpoint)
 }
-func (printedExchange) Reject(control.Reject)               { fmt.Println("reject") }
-func (printedExchange) Fail(control.Fail)                   { fmt.Println("fail") }
-func (printedExchange) ReleaseKV(control.ReleaseKV)         { fmt.Println("release KV") }
-func (printedExchange) CancelAttempt(control.AttemptNumber) { fmt.Println("cancel attempt") }
+func (printingExchange) Reject(control.Reject)               { fmt.Println("reject") }
+func (printingExchange) Fail(control.Fail)                   { fmt.Println("fail") }
+func (printingExchange) ReleaseKV(control.ReleaseKV)         { fmt.Println("release KV") }
+func (printingExchange) CancelAttempt(control.AttemptNumber) { fmt.Println("cancel attempt") }
 
-// Both events reach the module at the end of the iteration. Its action reaches the exchange.
+// The module gets both events at the end of the iteration. The exchange executes its action.
 func ExampleMailbox() {
 	loop, err := eventloop.New(eventloop.Options{})
 	if err != nil {
@@ -33,10 +33,10 @@
 		Limits:   control.Limits{MaxAttempts: 1},
 		Classes:  []control.Class{{TTFTObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
 	}
-	mailbox := decisionloop.Mailbox[printedExchange]{
+	mailbox := decisionloop.Mailbox[printingExchange]{
 		Loop:      loop,
 		Router:    control.New(settings, 0),
-		Exchanges: map[control.RequestID]printedExchange{7: {}},
+		Exchanges: map[control.RequestID]printingExchange{7: {}},
 		Now:       func() control.Time { return 0 },
 		AfterPoll: loop.Stop,
 	}
--- a/internal/decisionloop/exchanges.go
+++ b/internal/decisionloop/exchanges.go
@@ -2,22 +2,22 @@
 
 import "martenlock/control"
 
-// Exchanges holds the exchanges of a decision module by request. An exchange stays until the module
-// was notified of the request's end, and the exchange needs no further event. NewExchanges returns
-// an empty one that is ready for use.
+// Exchanges holds the exchanges of a decision module. An exchange is kept until the module has been
+// notified of the request's end and the exchange needs no further event. The zero Exchanges is not
+// ready for use; NewExchanges makes one that is.
 type Exchanges[X Exchange] struct {
 	ByID map[control.RequestID]X
 
-	ended  []control.RequestID // those that RemoveEnded may remove
+	ended  []control.RequestID // the exchanges that the next RemoveEnded considers
 	lastID control.RequestID
 }
 
-// NewExchanges returns an Exchanges without exchanges.
+// NewExchanges returns an empty Exchanges.
 func NewExchanges[X Exchange]() Exchanges[X] {
 	return Exchanges[X]{ByID: map[control.RequestID]X{}}
 }
 
-// NewID returns an id that no exchange has, also after the counter has wrapped.
+// NewID returns an ID that no exchange has, even after the ID counter has wrapped around.
 func (e *Exchanges[X]) NewID() control.RequestID {
 	for {
 		e.lastID++
@@ -27,11 +27,12 @@
 	}
 }
 
-// MarkEnded makes the next RemoveEnded consider an exchange that has no client any more.
+// MarkEnded marks an exchange that no longer has a client. The next RemoveEnded may remove it.
 func (e *Exchanges[X]) MarkEnded(id control.RequestID) { e.ended = append(e.ended, id) }
 
-// RemoveEnded removes the marked exchanges that are removable, and unmarks all. An exchange that
-// stays must be marked again later. The caller makes sure that the module was notified of the ends.
+// RemoveEnded removes the marked exchanges for which isRemovable returns true, and clears all marks.
+// An exchange that it keeps must be marked again. The caller must have notified the module of the end
+// of each marked exchange.
 func (e *Exchanges[X]) RemoveEnded(isRemovable func(X) bool) {
 	for _, id := range e.ended {
 		if exchange, isPresent := e.ByID[id]; isPresent && isRemovable(exchange) {
--- a/internal/decisionloop/mailbox.go
+++ b/internal/decisionloop/mailbox.go
@@ -1,6 +1,6 @@
 // Package decisionloop runs the decision module (package control) on an event loop. Its Mailbox collects the events
-// of one iteration, passes them to the module together, and executes the actions that it returns. What an action
-// needs on connections is up to the server, through the Exchange interface.
+// of one iteration, passes them to the module together, and executes the actions that the module returns. Servers
+// implement the Exchange interface to execute the actions that concern a request's connections.
 package decisionloop
 
 import (
@@ -13,54 +13,55 @@
 	"martenlock/internal/timerwheel"
 )
 
-// Exchange is a server's side of a request that the module knows. Each method executes the action of the same name.
+// Exchange is a server's state of a request that was passed to the module. Each method executes the action of the same
+// name.
 type Exchange interface {
 	// Forward starts an attempt.
 	Forward(action control.Forward)
-	// Reject answers that a retry is harmless, and when it makes sense.
+	// Reject responds to the client that it may safely retry the request, and how long to wait before.
 	Reject(action control.Reject)
-	// Fail answers that the request may have been executed.
+	// Fail responds to the client that the request may have been executed.
 	Fail(action control.Fail)
-	// ReleaseKV makes engines release the KV state that they may retain for the request.
+	// ReleaseKV asks engines to release the KV state that they may retain for the request.
 	ReleaseKV(action control.ReleaseKV)
-	// CancelAttempt ends an attempt, unless its answer is being streamed.
+	// CancelAttempt ends an attempt, unless its response is being streamed to the client.
 	CancelAttempt(number control.AttemptNumber)
 }
 
-// Mailbox collects events for a decision module, passes those of one iteration of the event loop to
-// it at the iteration's end, and executes its actions. All methods must be called on the loop. The
-// owner sets the exported fields before the first call.
+// Mailbox collects events for a decision module. At the end of each iteration of the event loop it
+// passes them to the module and executes the module's actions. All methods must be called on the
+// loop. The owner sets the exported fields before the first call.
 type Mailbox[X Exchange] struct {
 	Loop      *eventloop.Loop
 	Router    *control.Router
 	Exchanges map[control.RequestID]X // owned by the server; actions for other requests are ignored
-	Logger    zerolog.Logger          // for the decisions that the module logs
+	Logger    zerolog.Logger          // for control.Log actions
 
 	Now         func() control.Time         // returns the time on the module's clock
 	CheckHealth func(id control.EndpointID) // starts a health check, which pushes a control.HealthCheckResult
 	AfterPoll   func()                      // is called at the end of each poll
 
-	// EndpointName returns an endpoint's name for the log, or "" if the endpoint is unknown. If it is
-	// nil, log lines have no name.
+	// EndpointName returns an endpoint's name for log lines, or "" if the endpoint is unknown. If the
+	// field is nil, log lines have no name.
 	EndpointName func(id control.EndpointID) string
 
 	events         []control.Event
-	spare          []control.Event // an empty buffer that replaces events while those are handled
+	spare          []control.Event // an empty buffer that replaces events during a poll
 	pollScheduled  bool            // Poll runs at the end of this iteration
-	timersDisabled bool
+	timersDisabled bool            // set by DisableTimers
 }
 
 // Len returns the number of events that wait for the next poll.
 func (m *Mailbox[X]) Len() int { return len(m.events) }
 
-// Push adds an event. The module gets it at the end of this iteration, with all others of the
-// iteration. An event pushed while actions are executed belongs to the next poll.
+// Push adds an event. The module gets it at the end of this iteration, together with the iteration's
+// other events. An event that is pushed while actions are executed is handled in the next poll.
 func (m *Mailbox[X]) Push(event control.Event) {
 	m.events = append(m.events, event)
 	m.SchedulePoll()
 }
 
-// SchedulePoll makes Poll run at the end of this iteration, once.
+// SchedulePoll makes Poll run at the end of this iteration. Several calls in an iteration cause one poll.
 func (m *Mailbox[X]) SchedulePoll() {
 	if m.pollScheduled {
 		return
@@ -69,12 +70,13 @@
 	m.Loop.Defer(m.Poll)
 }
 
-// DisableTimers makes the module's timers do nothing from now on. It is for a module that is no longer
-// used.
+// DisableTimers makes the module's timers do nothing from now on. It is called when the module is no
+// longer used. Running timers are not stopped, and without this call they would push events to it.
 func (m *Mailbox[X]) DisableTimers() { m.timersDisabled = true }
 
-// Poll passes the collected events to the module and executes its actions, then calls AfterPoll.
-// Without events the module is not called. Servers call SchedulePoll, and tests Poll itself.
+// Poll passes the collected events to the module, executes its actions, and then calls AfterPoll. If
+// there are no events, it does not call the module. Servers call SchedulePoll instead; tests may call
+// Poll directly.
 func (m *Mailbox[X]) Poll() {
 	m.pollScheduled = false
 	events := m.takeEvents()
@@ -87,7 +89,7 @@
 	m.AfterPoll()
 }
 
-// takeEvents empties the mailbox. Events pushed from now on go to the other buffer.
+// takeEvents empties the mailbox. Events pushed from now on go to the spare buffer.
 func (m *Mailbox[X]) takeEvents() []control.Event {
 	events := m.events
 	m.events = m.spare[:0]
@@ -95,14 +97,14 @@
 	return events
 }
 
-// recycleBuffer keeps the buffer of handled events for a later poll, without the events.
+// recycleBuffer clears the buffer of handled events and keeps it as the spare buffer.
 func (m *Mailbox[X]) recycleBuffer(events []control.Event) {
 	clear(events)
 	m.spare = events[:0]
 }
 
-// execute executes one action. An action for an exchange that has ended is ignored: the module
-// may not know of the end yet.
+// execute executes one action. It ignores an action for an exchange that no longer exists, because the
+// module may not have been notified of the end yet.
 func (m *Mailbox[X]) execute(action control.Action) {
 	switch action := action.(type) {
 	case control.Forward:
@@ -134,7 +136,7 @@
 	}
 }
 
-// startTimer starts a timer that pushes control.Timer.
+// startTimer starts a timer that pushes a control.Timer event.
 func (m *Mailbox[X]) startTimer(action control.SetTimer) {
 	timer := &timerwheel.Timer{}
 	timer.Fire = func() {
@@ -145,7 +147,6 @@
 	m.Loop.StartTimer(timer, action.After)
 }
 
-// logDecision logs a decision of the module.
 func (m *Mailbox[X]) logDecision(entry control.Log) {
 	line := m.Logger.Info().Str("endpoint", strconv.FormatUint(uint64(entry.Endpoint), 16))
 	if m.EndpointName != nil {
--- a/internal/decisionloop/mailbox_test.go
+++ b/internal/decisionloop/mailbox_test.go
@@ -15,7 +15,7 @@
 	"martenlock/internal/timerwheel"
 )
 
-// recordedExchange records the actions that reach it.
+// recordedExchange records the actions that it is to execute in its mailbox.
 type recordedExchange struct {
 	id      control.RequestID
 	mailbox *testMailbox
@@ -35,14 +35,14 @@
 	e.mailbox.record(control.CancelAttempt{ID: e.id, Attempt: number})
 }
 
-// testMailbox is a mailbox that records the executed actions. Timers of the module are disabled.
+// testMailbox is a mailbox that records the executed actions. The module's timers are disabled.
 type testMailbox struct {
 	Mailbox[*recordedExchange]
-	loop      eventlooptest.Loop
-	actions   []control.Action
-	polls     int // calls of AfterPoll
-	handled   int // calls of the module
-	onForward func(control.Forward)
+	loop        eventlooptest.Loop
+	actions     []control.Action
+	polls       int // calls of AfterPoll
+	moduleCalls int // calls of the module
+	onForward   func(control.Forward)
 }
 
 func (m *testMailbox) record(action control.Action) { m.actions = append(m.actions, action) }
@@ -50,7 +50,7 @@
 // moduleStart is the time on the module's clock in all tests.
 const moduleStart = control.Time(1e6)
 
-// newRouter returns a module with one class, for colocated engines.
+// newRouter returns a decision module for colocated engines and one class.
 func newRouter() *control.Router {
 	return control.New(control.Settings{
 		Identity: control.RouterIdentity{Routers: 1},
@@ -60,7 +60,7 @@
 	}, moduleStart)
 }
 
-// newTestMailbox returns a mailbox with exchanges for the given requests.
+// newTestMailbox returns a mailbox with an exchange for each of the given requests.
 func newTestMailbox(t *testing.T, ids ...control.RequestID) *testMailbox {
 	t.Helper()
 	loop := eventlooptest.Start(t)
@@ -70,7 +70,7 @@
 		Router:      newRouter(),
 		Exchanges:   map[control.RequestID]*recordedExchange{},
 		Logger:      zerolog.Nop(),
-		Now:         func() control.Time { m.handled++; return moduleStart },
+		Now:         func() control.Time { m.moduleCalls++; return moduleStart },
 		CheckHealth: func(id control.EndpointID) { m.record(control.HealthCheck{Endpoint: id}) },
 		AfterPoll:   func() { m.polls++ },
 	}
@@ -81,12 +81,12 @@
 	return m
 }
 
-// oneEngine returns an endpoint list of one engine.
+// oneEngine returns an endpoint list with one engine.
 func oneEngine() control.EndpointUpdate {
 	return control.EndpointUpdate{Full: true, Endpoints: []control.Endpoint{{ID: 1, State: control.Ready, Weight: 1}}}
 }
 
-// newRequest returns a request that one engine can serve.
+// newRequest returns a request that is small enough for the engine of oneEngine.
 func newRequest(id control.RequestID) control.Request {
 	return control.Request{ID: id, PromptTokens: 100, MaxTokens: 10, Deadline: moduleStart.Add(time.Minute)}
 }
@@ -101,7 +101,7 @@
 	return ids
 }
 
-// expectForwarded checks which requests were forwarded, in order, and clears the record.
+// expectForwarded checks which requests were forwarded, in order, and clears the recorded actions.
 func (m *testMailbox) expectForwarded(t *testing.T, want ...control.RequestID) {
 	t.Helper()
 	if got := m.forwardedIDs(); !slices.Equal(got, want) {
@@ -110,9 +110,10 @@
 	m.actions = nil
 }
 
-// TestEventsOfOneIterationReachModuleTogetherInOrder pushes events whose order matters: the engine
-// is listed before the requests arrive, and a client leaves after its request. A second module that
-// gets the same events in one call shows which actions must follow, in which order.
+// TestEventsOfOneIterationReachModuleTogetherInOrder: the events of one iteration are passed to the
+// module in one call and in the order of Push. The expected actions are those of a second module that
+// gets the events directly. Their order matters: the engine is listed before the requests arrive, and
+// a client leaves after its request.
 func TestEventsOfOneIterationReachModuleTogetherInOrder(t *testing.T) {
 	m := newTestMailbox(t, 1, 2, 3, 4)
 	events := []control.Event{
@@ -122,12 +123,12 @@
 		for _, event := range events {
 			m.Push(event)
 		}
-		if m.Len() != len(events) || m.handled != 0 {
-			t.Errorf("%d events wait, and the module was called %d times before the iteration's end", m.Len(), m.handled)
+		if m.Len() != len(events) || m.moduleCalls != 0 {
+			t.Errorf("%d events wait and the module was called %d times before the iteration's end, want %d and 0", m.Len(), m.moduleCalls, len(events))
 		}
 	})
-	if m.handled != 1 || m.polls != 1 || m.Len() != 0 {
-		t.Errorf("module called %d times, %d polls, %d events left; want 1, 1, 0", m.handled, m.polls, m.Len())
+	if m.moduleCalls != 1 || m.polls != 1 || m.Len() != 0 {
+		t.Errorf("module called %d times, %d polls, %d events left; want 1, 1, 0", m.moduleCalls, m.polls, m.Len())
 	}
 	var want []control.Action
 	for _, action := range newRouter().Handle(moduleStart, events) {
@@ -143,8 +144,9 @@
 	}
 }
 
-// TestPollWithoutEventsLeavesModuleAlone: only AfterPoll is called, once an iteration.
-func TestPollWithoutEventsLeavesModuleAlone(t *testing.T) {
+// TestPollWithoutEventsDoesNotCallModule: without events, a poll calls only AfterPoll. Several calls of
+// SchedulePoll in one iteration cause one poll.
+func TestPollWithoutEventsDoesNotCallModule(t *testing.T) {
 	m := newTestMailbox(t)
 	for range 2 {
 		m.loop.DoIteration(func() {
@@ -152,13 +154,13 @@
 			m.SchedulePoll()
 		})
 	}
-	if m.handled != 0 || m.polls != 2 {
-		t.Errorf("module called %d times in %d polls; want 0 in 2", m.handled, m.polls)
+	if m.moduleCalls != 0 || m.polls != 2 {
+		t.Errorf("module called %d times in %d polls; want 0 in 2", m.moduleCalls, m.polls)
 	}
 }
 
-// TestEventPushedByActionWaitsForNextPoll: an event that is pushed while actions are executed is
-// neither lost nor passed to the module in the same poll.
+// TestEventPushedByActionWaitsForNextPoll: an event that is pushed while actions are executed is passed
+// to the module in the next poll, not in the same one, and is not lost.
 func TestEventPushedByActionWaitsForNextPoll(t *testing.T) {
 	m := newTestMailbox(t, 1, 2)
 	var lenAfterPush int
@@ -173,12 +175,12 @@
 		m.Push(newRequest(1))
 	})
 	m.expectForwarded(t, 1, 2)
-	if lenAfterPush != 1 || m.handled != 2 || m.polls != 2 {
-		t.Errorf("%d events waited, module called %d times in %d polls; want 1, 2, 2", lenAfterPush, m.handled, m.polls)
+	if lenAfterPush != 1 || m.moduleCalls != 2 || m.polls != 2 {
+		t.Errorf("%d events waited, module called %d times in %d polls; want 1, 2, 2", lenAfterPush, m.moduleCalls, m.polls)
 	}
 }
 
-// TestBuffersReusedWithoutOldEvents: two buffers take turns, and keep no event that was handled.
+// TestBuffersReusedWithoutOldEvents: polls alternate between two buffers, which keep no handled event.
 func TestBuffersReusedWithoutOldEvents(t *testing.T) {
 	m := newTestMailbox(t, 1, 2, 3)
 	m.loop.Do(func() {
@@ -193,7 +195,7 @@
 		}
 		for i, batch := range batches {
 			if cap(m.events) == 0 || &m.events[:1][0] != &buffers[i%2][0] {
-				t.Errorf("poll %d: events are collected in another buffer", i)
+				t.Errorf("poll %d: events are not collected in the expected buffer", i)
 			}
 			for _, event := range batch {
 				m.Push(event)
@@ -203,33 +205,33 @@
 			}
 			m.Poll()
 			if kept := slices.ContainsFunc(slices.Concat(buffers...), func(e control.Event) bool { return e != nil }); kept {
-				t.Errorf("poll %d: a buffer keeps events that were handled", i)
+				t.Errorf("poll %d: a buffer keeps handled events", i)
 			}
 		}
 	})
 	m.expectForwarded(t, 1, 2, 3)
 }
 
-// TestActionReachesItsExchangeUnlessGone: each action reaches the exchange that it names, with its
-// values. One for an exchange that has ended is ignored.
-func TestActionReachesItsExchangeUnlessGone(t *testing.T) {
-	for _, open := range []control.Action{
+// TestActionReachesItsExchangeUnlessEnded: each action is passed unchanged to the exchange with its ID.
+// An action for an exchange that no longer exists is ignored.
+func TestActionReachesItsExchangeUnlessEnded(t *testing.T) {
+	for _, action := range []control.Action{
 		control.Forward{ID: 1, Endpoint: 5, Timeout: time.Second},
 		control.Reject{ID: 1, RetryAfter: 3 * time.Second, Reason: control.FinishedAtDeadline},
 		control.Fail{ID: 1, Reason: control.FinishedNotRepeatable},
 		control.ReleaseKV{ID: 1, Reason: control.ReleasedAtFinish},
 		control.CancelAttempt{ID: 1, Attempt: 2},
 	} {
-		t.Run(strings.TrimPrefix(fmt.Sprintf("%T", open), "control."), func(t *testing.T) {
+		t.Run(strings.TrimPrefix(fmt.Sprintf("%T", action), "control."), func(t *testing.T) {
 			m := newTestMailbox(t, 1)
-			m.loop.Do(func() { m.execute(open) })
-			if want := []control.Action{open}; !slices.Equal(m.actions, want) {
+			m.loop.Do(func() { m.execute(action) })
+			if want := []control.Action{action}; !slices.Equal(m.actions, want) {
 				t.Errorf("executed %v, want %v", m.actions, want)
 			}
 			m.actions = nil
 			m.loop.Do(func() {
 				delete(m.Exchanges, 1)
-				m.execute(open) // a call on a nil exchange would panic
+				m.execute(action) // a call on a nil exchange would panic
 			})
 			if len(m.actions) != 0 {
 				t.Errorf("executed %v for an exchange that has ended", m.actions)
@@ -238,7 +240,7 @@
 	}
 }
 
-// TestHealthCheckAndLogNeedNoExchange: these actions concern an endpoint.
+// TestHealthCheckAndLogNeedNoExchange: these actions concern an endpoint, not a request.
 func TestHealthCheckAndLogNeedNoExchange(t *testing.T) {
 	m := newTestMailbox(t)
 	var lines bytes.Buffer
@@ -258,14 +260,14 @@
 }
 
 // TestTimerPushesItsTokenUnlessDisabled: a timer of the module pushes an event with its token, unless
-// DisableTimers was called. A later timer of the test shows what was pushed.
+// DisableTimers was called. A later timer of the test reads the pushed events.
 func TestTimerPushesItsTokenUnlessDisabled(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		m := newTestMailbox(t)
 		m.timersDisabled = false
 		pushed := make(chan []control.Event, 1)
 		m.loop.Do(func() {
-			m.pollScheduled = true // no poll takes the event from the test
+			m.pollScheduled = true // prevents a poll, which would take the event out of the mailbox
 			m.execute(control.SetTimer{Token: 7, After: time.Millisecond})
 			if disabled {
 				m.DisableTimers()
