--- a/internal/inifile/errors.go
+++ b/internal/inifile/errors.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// What can be wrong with a section, a key or a value. The errors of this package wrap one of them, and
-// so should those that its callers add. They are parts of the text, such as "unknown key" or "duration
-// 5h is out of range". Only the error of a text that is not INI wraps the library's error instead.
+// Kinds of errors. Each error of this package wraps one of them, and so should errors that callers add
+// with AddError. Their texts are part of the message, such as "unknown key" or "duration 5h is out of
+// range". A syntax error wraps the error of the INI library instead.
 var (
 	ErrUnknown    = errors.New("unknown")
 	ErrDuplicate  = errors.New("duplicate")
@@ -18,15 +18,15 @@
 	ErrOutOfRange = errors.New("out of range")
 )
 
-// Error is one error in a file.
+// Error describes one error in a file.
 type Error struct {
 	File    string
-	Section string // its heading, such as "[class chat]"; "" for the file as a whole
-	Key     string // "" for the section as a whole
+	Section string // its heading, such as "[class chat]"; "" if the error concerns the whole file
+	Key     string // "" if the error concerns the whole section or file
 	Err     error
 }
 
-// Error implements error. The text begins with file, section and key.
+// Error implements error. The message begins with file, section and key.
 func (e *Error) Error() string {
 	place := e.File + ": "
 	if e.Section != "" {
@@ -39,16 +39,16 @@
 	return place + e.Err.Error()
 }
 
-// Unwrap returns the reason.
+// Unwrap returns e.Err.
 func (e *Error) Unwrap() error { return e.Err }
 
-// AddError records an error of the file as a whole. The format is that of fmt.Errorf.
+// AddError records an error that concerns the whole file. format and args are those of fmt.Errorf.
 func (f *File) AddError(format string, args ...any) {
 	f.errs = append(f.errs, &Error{File: f.Name, Err: fmt.Errorf(format, args...)})
 }
 
-// AddError records an error of a key, or of the section if key is "". The format is that of
-// fmt.Errorf.
+// AddError records an error that concerns a key, or the whole section if key is "". format and args
+// are those of fmt.Errorf.
 func (s *Section) AddError(key, format string, args ...any) {
 	s.file.errs = append(s.file.errs, &Error{
 		File:    s.file.Name,
@@ -58,8 +58,9 @@
 	})
 }
 
-// Err returns all errors of the file, each an *Error, joined. It adds the sections whose kind is not
-// in kinds and the keys that nobody has asked for, so it must be called after all values were read.
+// Err returns all errors of the file, joined with errors.Join. Each is an *Error. It adds an error for
+// each section whose kind is not in kinds and for each key that was not read, so it must be called
+// after all values were read.
 func (f *File) Err(kinds ...string) error {
 	for _, s := range f.sections {
 		if !slices.Contains(kinds, s.Kind) {
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,9 +1,8 @@
-// Package inifile reads INI files whose sections and keys are all known. Unknown, duplicate,
-// missing and invalid ones are errors that name file, section and key. The reader of a file gets
-// all its errors at once.
+// Package inifile reads INI files strictly: unknown, duplicate, missing or invalid sections and keys
+// are errors. Each error names file, section and key. All errors of a file are returned together.
 //
-// Parse a file, ask its sections for their values, and then call File.Err, which also reports the
-// sections and keys that nobody asked for.
+// Callers parse a file, read the values of its sections, and then call File.Err, which also reports
+// sections and keys that were not read.
 package inifile
 
 import (
@@ -13,9 +12,9 @@
 	"gopkg.in/ini.v1"
 )
 
-// File is a parsed file. It collects the errors that are found while its values are read.
+// File is a parsed file. It collects the errors that are found when its values are read.
 type File struct {
-	Name     string // for errors
+	Name     string // for error messages
 	sections []*Section
 	errs     []error // of type *Error
 }
@@ -26,11 +25,11 @@
 	Name   string // the rest of the heading; "" for none
 	file   *File
 	values map[string]string // by key
-	used   map[string]bool   // the keys that were asked for
+	read   map[string]bool   // the keys that were read
 }
 
-// loadOptions make the library accept duplicate sections and keys. Parse reports them with file,
-// section and key.
+// loadOptions make the INI library accept duplicate sections and keys, because Parse reports them with
+// file, section and key.
 var loadOptions = ini.LoadOptions{
 	AllowNonUniqueSections:     true,
 	AllowShadows:               true,
@@ -39,8 +38,8 @@
 	SkipUnrecognizableLines:    false,
 }
 
-// Parse parses the text of a file. name is used in errors. It returns an *Error only if the text is
-// not INI. All other errors are returned by File.Err.
+// Parse parses the text of a file. name is used in error messages. Parse returns an *Error if the text
+// has a syntax error. All other errors are returned by File.Err.
 func Parse(name string, text []byte) (*File, error) {
 	parsed, err := ini.LoadSources(loadOptions, text)
 	if err != nil {
@@ -51,7 +50,7 @@
 	for _, section := range parsed.Sections() {
 		heading := section.Name()
 		if heading == ini.DefaultSection {
-			f.rejectKeys(section)
+			f.reportKeysOutsideSections(section)
 			continue
 		}
 		s := f.addSection(section)
@@ -63,15 +62,15 @@
 	return f, nil
 }
 
-// rejectKeys reports the keys before the first section, which the library puts into a section of
-// their own.
-func (f *File) rejectKeys(section *ini.Section) {
-	for _, key := range section.Keys() {
+// reportKeysOutsideSections records an error for each key before the first section. The INI
+// library puts these keys into a section of their own.
+func (f *File) reportKeysOutsideSections(defaultSection *ini.Section) {
+	for _, key := range defaultSection.Keys() {
 		f.AddError("%w key %q before the first section", ErrInvalid, key.Name())
 	}
 }
 
-// addSection adds a section that the library has parsed.
+// addSection adds a section that the INI library has parsed.
 func (f *File) addSection(section *ini.Section) *Section {
 	kind, name, _ := strings.Cut(section.Name(), " ")
 	s := newSection(f, kind)
@@ -89,10 +88,10 @@
 
 // newSection returns an empty section without a name.
 func newSection(f *File, kind string) *Section {
-	return &Section{file: f, Kind: kind, values: map[string]string{}, used: map[string]bool{}}
+	return &Section{file: f, Kind: kind, values: map[string]string{}, read: map[string]bool{}}
 }
 
-// Sections returns the sections of a kind in the order of the file.
+// Sections returns the sections of a kind in the order in which the file has them.
 func (f *File) Sections(kind string) []*Section {
 	var sections []*Section
 	for _, s := range f.sections {
@@ -103,8 +102,9 @@
 	return sections
 }
 
-// Section returns the only section of a kind, which has no name. If the file has none it returns
-// an empty section, whose values are the defaults.
+// Section returns the section of a kind that has no names, such as "[router]". It records an error if
+// the section has a name. If the file has no such section, it returns an empty one, from which all
+// values are read as their fallbacks.
 func (f *File) Section(kind string) *Section {
 	sections := f.Sections(kind)
 	if len(sections) == 0 {
@@ -125,7 +125,7 @@
 	return "[" + s.Kind + " " + s.Name + "]"
 }
 
-// RequireName reports whether the section has a name. It records an error if it has none.
+// RequireName reports whether the section has a name. If not, it records an error.
 func (s *Section) RequireName() bool {
 	if s.Name == "" {
 		s.AddError("", "%w name, want [%s NAME]", ErrMissing, s.Kind)
@@ -134,11 +134,11 @@
 	return true
 }
 
-// unusedKeys returns the keys that nobody asked for, sorted.
+// unusedKeys returns the keys that were not read, sorted.
 func (s *Section) unusedKeys() []string {
 	var unused []string
 	for key := range s.values {
-		if !s.used[key] {
+		if !s.read[key] {
 			unused = append(unused, key)
 		}
 	}
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -20,7 +20,7 @@
 	err = file.Err("router", "pool")
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) {
-		t.Fatalf("%T is not a joined error", err)
+		t.Fatalf("error %v of type %T is not a joined error", err, err)
 	}
 	want := []struct {
 		section, key string
@@ -40,26 +40,26 @@
 		t.Fatalf("%d errors, want %d: %v", len(got), len(want), err)
 	}
 	for i, w := range want {
-		var placed *Error
-		if !errors.As(got[i], &placed) {
+		var fileErr *Error
+		if !errors.As(got[i], &fileErr) {
 			t.Errorf("%T is not an *Error", got[i])
 			continue
 		}
-		if placed.File != "f.ini" || placed.Section != w.section || placed.Key != w.key || !errors.Is(placed, w.reason) || placed.Error() != w.message {
-			t.Errorf("%q %q %q: %v; want %q %q: %s", placed.File, placed.Section, placed.Key, placed, w.section, w.key, w.message)
+		if fileErr.File != "f.ini" || fileErr.Section != w.section || fileErr.Key != w.key || !errors.Is(fileErr, w.reason) || fileErr.Error() != w.message {
+			t.Errorf("%q %q %q: %v; want %q %q: %s", fileErr.File, fileErr.Section, fileErr.Key, fileErr, w.section, w.key, w.message)
 		}
 	}
 }
 
 func TestParseErrorWrapsErrorOfLibrary(t *testing.T) {
 	_, err := Parse("f.ini", []byte("[unclosed\n"))
-	var placed *Error
-	if !errors.As(err, &placed) || placed.File != "f.ini" || placed.Unwrap() == nil {
-		t.Errorf("%v", err)
+	var fileErr *Error
+	if !errors.As(err, &fileErr) || fileErr.File != "f.ini" || fileErr.Unwrap() == nil {
+		t.Errorf("%v of type %T, want an *Error for f.ini that wraps the library's error", err, err)
 	}
 }
 
-func TestValueErrorsTellInvalidFromOutOfRange(t *testing.T) {
+func TestValueErrorsDistinguishInvalidFromOutOfRange(t *testing.T) {
 	for _, c := range []struct {
 		line    string
 		read    func(*Section)
