--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency records latencies for measurements and returns their percentiles.
+// Package latency records latencies and returns their percentiles.
 package latency
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of a Histogram in microseconds, and its precision in significant digits.
+// The range and precision of a Histogram.
 const (
 	minMicros = 1
-	maxMicros = 60_000_000 // one minute, longer than any request of a measurement
-	precision = 3
+	maxMicros = 60_000_000 // one minute; longer latencies are ignored
+	precision = 3          // significant digits
 )
 
 // Histogram holds recorded latencies, rounded to three significant digits. It is safe for concurrent use.
@@ -30,10 +30,11 @@
 func (h *Histogram) Record(latency time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.micros.RecordValue(latency.Microseconds()) // the only error is a latency beyond the range
+	_ = h.micros.RecordValue(latency.Microseconds()) // fails only for a latency beyond the range
 }
 
-// Merge adds the latencies of another Histogram, which must not be h.
+// Merge adds the latencies of other. It locks both Histograms, so it deadlocks if other is h, and may deadlock if h is
+// merged into other at the same time.
 func (h *Histogram) Merge(other *Histogram) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,15 +50,15 @@
 	return h.micros.TotalCount()
 }
 
-// Percentile returns the latency that the given percentage of latencies does not exceed. It returns 0 for an
-// empty Histogram.
+// Percentile returns the latency that the given percentage of latencies, from 0 to 100, does not exceed. It returns 0
+// for an empty Histogram.
 func (h *Histogram) Percentile(percent float64) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Duration(h.micros.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Milliseconds returns a duration in milliseconds, in whole microseconds.
+// Milliseconds returns a duration in milliseconds, truncated to whole microseconds.
 func Milliseconds(duration time.Duration) float64 {
 	const microsPerMilli = 1000
 	return float64(duration.Microseconds()) / microsPerMilli
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -18,7 +18,7 @@
 	checkCount(t, histogram, 100)
 }
 
-func TestEmptyHistogramHasPercentileZero(t *testing.T) {
+func TestPercentileOfEmptyHistogramIsZero(t *testing.T) {
 	histogram := NewHistogram()
 
 	if got := histogram.Percentile(99); got != 0 {
@@ -71,7 +71,7 @@
 	}
 }
 
-// checkNear checks a latency with the precision of a Histogram, three significant digits.
+// checkNear checks that two latencies agree within the precision of a Histogram, three significant digits.
 func checkNear(t *testing.T, got, want time.Duration) {
 	t.Helper()
 	if (got - want).Abs() > want/1000 {
--- a/internal/printer/printer.go
+++ b/internal/printer/printer.go
@@ -1,5 +1,4 @@
-// Package printer prints reports. A Printer keeps the first error of its writer, so that a report's many lines need one
-// check.
+// Package printer prints text of many lines, such as reports, for which one check for write errors at the end is enough.
 package printer
 
 import (
@@ -7,17 +6,17 @@
 	"io"
 )
 
-// Printer prints formatted text to a writer. After the writer's first error it prints nothing more. It is not safe for
-// concurrent use.
+// Printer prints formatted text to a writer. It keeps the writer's first error and prints nothing more after it. It is
+// not safe for concurrent use.
 type Printer struct {
 	out io.Writer
 	err error // first error of out
 }
 
-// New returns a Printer to the given writer.
+// New returns a Printer that writes to out.
 func New(out io.Writer) *Printer { return &Printer{out: out} }
 
-// Printf prints formatted text as fmt.Fprintf does, unless an earlier call failed.
+// Printf prints formatted text as fmt.Fprintf does. It does nothing if an earlier call failed.
 func (p *Printer) Printf(format string, args ...any) {
 	if p.err != nil {
 		return
@@ -25,5 +24,5 @@
 	_, p.err = fmt.Fprintf(p.out, format, args...)
 }
 
-// Err returns the first error of the writer.
+// Err returns the writer's first error, or nil if all calls of Printf succeeded.
 func (p *Printer) Err() error { return p.err }
--- a/internal/printer/printer_test.go
+++ b/internal/printer/printer_test.go
@@ -8,7 +8,7 @@
 	"martenlock/internal/printer"
 )
 
-// limitedWriter fails after a number of writes.
+// limitedWriter fails once no writes are left.
 type limitedWriter struct {
 	bytes.Buffer
 	writesLeft int
@@ -33,7 +33,7 @@
 	if report.Err() != nil {
 		t.Errorf("error %v after a write that succeeded", report.Err())
 	}
-	report.Printf("lost\n")
+	report.Printf("fails\n")
 	out.writesLeft = 1
 	report.Printf("after the error\n")
 
@@ -41,6 +41,6 @@
 		t.Errorf("error %v, want %v", report.Err(), errFull)
 	}
 	if out.String() != "5 rounds\n" {
-		t.Errorf("printed %q, want the text before the error", out.String())
+		t.Errorf("printed %q, want only the text before the error", out.String())
 	}
 }
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,10 +1,10 @@
-// Package proptest gives property tests written with pgregory.net/rapid a fixed seed, so that plain go
-// test has the same result each time. Test files import it for its side effect:
+// Package proptest sets a fixed seed for property tests that use pgregory.net/rapid, so that every run of
+// go test without flags has the same result. Test files import it for its side effect:
 //
 //	import _ "martenlock/internal/proptest"
 //
-// The command line and rapid's environment variables override what it sets. RAPID_SEED=0 selects a
-// new seed each time.
+// Flags on the command line and rapid's environment variables take precedence. RAPID_SEED=0 selects a
+// new seed for each run.
 package proptest
 
 import (
@@ -12,7 +12,7 @@
 	"os"
 	"strings"
 
-	_ "pgregory.net/rapid" // registers its flags
+	_ "pgregory.net/rapid" // registers the flags that init sets
 )
 
 // Seed is the default seed of property tests.
@@ -20,12 +20,12 @@
 
 func init() {
 	SetDefault("rapid.seed", Seed)
-	SetDefault("rapid.nofailfile", "true") // later runs would replay a fail file left in the tree
+	SetDefault("rapid.nofailfile", "true") // a fail file left in the tree would be replayed by later runs
 }
 
-// SetDefault sets the default of one of rapid's flags, unless rapid's environment variable for it is set.
-// It panics if there is no such flag or the value is invalid. It must be called before flags are
-// parsed, from an init function.
+// SetDefault sets the default of one of rapid's flags, unless rapid's environment variable for the flag
+// is set. It panics if there is no such flag or the value is invalid. It must be called from an init
+// function, so that it precedes the parsing of flags.
 func SetDefault(name, value string) {
 	if _, isSet := os.LookupEnv(environmentVariable(name)); isSet {
 		return
--- a/internal/proptest/proptest_test.go
+++ b/internal/proptest/proptest_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// TestEveryPropertyTest: each package whose tests use rapid also imports this one. Without it they would use
-// random seeds.
-func TestEveryPropertyTest(t *testing.T) {
+// TestPropertyTestsImportProptest: the tests of each package that use rapid also import this package.
+// Without it, rapid would choose a random seed for each run.
+func TestPropertyTestsImportProptest(t *testing.T) {
 	const (
 		rapidPath    = "pgregory.net/rapid"
 		proptestPath = "martenlock/internal/proptest"
@@ -20,7 +20,7 @@
 	importers := testImporters(t, "../..", rapidPath, proptestPath)
 
 	if len(importers[rapidPath]) == 0 {
-		t.Error("found no property tests")
+		t.Error("found no test files that import rapid")
 	}
 	for dir := range importers[rapidPath] {
 		if !importers[proptestPath][dir] {
@@ -29,7 +29,7 @@
 	}
 }
 
-// testImporters returns the directories under root whose test files import each of the paths.
+// testImporters returns, for each import path, the directories under root whose test files import it.
 func testImporters(t *testing.T, root string, paths ...string) map[string]map[string]bool {
 	t.Helper()
 	importers := map[string]map[string]bool{}
@@ -60,7 +60,7 @@
 	return importers
 }
 
-// importsOf returns the import paths of a Go file.
+// importsOf returns the import paths in a Go file.
 func importsOf(name string) ([]string, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ImportsOnly)
 	if err != nil {
@@ -77,9 +77,9 @@
 	return imports, nil
 }
 
-// TestEnvironmentVariable: flags are overridden by the variables that rapid documents.
-func TestEnvironmentVariable(t *testing.T) {
+// TestEnvironmentVariableOfFlag: the names of environment variables are those that rapid documents.
+func TestEnvironmentVariableOfFlag(t *testing.T) {
 	if name := environmentVariable("rapid.nofailfile"); name != "RAPID_NOFAILFILE" {
-		t.Errorf("rapid.nofailfile is set by %s", name)
+		t.Errorf("rapid.nofailfile is set by %s, want RAPID_NOFAILFILE", name)
 	}
 }
