--- a/internal/enginecall/call.go
+++ b/internal/enginecall/call.go
@@ -19,7 +19,7 @@
 const (
 	// NoConnection means that no connection could be started for a reason on this machine, not at the engine.
 	NoConnection Outcome = iota // no connection
-	// Responded means that the response is complete, whatever its status.
+	// Responded means that the response is complete. Its HTTP status does not matter.
 	Responded // responded
 	// ConnFailed means that the connection failed before the response was complete.
 	ConnFailed // connection failed
--- a/internal/openai/check.go
+++ b/internal/openai/check.go
@@ -39,7 +39,7 @@
 	return e.Field + ": " + e.Err.Error()
 }
 
-// Unwrap returns the reason.
+// Unwrap returns e.Err.
 func (e *ResponseError) Unwrap() error { return e.Err }
 
 // bytesPerFloat is the size in bytes of one element of a base64 embedding after decoding.
@@ -48,10 +48,11 @@
 // HasCheckedResponse reports whether CheckResponse examines responses to the request.
 func (r *Request) HasCheckedResponse() bool { return r.API.HasOneStage() }
 
-// CheckResponse checks an engine's response to an embeddings or rerank request. There must be one
-// result for each item, or top_n results of a rerank request. Scores and elements of embeddings must
-// be finite. All embeddings must have the same length, and the requested one if the request has
-// dimensions. If not, it returns a *ResponseError. It does not examine responses of other operations.
+// CheckResponse checks an engine's response to an embeddings or rerank request. It returns a
+// *ResponseError unless all of these hold: each item of the request has exactly one result, or top_n
+// items have one if a rerank request sets it; scores and elements of embeddings are finite numbers;
+// all embeddings have the same length, which is the requested one if the request sets dimensions.
+// Responses of other operations are not examined.
 func (r *Request) CheckResponse(body []byte) error {
 	if !r.HasCheckedResponse() {
 		return nil
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// expectedResultCount returns the number of results that a response must have. A rerank request
-// limits it with top_n.
+// expectedResultCount returns the number of results that a response must have. top_n of a rerank
+// request limits it.
 func (r *Request) expectedResultCount() int {
 	if r.API == Rerank && r.TopN > 0 {
 		return min(r.TopN, r.ItemCount)
--- a/internal/openai/enginebody_test.go
+++ b/internal/openai/enginebody_test.go
@@ -11,7 +11,7 @@
 // object is a decoded JSON object.
 type object map[string]any
 
-// parseObject decodes an object, or fails the test.
+// parseObject decodes a JSON object. It fails the test if text is not valid.
 func parseObject(t *testing.T, text []byte) object {
 	t.Helper()
 	var decoded object
--- a/internal/openai/items_test.go
+++ b/internal/openai/items_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// decode decodes a valid request, or fails the test.
+// decode decodes a request. It fails the test if the request is not valid.
 func decode(t *testing.T, api API, body string) *Request {
 	t.Helper()
 	request, err := Decode(api, []byte(body), options)
