--- a/internal/openai/check.go
+++ b/internal/openai/check.go
@@ -45,8 +45,8 @@
 // bytesPerFloat is the size in bytes of one element of a base64 embedding after decoding.
 const bytesPerFloat = 4
 
-// HasCheckedResponse reports whether CheckResponse examines responses to the request.
-func (r *Request) HasCheckedResponse() bool { return r.API.HasOneStage() }
+// NeedsResponseCheck reports whether CheckResponse examines responses to the request.
+func (r *Request) NeedsResponseCheck() bool { return r.API.HasOneStage() }
 
 // CheckResponse checks an engine's response to an embeddings or rerank request. It returns a
 // *ResponseError unless all of these hold: each item of the request has exactly one result, or top_n
@@ -54,7 +54,7 @@
 // all embeddings have the same length, which is the requested one if the request sets dimensions.
 // Responses of other operations are not examined.
 func (r *Request) CheckResponse(body []byte) error {
-	if !r.HasCheckedResponse() {
+	if !r.NeedsResponseCheck() {
 		return nil
 	}
 	if !IsValidJSON(body) {
--- a/internal/openai/items.go
+++ b/internal/openai/items.go
@@ -18,7 +18,7 @@
 // JSON, and the estimated number of tokens of each. A document's tokens include those of the query.
 // For other requests it returns nil.
 func (r *Request) Items(options DecodeOptions) (raw [][]byte, tokens []float64) {
-	if !r.HasCheckedResponse() {
+	if !r.NeedsResponseCheck() {
 		return nil, nil
 	}
 	list := r.members[r.itemsIndex()].value
--- a/internal/openaiserver/attemptresponse.go
+++ b/internal/openaiserver/attemptresponse.go
@@ -55,7 +55,7 @@
 		a.buffered = append(a.buffered, data...)
 		server.bufferedBytes += int64(len(data))
 	case a.status != http.StatusOK: // truncates an error response
-	case isPrefill || a.exchange.call.HasCheckedResponse():
+	case isPrefill || a.exchange.call.NeedsResponseCheck():
 		// The connection may allow a longer response: a reload may have lowered the limit since it was opened.
 		a.finish(control.Failed, false)
 	default:
@@ -74,7 +74,7 @@
 		return maxPrefillResponseBytes
 	case call.Stream:
 		return 0
-	case call.HasCheckedResponse(): // the check needs the whole body
+	case call.NeedsResponseCheck(): // the check needs the whole body
 		return int(limits.MaxResponseBytes)
 	}
 	return limits.MaxBufferedBytes
@@ -125,7 +125,7 @@
 		return
 	}
 	exchange.kvHolders = nil
-	if !exchange.call.HasCheckedResponse() { // in a long checked response, finding the usage at its end is too slow
+	if !exchange.call.NeedsResponseCheck() { // in a long checked response, finding the usage at its end is too slow
 		exchange.pool.tokenEstimator.Observe(exchange.call.PromptTokens, openai.ParsePromptTokens(a.buffered))
 	}
 	exchange.setAnswer(a, outcome.Served)
--- a/internal/openaiserver/inferencerequest.go
+++ b/internal/openaiserver/inferencerequest.go
@@ -37,7 +37,7 @@
 
 // start starts the operation that computes the request's answer. The client gets no answer before start has returned.
 func (r *inferenceRequest) start(client responder) operation {
-	if r.call.HasCheckedResponse() {
+	if r.call.NeedsResponseCheck() {
 		scattered := r.startScattered(client)
 		if scattered != nil {
 			return scattered
--- a/internal/openaiserver/responder.go
+++ b/internal/openaiserver/responder.go
@@ -58,7 +58,7 @@
 	length      int64 // of the body, in bytes; negative if unknown
 }
 
-// bufferedResponder is embedded in responders that never get a streamed answer. HasCheckedResponse holds for their
+// bufferedResponder is embedded in responders that never get a streamed answer. NeedsResponseCheck holds for their
 // requests, so that attempts buffer the whole response. Only isBatch is ever called.
 type bufferedResponder struct{}
 
