--- a/internal/printer/printer_test.go
+++ b/internal/printer/printer_test.go
@@ -33,7 +33,7 @@
 	if report.Err() != nil {
 		t.Errorf("error %v after a write that succeeded", report.Err())
 	}
-	report.Printf("fails\n")
+	report.Printf("lost\n")
 	out.writesLeft = 1
 	report.Printf("after the error\n")
 
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -42,7 +42,7 @@
 	loop          eventlooptest.Loop
 	pool          *Pool
 	afterResponse chan func(net.Conn) // the engine calls a function from it after its next response
-	engineEvents  chan string         // "connection", "request", or "closed" at the end of a connection
+	engineEvents  chan string         // "connection", "request", or "gone" at the end of a connection
 }
 
 // newFixture returns a pool with the given options, except that it sets Limits and ConnectTimeout itself.
@@ -67,7 +67,7 @@
 	f.engineEvents <- "connection"
 	for reader := bufio.NewReader(conn); ; {
 		if _, err := http.ReadRequest(reader); err != nil {
-			f.engineEvents <- "closed"
+			f.engineEvents <- "gone"
 			return
 		}
 		f.engineEvents <- "request"
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -31,7 +31,7 @@
 		// The next request comes on a new connection. The old one may close at any point.
 		var seen []string
 		for len(seen) < 3 {
-			if event := <-f.engineEvents; event != "closed" {
+			if event := <-f.engineEvents; event != "gone" {
 				seen = append(seen, event)
 			}
 		}
@@ -68,7 +68,7 @@
 	for range 4 {
 		seen[<-f.engineEvents]++
 	}
-	if seen["connection"] != 1 || seen["request"] != 1 || seen["closed"] != 2 {
+	if seen["connection"] != 1 || seen["request"] != 1 || seen["gone"] != 2 {
 		t.Errorf("events at the engine: %v", seen)
 	}
 }
@@ -85,7 +85,7 @@
 		f.pool.Addr = other.pool.Addr
 	})
 	f.expectComplete(response)
-	f.expectEngineEvents("connection", "request", "closed")
+	f.expectEngineEvents("connection", "request", "gone")
 
 	f.request(false)
 
