--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -2,12 +2,11 @@
 
 import "martenlock/control"
 
-// actionCode is the number by which a record says which action it holds.
+// actionCode identifies the type of the action in a record.
 type actionCode uint8
 
-// The codes of actions.
 const (
-	actionNone               actionCode = 0 // of a body that has no code
+	actionNone               actionCode = 0 // body of a type that can't be encoded
 	actionFail               actionCode = 1
 	actionHealthCheck        actionCode = 2
 	actionReject             actionCode = 3
@@ -20,7 +19,6 @@
 	actionLog                actionCode = 15
 )
 
-// actionCodeOf returns the code of an action's body.
 func actionCodeOf(body ActionBody) actionCode {
 	switch body := body.(type) {
 	case ModuleAction:
@@ -31,7 +29,6 @@
 	return actionNone
 }
 
-// moduleActionCode returns the code of an action of the control package.
 func moduleActionCode(action control.Action) actionCode {
 	switch action.(type) {
 	case control.Fail:
@@ -56,8 +53,7 @@
 	return actionNone
 }
 
-// code codes an action.
-func (a *Action) code(c *coder) {
+func (a *Action) encodeOrDecode(c *codec) {
 	code := actionCodeOf(a.Body)
 	integer(c, &code)
 	if c.err != nil {
@@ -75,7 +71,7 @@
 	case actionForward:
 		a.Body = moduleAction(c, a, forwardFields)
 	case actionInternalError:
-		a.Body = record(c, &a.Router, a.Body, internalErrorFields)
+		a.Body = recordBody(c, &a.Router, a.Body, internalErrorFields)
 	case actionReleaseKV:
 		a.Body = moduleAction(c, a, releaseKVFields)
 	case actionCancelAttempt:
@@ -89,51 +85,44 @@
 	}
 }
 
-// moduleAction codes the record of an action of the control package.
-func moduleAction[T control.Action](c *coder, a *Action, fields func(*coder, *T)) ModuleAction {
-	body, _ := a.Body.(ModuleAction) // none when reading
-	return ModuleAction{record(c, &a.Router, body.Action, fields)}
+// moduleAction encodes or decodes the router and the fields of an action of the control package.
+func moduleAction[T control.Action](c *codec, a *Action, fields func(*codec, *T)) ModuleAction {
+	body, _ := a.Body.(ModuleAction) // empty when decoding
+	return ModuleAction{recordBody(c, &a.Router, body.Action, fields)}
 }
 
-// failFields codes the fields of a request's failure.
-func failFields(c *coder, v *control.Fail) { integer(c, &v.ID) }
+func failFields(c *codec, v *control.Fail) { integer(c, &v.ID) }
 
-// healthCheckFields codes the fields of a health check.
-func healthCheckFields(c *coder, v *control.HealthCheck) { endpointID(c, &v.Endpoint) }
+func healthCheckFields(c *codec, v *control.HealthCheck) { endpointID(c, &v.Endpoint) }
 
-// rejectFields codes the fields of a request's rejection.
-func rejectFields(c *coder, v *control.Reject) {
+func rejectFields(c *codec, v *control.Reject) {
 	integer(c, &v.ID)
 	duration(c, &v.RetryAfter)
 }
 
-// subscribeEndpointsFields codes that the endpoint list is requested. On the wire it could also be cancelled.
-func subscribeEndpointsFields(c *coder, _ *control.SubscribeEndpoints) {
+// subscribeEndpointsFields encodes or decodes the only field on the wire, which is true to subscribe and false
+// to unsubscribe. The router never unsubscribes.
+func subscribeEndpointsFields(c *codec, _ *control.SubscribeEndpoints) {
 	isSubscribed := true
 	boolean(c, &isSubscribed)
 }
 
-// forwardFields codes the fields of an attempt.
-func forwardFields(c *coder, v *control.Forward) {
+func forwardFields(c *codec, v *control.Forward) {
 	integer(c, &v.ID)
 	duration(c, &v.Timeout)
 	endpointID(c, &v.Endpoint)
 }
 
-// internalErrorFields codes the fields of an InternalError.
-func internalErrorFields(c *coder, v *InternalError) { text(c, &v.Text) }
+func internalErrorFields(c *codec, v *InternalError) { text(c, &v.Text) }
 
-// releaseKVFields codes the fields of a KV state's release.
-func releaseKVFields(c *coder, v *control.ReleaseKV) { integer(c, &v.ID) }
+func releaseKVFields(c *codec, v *control.ReleaseKV) { integer(c, &v.ID) }
 
-// cancelAttemptFields codes the fields of an attempt's cancellation.
-func cancelAttemptFields(c *coder, v *control.CancelAttempt) {
+func cancelAttemptFields(c *codec, v *control.CancelAttempt) {
 	integer(c, &v.ID)
 	index[uint16](c, &v.Attempt)
 }
 
-// setTimerFields codes the fields of a timer.
-func setTimerFields(c *coder, v *control.SetTimer) {
+func setTimerFields(c *codec, v *control.SetTimer) {
 	integer(c, &v.Token)
 	duration(c, &v.After)
 }
--- a/internal/simwire/coder.go
+++ b/internal/simwire/coder.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// coder reads or writes one field of a frame after another. To code a value is to append it to the frame
-// if isWriting is set, and to replace it by the next field otherwise. After the first error nothing
-// more is read.
-type coder struct {
-	buf       []byte
-	offset    int // of the next field to read
-	isWriting bool
-	err       error // the first one
+// codec encodes or decodes a frame, field by field. If isEncoding is set, the functions that take a codec
+// append their value to the frame. Otherwise they set the value from the next field of the frame. After the
+// first error nothing more is decoded.
+type codec struct {
+	buf        []byte
+	offset     int // of the next field to decode
+	isEncoding bool
+	err        error // the first one
 }
 
-// take returns the next n bytes of the frame. It returns nil if they are missing.
-func (c *coder) take(n int) []byte {
+// next returns the next n bytes of the frame. If fewer are left, it records an error and returns nil.
+func (c *codec) next(n int) []byte {
 	if c.err != nil {
 		return nil
 	}
@@ -31,104 +31,105 @@
 	return c.buf[start:c.offset]
 }
 
-// fail records an error. An earlier one takes precedence.
-func (c *coder) fail(err error) {
+// fail records an error, unless there is an earlier one.
+func (c *codec) fail(err error) {
 	if c.err == nil {
 		c.err = err
 	}
 }
 
-// unsigned is the constraint of types that are coded in their own width.
+// unsigned is the constraint of the integer types that have a fixed width on the wire.
 type unsigned interface {
 	~uint8 | ~uint16 | ~uint32 | ~uint64
 }
 
-// integer codes an integer in its own width.
-func integer[T unsigned](c *coder, value *T) {
+// integer encodes or decodes an integer in the width of its type.
+func integer[T unsigned](c *codec, value *T) {
 	width := binary.Size(*value)
-	if c.isWriting {
+	if c.isEncoding {
 		for i := range width {
 			c.buf = append(c.buf, byte(uint64(*value)>>(8*i)))
 		}
 		return
 	}
-	octets := c.take(width)
-	if octets == nil {
+	encoded := c.next(width)
+	if encoded == nil {
 		return
 	}
 	var decoded uint64
-	for i, octet := range octets {
-		decoded |= uint64(octet) << (8 * i)
+	for i, b := range encoded {
+		decoded |= uint64(b) << (8 * i)
 	}
 	*value = T(decoded)
 }
 
-// integerAs codes an integer in the width of W.
-func integerAs[W, T unsigned](c *coder, value *T) {
-	wire := W(*value)
-	integer(c, &wire)
-	*value = T(wire)
+// integerAs encodes or decodes an integer in the width of W.
+func integerAs[W, T unsigned](c *codec, value *T) {
+	converted := W(*value)
+	integer(c, &converted)
+	*value = T(converted)
 }
 
-// index codes a position in a list, in the width of W.
-func index[W unsigned, T ~int](c *coder, value *T) {
-	wire := W(*value)
-	integer(c, &wire)
-	*value = T(wire)
+// index encodes or decodes a position in a list, in the width of W.
+func index[W unsigned, T ~int](c *codec, value *T) {
+	converted := W(*value)
+	integer(c, &converted)
+	*value = T(converted)
 }
 
-// float codes a number in 32 bits. A number that is not finite is read as 0.
-func float[T ~float64](c *coder, value *T) {
+// float encodes or decodes a number in 32 bits. Infinities and NaN are decoded as 0.
+func float[T ~float64](c *codec, value *T) {
 	bits := math.Float32bits(float32(*value))
 	integer(c, &bits)
 	number := float64(math.Float32frombits(bits))
-	if !c.isWriting && (math.IsNaN(number) || math.IsInf(number, 0)) {
+	if !c.isEncoding && (math.IsNaN(number) || math.IsInf(number, 0)) {
 		number = 0
 	}
 	*value = T(number)
 }
 
-// duration codes a duration in microseconds, limited to the range of 32 bits.
-func duration(c *coder, value *time.Duration) {
+// duration encodes or decodes a duration as 32 bits of microseconds. Values outside that range are encoded as
+// its nearest bound.
+func duration(c *codec, value *time.Duration) {
 	microseconds := uint32(min(max(value.Microseconds(), 0), math.MaxUint32))
 	integer(c, &microseconds)
 	*value = time.Duration(microseconds) * time.Microsecond
 }
 
-// boolean codes a boolean in one byte.
-func boolean(c *coder, value *bool) {
-	var wire uint8
+// boolean encodes or decodes a boolean in one byte. Any value but 0 is decoded as true.
+func boolean(c *codec, value *bool) {
+	var converted uint8
 	if *value {
-		wire = 1
+		converted = 1
 	}
-	integer(c, &wire)
-	*value = wire != 0
+	integer(c, &converted)
+	*value = converted != 0
 }
 
-// byteString codes bytes preceded by their number, in the width of W.
-func byteString[W unsigned](c *coder, value *[]byte) {
+// byteString encodes or decodes bytes, preceded by their number in the width of W.
+func byteString[W unsigned](c *codec, value *[]byte) {
 	length := W(len(*value))
 	integer(c, &length)
-	if c.isWriting {
+	if c.isEncoding {
 		c.buf = append(c.buf, *value...)
 		return
 	}
-	*value = append([]byte(nil), c.take(int(length))...)
+	*value = append([]byte(nil), c.next(int(length))...)
 }
 
-// text codes a string, truncated to the range of its 16-bit length.
-func text(c *coder, value *string) {
+// text encodes or decodes a string, preceded by its length in 16 bits. Longer strings are truncated.
+func text(c *codec, value *string) {
 	encoded := []byte(*value)
 	encoded = encoded[:min(len(encoded), math.MaxUint16)]
 	byteString[uint16](c, &encoded)
 	*value = string(encoded)
 }
 
-// floats codes a list of at most 255 numbers.
-func floats(c *coder, value *[]float64) {
+// floats encodes or decodes a list of at most 255 numbers.
+func floats(c *codec, value *[]float64) {
 	length := uint8(len(*value))
 	integer(c, &length)
-	if !c.isWriting {
+	if !c.isEncoding {
 		*value = nil
 		if length > 0 {
 			*value = make([]float64, length)
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// RecordError reports that a record of a batch cannot be decoded.
+// RecordError reports that a record of a batch can't be decoded.
 type RecordError struct {
 	Index  uint32 // of the record in its batch
 	Offset int    // of the record in its frame, in bytes
@@ -17,7 +17,7 @@
 // Unwrap returns the reason.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// UnknownValueError reports a number that has no meaning in its field.
+// UnknownValueError reports a number that is not defined for its field.
 type UnknownValueError struct {
 	Field string // such as "event code"
 	Value uint64
@@ -35,7 +35,7 @@
 
 // Error implements error.
 func (e *LengthError) Error() string {
-	return fmt.Sprintf("%s of %d bytes, its header says %d", e.Frame, e.Got, e.Want)
+	return fmt.Sprintf("%s has %d bytes, but the length in its header is %d", e.Frame, e.Got, e.Want)
 }
 
 // TruncatedError reports a field that extends beyond the end of its frame.
@@ -46,5 +46,5 @@
 
 // Error implements error.
 func (e *TruncatedError) Error() string {
-	return fmt.Sprintf("field of %d bytes, %d are left", e.Want, e.Left)
+	return fmt.Sprintf("field has %d bytes, but only %d bytes of the frame are left", e.Want, e.Left)
 }
--- a/internal/simwire/eventfields.go
+++ b/internal/simwire/eventfields.go
@@ -2,14 +2,12 @@
 
 import "martenlock/control"
 
-// startFields codes the fields of a Start.
-func startFields(c *coder, v *Start) {
+func startFields(c *codec, v *Start) {
 	integer(c, &v.Seed)
 	byteString[uint32](c, &v.Settings)
 }
 
-// endpointListUpdateFields codes the fields of an EndpointListUpdate.
-func endpointListUpdateFields(c *coder, v *EndpointListUpdate) {
+func endpointListUpdateFields(c *codec, v *EndpointListUpdate) {
 	integer(c, &v.Version)
 	integer(c, &v.Table)
 	integer(c, &v.Scope)
@@ -18,40 +16,37 @@
 	}
 }
 
-// bitResumed marks a request that resumes an interrupted stream.
-const bitResumed = 16
+// resumedFlag is the bit of a request that resumes a truncated stream.
+const resumedFlag = 16
 
-// requestFields codes the fields of a request.
-func requestFields(c *coder, v *control.Request) {
-	var hint uint32 // not used by the module
-	var bits uint8
+func requestFields(c *codec, v *control.Request) {
+	var sizeHint uint32 // not used by the control package
+	var flags uint8
 	if v.Resumed {
-		bits = bitResumed
+		flags = resumedFlag
 	}
 	integer(c, &v.ID)
 	index[uint8](c, &v.Class)
 	index[uint16](c, &v.Tenant)
-	integer(c, &hint)
+	integer(c, &sizeHint)
 	float(c, &v.PrefixTokens)
 	float(c, &v.MaxTokens)
 	integer(c, &v.PrefixHash)
 	integer(c, &v.SessionID)
 	integer(c, &v.Deadline)
-	integer(c, &bits)
+	integer(c, &flags)
 	float(c, &v.PromptTokens)
-	v.Resumed = bits&bitResumed != 0
+	v.Resumed = flags&resumedFlag != 0
 }
 
-// answerStartedFields codes the fields of an answer's start.
-func answerStartedFields(c *coder, v *control.AnswerStarted) {
+func answerStartedFields(c *codec, v *control.AnswerStarted) {
 	integer(c, &v.ID)
 	duration(c, &v.Elapsed)
 	endpointID(c, &v.Endpoint)
 	index[uint16](c, &v.Attempt)
 }
 
-// outcomeFields codes the fields of an attempt's outcome.
-func outcomeFields(c *coder, v *control.Outcome) {
+func outcomeFields(c *codec, v *control.Outcome) {
 	integer(c, &v.ID)
 	index[uint16](c, &v.Attempt)
 	endpointID(c, &v.Endpoint)
@@ -62,12 +57,12 @@
 	floats(c, &v.Report)
 }
 
-// detailKVMissing is the detail of a rejection whose endpoint could not fetch the KV state.
+// detailKVMissing is the detail of a rejection by an endpoint that could not fetch the KV state.
 const detailKVMissing = 1
 
-// outcomeDetail codes a number with two meanings: detailKVMissing on a rejection, otherwise the cached
-// tokens of the prompt.
-func outcomeDetail(c *coder, v *control.Outcome) {
+// outcomeDetail encodes or decodes a number with two meanings: on a rejection it may be detailKVMissing;
+// otherwise it is the number of cached tokens of the prompt.
+func outcomeDetail(c *codec, v *control.Outcome) {
 	detail := v.CachedTokens
 	if v.KVMissing {
 		detail = detailKVMissing
@@ -80,28 +75,24 @@
 	}
 }
 
-// clientGoneFields codes the fields of a client's disconnection.
-func clientGoneFields(c *coder, v *control.ClientGone) { integer(c, &v.ID) }
+func clientGoneFields(c *codec, v *control.ClientGone) { integer(c, &v.ID) }
 
-// timerFields codes the fields of an expired timer.
-func timerFields(c *coder, v *control.Timer) { integer(c, &v.Token) }
+func timerFields(c *codec, v *control.Timer) { integer(c, &v.Token) }
 
-// healthCheckResultFields codes the fields of a health check's result.
-func healthCheckResultFields(c *coder, v *control.HealthCheckResult) {
+func healthCheckResultFields(c *codec, v *control.HealthCheckResult) {
 	endpointID(c, &v.Endpoint)
 	result(c, &v.Result)
 	duration(c, &v.Elapsed)
 	floats(c, &v.Report)
 }
 
-// peerFields codes the fields of a Peer.
-func peerFields(c *coder, v *Peer) {
+func peerFields(c *codec, v *Peer) {
 	integer(c, &v.From)
 	byteString[uint16](c, &v.Data)
 }
 
-// stopFields codes the fields of a Stop, which has none.
-func stopFields(*coder, *Stop) {}
+// stopFields does nothing: a Stop has no fields.
+func stopFields(*codec, *Stop) {}
 
 // The results of a reservation on the wire.
 const (
@@ -109,29 +100,28 @@
 	reservationRefused uint8 = 2
 )
 
-// reservationResultFields codes the fields of a reservation's result.
-func reservationResultFields(c *coder, v *control.ReservationResult) {
-	answer := reservationRefused
+func reservationResultFields(c *codec, v *control.ReservationResult) {
+	status := reservationRefused
 	if v.Held {
-		answer = reservationHeld
+		status = reservationHeld
 	}
-	value := 0.0 // not used by the module
+	value := 0.0 // not used by the control package
 	integer(c, &v.ID)
 	index[uint16](c, &v.Attempt)
 	endpointID(c, &v.Endpoint)
-	integer(c, &answer)
+	integer(c, &status)
 	float(c, &value)
-	v.Held = answer == reservationHeld
+	v.Held = status == reservationHeld
 }
 
-// endpointTable codes an EndpointTable. Its record has no router.
-func endpointTable(c *coder, body EventBody) EndpointTable {
-	table, _ := body.(EndpointTable) // none when reading
+// endpointTableBody encodes or decodes an EndpointTable. Its record has no router.
+func endpointTableBody(c *codec, body EventBody) EndpointTable {
+	table, _ := body.(EndpointTable) // empty when decoding
 	length := uint32(len(table.Endpoints))
 	integer(c, &table.Number)
 	integer(c, &length)
 	for i := 0; i < int(length) && c.err == nil; i++ {
-		if !c.isWriting {
+		if !c.isEncoding {
 			table.Endpoints = append(table.Endpoints, control.Endpoint{})
 		}
 		endpoint(c, &table.Endpoints[i])
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -2,12 +2,11 @@
 
 import "martenlock/control"
 
-// eventCode is the number by which a record says which event it holds.
+// eventCode identifies the type of the event in a record.
 type eventCode uint8
 
-// The codes of events.
 const (
-	eventNone               eventCode = 0 // of a body that has no code
+	eventNone               eventCode = 0 // body of a type that can't be encoded
 	eventStart              eventCode = 1
 	eventEndpointListUpdate eventCode = 2
 	eventRequest            eventCode = 3
@@ -22,7 +21,6 @@
 	eventEndpointTable      eventCode = 12
 )
 
-// eventCodeOf returns the code of an event's body.
 func eventCodeOf(body EventBody) eventCode {
 	switch body := body.(type) {
 	case ModuleEvent:
@@ -41,7 +39,6 @@
 	return eventNone
 }
 
-// moduleEventCode returns the code of an event of the control package.
 func moduleEventCode(event control.Event) eventCode {
 	switch event.(type) {
 	case control.Request:
@@ -62,8 +59,7 @@
 	return eventNone
 }
 
-// code codes an event.
-func (e *Event) code(c *coder) {
+func (e *Event) encodeOrDecode(c *codec) {
 	code := eventCodeOf(e.Body)
 	integer(c, &code)
 	if c.err != nil {
@@ -71,9 +67,9 @@
 	}
 	switch code {
 	case eventStart:
-		e.Body = record(c, &e.Router, e.Body, startFields)
+		e.Body = recordBody(c, &e.Router, e.Body, startFields)
 	case eventEndpointListUpdate:
-		e.Body = record(c, &e.Router, e.Body, endpointListUpdateFields)
+		e.Body = recordBody(c, &e.Router, e.Body, endpointListUpdateFields)
 	case eventRequest:
 		e.Body = moduleEvent(c, e, requestFields)
 	case eventAnswerStarted:
@@ -87,20 +83,20 @@
 	case eventHealthCheckResult:
 		e.Body = moduleEvent(c, e, healthCheckResultFields)
 	case eventPeer:
-		e.Body = record(c, &e.Router, e.Body, peerFields)
+		e.Body = recordBody(c, &e.Router, e.Body, peerFields)
 	case eventStop:
-		e.Body = record(c, &e.Router, e.Body, stopFields)
+		e.Body = recordBody(c, &e.Router, e.Body, stopFields)
 	case eventReservationResult:
 		e.Body = moduleEvent(c, e, reservationResultFields)
 	case eventEndpointTable:
-		e.Body = endpointTable(c, e.Body)
+		e.Body = endpointTableBody(c, e.Body)
 	default:
 		c.fail(&UnknownValueError{Field: "event code", Value: uint64(code)})
 	}
 }
 
-// moduleEvent codes the record of an event of the control package.
-func moduleEvent[T control.Event](c *coder, e *Event, fields func(*coder, *T)) ModuleEvent {
-	body, _ := e.Body.(ModuleEvent) // none when reading
-	return ModuleEvent{record(c, &e.Router, body.Event, fields)}
+// moduleEvent encodes or decodes the router and the fields of an event of the control package.
+func moduleEvent[T control.Event](c *codec, e *Event, fields func(*codec, *T)) ModuleEvent {
+	body, _ := e.Body.(ModuleEvent) // empty when decoding
+	return ModuleEvent{recordBody(c, &e.Router, body.Event, fields)}
 }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -5,8 +5,8 @@
 // portBits is the width of the port at the end of an endpoint's id.
 const portBits = 16
 
-// endpointID codes an engine's address: four bytes and a port.
-func endpointID(c *coder, value *control.EndpointID) {
+// endpointID encodes or decodes an engine's address: four bytes of IPv4 address and two of port.
+func endpointID(c *codec, value *control.EndpointID) {
 	host := uint32(*value >> portBits)
 	port := uint16(*value)
 	integer(c, &host)
@@ -14,11 +14,11 @@
 	*value = control.EndpointID(host)<<portBits | control.EndpointID(port)
 }
 
-// statusCode is the code of a result on the wire. Most are those of a gRPC status with a similar meaning.
+// statusCode is the code of a result on the wire. Most are codes of gRPC statuses with a similar meaning.
 type statusCode uint8
 
-// resultByStatus maps the codes on the wire to the module's results.
-var resultByStatus = [...]struct {
+// statusResults maps the codes on the wire to the results of the control package.
+var statusResults = [...]struct {
 	status statusCode
 	result control.Result
 }{
@@ -33,16 +33,16 @@
 	{9, control.NotSent},        // FAILED_PRECONDITION
 }
 
-// result codes the result of an attempt or of a health check.
-func result(c *coder, value *control.Result) {
+// result encodes or decodes the result of an attempt or of a health check.
+func result(c *codec, value *control.Result) {
 	var status statusCode
-	for _, entry := range resultByStatus {
-		if c.isWriting && entry.result == *value {
+	for _, entry := range statusResults {
+		if c.isEncoding && entry.result == *value {
 			status = entry.status
 		}
 	}
 	integer(c, &status)
-	for _, entry := range resultByStatus {
+	for _, entry := range statusResults {
 		if entry.status == status {
 			*value = entry.result
 			return
@@ -51,8 +51,8 @@
 	c.fail(&UnknownValueError{Field: "status", Value: uint64(status)})
 }
 
-// endpoint codes one endpoint of an EndpointTable.
-func endpoint(c *coder, value *control.Endpoint) {
+// endpoint encodes or decodes one endpoint of an EndpointTable.
+func endpoint(c *codec, value *control.Endpoint) {
 	integerAs[uint8](c, &value.State)
 	endpointID(c, &value.ID)
 	index[uint16](c, &value.Kind)
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -9,11 +9,11 @@
 
 // Layout of frames, in bytes.
 const (
-	batchHeaderBytes = 20
-	replyHeaderBytes = 8
-	batchSizeOffset  = 8       // of the frame's length in a batch's header
-	maxFrameBytes    = 1 << 30 // a longer frame counts as damaged
-	typicalAction    = 24      // size of most actions, so that most replies are allocated once
+	batchHeaderBytes   = 20
+	replyHeaderBytes   = 8
+	batchSizeOffset    = 8       // of the frame's length in a batch's header
+	maxFrameBytes      = 1 << 30 // a header with a greater length is malformed
+	typicalActionBytes = 24      // size of most encoded actions; estimates the capacity of a reply's buffer
 )
 
 // ReadFrame reads one batch frame. It returns io.EOF if the input ends between frames, and an error that
@@ -25,32 +25,33 @@
 		return nil, io.EOF
 	}
 	if err != nil {
-		return nil, fmt.Errorf("frame header: %d of %d bytes: %w", n, batchHeaderBytes, err)
+		return nil, fmt.Errorf("frame header: read %d of %d bytes: %w", n, batchHeaderBytes, err)
 	}
 	size := binary.LittleEndian.Uint32(header[batchSizeOffset:])
 	if size < batchHeaderBytes || size > maxFrameBytes {
-		return nil, fmt.Errorf("frame length %d is outside %d to %d", size, batchHeaderBytes, maxFrameBytes)
+		return nil, fmt.Errorf("frame length %d is out of range, want %d to %d", size, batchHeaderBytes, maxFrameBytes)
 	}
 	frame := make([]byte, size)
 	copy(frame, header)
 	n, err = io.ReadFull(r, frame[batchHeaderBytes:])
 	if err != nil {
-		return nil, fmt.Errorf("frame body: %d of %d bytes: %w", n, size-batchHeaderBytes, io.ErrUnexpectedEOF)
+		return nil, fmt.Errorf("frame body: read %d of %d bytes: %w", n, size-batchHeaderBytes, io.ErrUnexpectedEOF)
 	}
 	return frame, nil
 }
 
-// batchHeader codes the header of a batch.
-func batchHeader(c *coder, b *Batch, size, count *uint32) {
+// batchHeader encodes or decodes the header of a batch. size is the frame's length in bytes and count the number
+// of its records.
+func batchHeader(c *codec, b *Batch, size, count *uint32) {
 	integer(c, &b.Clock)
 	integer(c, size)
 	integer(c, count)
 	integer(c, &b.Number)
 }
 
-// ParseBatch decodes a complete batch frame. It returns a RecordError if a record cannot be decoded.
+// ParseBatch decodes a complete batch frame. It returns a *RecordError if a record can't be decoded.
 func ParseBatch(frame []byte) (Batch, error) {
-	c := &coder{buf: frame}
+	c := &codec{buf: frame}
 	var b Batch
 	var size, count uint32
 	batchHeader(c, &b, &size, &count)
@@ -60,7 +61,7 @@
 	for i := uint32(0); i < count && c.err == nil; i++ {
 		offset := c.offset
 		var event Event
-		event.code(c)
+		event.encodeOrDecode(c)
 		if c.err != nil {
 			return b, &RecordError{Index: i, Offset: offset, Err: c.err}
 		}
@@ -74,12 +75,12 @@
 
 // AppendBatch encodes a batch, for tests and tools.
 func AppendBatch(dst []byte, b Batch) ([]byte, error) {
-	c := &coder{isWriting: true}
-	size := uint32(0) // known at the end
+	c := &codec{isEncoding: true}
+	size := uint32(0) // set after the records are encoded
 	count := uint32(len(b.Records))
 	batchHeader(c, &b, &size, &count)
 	for _, event := range b.Records {
-		event.code(c)
+		event.encodeOrDecode(c)
 	}
 	binary.LittleEndian.PutUint32(c.buf[batchSizeOffset:], uint32(len(c.buf)))
 	return append(dst, c.buf...), c.err
@@ -87,12 +88,12 @@
 
 // AppendReply encodes a reply.
 func AppendReply(dst []byte, r Reply) ([]byte, error) {
-	c := &coder{isWriting: true, buf: make([]byte, 0, replyHeaderBytes+typicalAction*len(r.Records))}
-	size := uint32(0) // known at the end
+	c := &codec{isEncoding: true, buf: make([]byte, 0, replyHeaderBytes+typicalActionBytes*len(r.Records))}
+	size := uint32(0) // set after the records are encoded
 	integer(c, &size)
 	integer(c, &r.Number)
 	for _, action := range r.Records {
-		action.code(c)
+		action.encodeOrDecode(c)
 	}
 	binary.LittleEndian.PutUint32(c.buf, uint32(len(c.buf)))
 	return append(dst, c.buf...), c.err
@@ -100,7 +101,7 @@
 
 // ParseReply decodes a complete reply frame, for tests and tools.
 func ParseReply(frame []byte) (Reply, error) {
-	c := &coder{buf: frame}
+	c := &codec{buf: frame}
 	var r Reply
 	var size uint32
 	integer(c, &size)
@@ -110,7 +111,7 @@
 	}
 	for c.err == nil && c.offset < len(frame) {
 		var action Action
-		action.code(c)
+		action.encodeOrDecode(c)
 		r.Records = append(r.Records, action)
 	}
 	return r, c.err
--- a/internal/simwire/layout_test.go
+++ b/internal/simwire/layout_test.go
@@ -8,17 +8,18 @@
 	"martenlock/control"
 )
 
-// TestTimerRecordHasTheWiresLayout: a batch equals bytes written by hand.
-func TestTimerRecordHasTheWiresLayout(t *testing.T) {
+// TestTimerRecordMatchesWireFormat compares a batch with handwritten bytes. A round trip would not notice a change of
+// the format.
+func TestTimerRecordMatchesWireFormat(t *testing.T) {
 	frame, err := AppendBatch(nil, Batch{Clock: 1, Records: []Event{{Router: 3, Body: ModuleEvent{control.Timer{Token: 0x4d}}}}})
 	want := []byte{1, 0, 0, 0, 0, 0, 0, 0, 31, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 7, 3, 0, 0x4d, 0, 0, 0, 0, 0, 0, 0}
 	if err != nil || !bytes.Equal(frame, want) {
-		t.Fatalf("got %v, %v", frame, err)
+		t.Fatalf("batch encoded as %v (error %v), want %v", frame, err, want)
 	}
 }
 
-// TestEjectionIsLoggedInTheSimulatorsWords: each reason has the text that the simulator expects.
-func TestEjectionIsLoggedInTheSimulatorsWords(t *testing.T) {
+// TestEjectionLogHasSimulatorTexts checks that each reason has the text that the simulator expects.
+func TestEjectionLogHasSimulatorTexts(t *testing.T) {
 	for reason, want := range map[control.EjectionReason]string{
 		control.EjectedForErrors:      "server a124a071b5b set aside: errors",
 		control.EjectedForTimeouts:    "server a124a071b5b set aside: time-outs",
@@ -34,16 +35,16 @@
 		}
 		head := []byte{byte(actionLog), 1, 0, byte(len(want)), 0}
 		if !bytes.HasSuffix(frame, append(head, want...)) || len(frame) != replyHeaderBytes+len(head)+len(want) {
-			t.Errorf("%v: %q, want %q at its end", reason, frame, want)
+			t.Errorf("%v: frame %q, want it to end with %q", reason, frame, want)
 		}
 		if got, err := ParseReply(frame); err != nil || got.Records[0].Body != ActionBody(ModuleAction{log}) {
-			t.Errorf("%v: read as %+v, %v", reason, got, err)
+			t.Errorf("%v: decoded as %+v (error %v)", reason, got, err)
 		}
 	}
 }
 
-// TestOutcomeDetailMeansMissingKVOnlyOnRejections: the number before the report has its second meaning only on
-// rejections.
+// TestOutcomeDetailMeansMissingKVOnlyOnRejections guards against reading one cached token, which is also encoded as 1,
+// as missing KV state.
 func TestOutcomeDetailMeansMissingKVOnlyOnRejections(t *testing.T) {
 	for _, c := range []struct {
 		outcome control.Outcome
@@ -59,11 +60,11 @@
 			t.Fatal(err)
 		}
 		if want := []byte{c.detail, 0, 0, 0, 0}; !bytes.HasSuffix(frame, want) {
-			t.Errorf("%+v ends in %v, want %v", c.outcome, frame[len(frame)-len(want):], want)
+			t.Errorf("%+v: frame ends with %v, want %v", c.outcome, frame[len(frame)-len(want):], want)
 		}
 		got, err := ParseBatch(frame)
 		if err != nil || !reflect.DeepEqual(got.Records[0].Body, ModuleEvent{c.outcome}) {
-			t.Errorf("%+v became %+v, %v", c.outcome, got.Records, err)
+			t.Errorf("%+v decoded as %+v (error %v)", c.outcome, got.Records, err)
 		}
 	}
 }
--- a/internal/simwire/logline.go
+++ b/internal/simwire/logline.go
@@ -6,13 +6,14 @@
 	"martenlock/control"
 )
 
-// ejectionLine is the simulator's text of an ejection: the endpoint and its reason in ejectionWords.
-const ejectionLine = "server %x set aside: %s"
+// ejectionFormat is the log line that the simulator expects for an ejection, with the endpoint's id and a
+// text of ejectionTexts.
+const ejectionFormat = "server %x set aside: %s"
 
-// ejectionWords are the simulator's texts of the reasons of an ejection.
-var ejectionWords = [...]struct {
+// ejectionTexts are the texts that the simulator expects for the reasons of an ejection.
+var ejectionTexts = [...]struct {
 	reason control.EjectionReason
-	words  string
+	text   string
 }{
 	{control.EjectedForErrors, "errors"},
 	{control.EjectedForTimeouts, "time-outs"},
@@ -22,36 +23,37 @@
 	{control.EjectedForHealthCheck, "probe unanswered"},
 }
 
-// logLine codes a log as a line of text.
-func logLine(c *coder, v *control.Log) {
+// logLine encodes or decodes a log as a line of text.
+func logLine(c *codec, v *control.Log) {
 	var line string
-	if c.isWriting {
+	if c.isEncoding {
 		line = formatLog(*v)
 	}
 	text(c, &line)
-	if c.isWriting || c.err != nil {
+	if c.isEncoding || c.err != nil {
 		return
 	}
 	*v, c.err = parseLog(line)
 }
 
-// formatLog returns the text of a log. A kind or a reason without a text here keeps its own name.
+// formatLog returns the text of a log. Kinds other than EndpointEjected and reasons that are not in
+// ejectionTexts have the text of their String method.
 func formatLog(log control.Log) string {
 	if log.Kind != control.EndpointEjected {
 		return log.Kind.String()
 	}
-	words := log.Reason.String()
-	for _, entry := range ejectionWords {
+	reason := log.Reason.String()
+	for _, entry := range ejectionTexts {
 		if entry.reason == log.Reason {
-			words = entry.words
+			reason = entry.text
 		}
 	}
-	return fmt.Sprintf(ejectionLine, uint64(log.Endpoint), words)
+	return fmt.Sprintf(ejectionFormat, uint64(log.Endpoint), reason)
 }
 
-// parseLog parses the line that formatLog writes, for tests and tools.
+// parseLog parses a line that formatLog has written for an ejection, for tests and tools.
 func parseLog(line string) (control.Log, error) {
-	for _, entry := range ejectionWords {
+	for _, entry := range ejectionTexts {
 		log := control.Log{Kind: control.EndpointEjected, Reason: entry.reason}
 		_, err := fmt.Sscanf(line, "server %x", &log.Endpoint)
 		if err == nil && formatLog(log) == line {
--- a/internal/simwire/malformed_test.go
+++ b/internal/simwire/malformed_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestMalformedFramesAreErrors: a malformed frame is an error, and not the end of the input.
-func TestMalformedFramesAreErrors(t *testing.T) {
+// TestMalformedFramesAreRejected also checks that the error is not io.EOF, which stands for the end of the input.
+func TestMalformedFramesAreRejected(t *testing.T) {
 	valid, err := AppendBatch(nil, sampleBatch())
 	if err != nil {
 		t.Fatal(err)
@@ -32,12 +32,13 @@
 			_, err = ParseBatch(received)
 		}
 		if err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: error %v, want one that is not io.EOF", name, err)
 		}
 	}
 }
 
-// FuzzParseBatch checks that an accepted batch is encoded in as many bytes again.
+// FuzzParseBatch checks that each batch that is decoded without an error has the same length when it is encoded
+// again.
 func FuzzParseBatch(f *testing.F) {
 	valid, err := AppendBatch(nil, sampleBatch())
 	if err != nil {
@@ -52,12 +53,11 @@
 		}
 		encoded, err := AppendBatch(nil, batch)
 		if err != nil || len(encoded) != len(frame) {
-			t.Fatalf("%d bytes became %d, %v", len(frame), len(encoded), err)
+			t.Fatalf("batch of %d bytes encoded again in %d bytes (error %v)", len(frame), len(encoded), err)
 		}
 	})
 }
 
-// TestRecordErrorNamesRecordAndReason: the error of a record gives its position and its cause.
 func TestRecordErrorNamesRecordAndReason(t *testing.T) {
 	frame, err := AppendBatch(nil, Batch{Records: []Event{{Body: Stop{}}, {Body: Stop{}}}})
 	if err != nil {
@@ -68,13 +68,13 @@
 	_, err = ParseBatch(frame)
 	var recordErr *RecordError
 	if !errors.As(err, &recordErr) || recordErr.Index != 1 || recordErr.Offset != secondRecord {
-		t.Fatalf("%#v", err)
+		t.Fatalf("error %#v, want a *RecordError of record 1 at byte %d", err, secondRecord)
 	}
 	var unknown *UnknownValueError
 	if !errors.As(err, &unknown) || unknown.Field != "event code" || unknown.Value != 99 {
-		t.Fatalf("%#v", err)
+		t.Fatalf("error %#v, want an *UnknownValueError of event code 99", err)
 	}
 	if want := "record 1 at byte 23: unknown event code 99"; err.Error() != want {
-		t.Errorf("%v, want %s", err, want)
+		t.Errorf("error %q, want %q", err, want)
 	}
 }
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -1,9 +1,10 @@
 package simwire
 
-// record codes the part of a record after its code: the router and the fields. It returns the content. When
-// reading it starts from the zero T. When writing the content is a T, since the record's code says so.
-func record[T any](c *coder, router *uint16, content any, fields func(*coder, *T)) T {
-	value, _ := content.(T) // none when reading
+// recordBody encodes or decodes the part of a record that follows its code: the router and the fields. It
+// returns the body. When decoding, it ignores the parameter body. When encoding, body must be a T, the type
+// that belongs to the record's code.
+func recordBody[T any](c *codec, router *uint16, body any, fields func(*codec, *T)) T {
+	value, _ := body.(T) // the zero T when decoding
 	integer(c, router)
 	fields(c, &value)
 	return value
--- a/internal/simwire/roundtrip_test.go
+++ b/internal/simwire/roundtrip_test.go
@@ -9,7 +9,7 @@
 	"martenlock/control"
 )
 
-// sampleBatch has an event of each kind.
+// sampleBatch returns a batch with at least one event of each type.
 func sampleBatch() Batch {
 	id := control.EndpointID(0x0a124a07<<16 | 0x1b5b)
 	return Batch{Clock: 8412250, Number: 12, Records: []Event{
@@ -38,8 +38,7 @@
 	}}
 }
 
-// TestParseBatchInvertsAppendBatch: each kind of event is decoded as it was encoded.
-func TestParseBatchInvertsAppendBatch(t *testing.T) {
+func TestBatchRoundTripPreservesEachEventType(t *testing.T) {
 	want := sampleBatch()
 	frame, err := AppendBatch(nil, want)
 	if err != nil {
@@ -51,12 +50,11 @@
 	}
 	got, err := ParseBatch(received)
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("got %+v, %v\nwant %+v", got, err, want)
+		t.Fatalf("decoded %+v (error %v)\nwant %+v", got, err, want)
 	}
 }
 
-// TestParseReplyInvertsAppendReply: each kind of action is decoded as it was encoded.
-func TestParseReplyInvertsAppendReply(t *testing.T) {
+func TestReplyRoundTripPreservesEachActionType(t *testing.T) {
 	want := Reply{Number: 12, Records: []Action{
 		{Router: 1, Body: ModuleAction{control.Forward{ID: 7, Endpoint: 1<<40 | 9, Timeout: time.Second}}},
 		{Router: 1, Body: ModuleAction{control.Reject{ID: 7, RetryAfter: time.Second}}},
@@ -74,6 +72,6 @@
 		t.Fatal(err)
 	}
 	if got, err := ParseReply(frame); err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("got %+v, %v", got, err)
+		t.Fatalf("decoded %+v (error %v)\nwant %+v", got, err, want)
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
 // Package simwire is the codec of the simulator's protocol: little-endian frames of records, decoded
 // into the control package's events and encoded from its actions. It makes no decisions. Each layout
-// is written once and serves both directions.
+// is written once, for encoding and decoding.
 package simwire
 
 import "martenlock/control"
@@ -31,7 +31,7 @@
 // ModuleEvent is an event of the control package.
 type ModuleEvent struct{ Event control.Event }
 
-// Start begins an instance without state.
+// Start starts an instance, with no state from an earlier one.
 type Start struct {
 	Seed     uint64
 	Settings []byte // in the form that package platformsettings parses
@@ -46,14 +46,14 @@
 	Endpoints []control.Endpoint
 }
 
-// EndpointListUpdate refers an instance to an EndpointTable, or reports that a request for one failed.
+// EndpointListUpdate tells an instance to read an EndpointTable, or that a request for one has failed.
 type EndpointListUpdate struct {
 	Version uint64
 	Table   uint16
 	Scope   Scope
 }
 
-// Peer is a message from another instance. This project sends none.
+// Peer is a message from another instance. Instances of this project send none.
 type Peer struct {
 	From uint32
 	Data []byte
@@ -78,7 +78,7 @@
 // ModuleAction is an action of the control package.
 type ModuleAction struct{ Action control.Action }
 
-// InternalError reports that the decision code has failed.
+// InternalError reports that the control package has panicked. Text is the value of the panic.
 type InternalError struct{ Text string }
 
 func (ModuleAction) actionBody()  {}
@@ -86,7 +86,7 @@
 
 //go:generate go tool stringer -linecomment -type=Scope -output=enum_string.go
 
-// Scope is what the EndpointTable of an EndpointListUpdate contains.
+// Scope says what the EndpointTable of an EndpointListUpdate contains.
 type Scope uint8
 
 // The scopes of an EndpointListUpdate.
@@ -97,6 +97,6 @@
 	ScopeFull // full
 	// ScopeCached is a table of all endpoints from a cache.
 	ScopeCached // cached
-	// ScopeFailed is no table: the request for one failed.
+	// ScopeFailed means that the request for a table failed. There is no table.
 	ScopeFailed // failed
 )
