--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -11,15 +11,15 @@
 	"martenlock/internal/simwire"
 )
 
-// inputBufferBytes is the size of the input buffer: a batch of a large site is read in few calls.
+// inputBufferBytes is the size of the input buffer. It is large enough to read most batches in few system calls.
 const inputBufferBytes = 1 << 20
 
-// errUnknownInstance reports an event for an instance that was not started or has been stopped.
+// errUnknownInstance is the error of an event for an instance that is not running.
 var errUnknownInstance = errors.New("unknown instance")
 
-// batchError reports that a batch cannot be answered.
+// batchError reports that a batch could not be answered.
 type batchError struct {
-	Number uint32
+	Number uint32 // of the batch
 	Err    error
 }
 
@@ -29,8 +29,8 @@
 // Unwrap returns the reason.
 func (e *batchError) Unwrap() error { return e.Err }
 
-// run answers batches until the input ends.
-func run(in io.Reader, out io.Writer) error {
+// answerBatches reads batches and writes their replies until the input ends or an error occurs.
+func answerBatches(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, inputBufferBytes)
 	h := host{routers: map[uint16]*control.Router{}, tables: map[uint16][]control.Endpoint{}}
 	for {
@@ -58,22 +58,22 @@
 	tables  map[uint16][]control.Endpoint // by number
 }
 
-// answerFrame returns the encoded reply to an encoded batch.
+// answerFrame returns the encoded reply to the batch in a frame.
 func (h *host) answerFrame(frame []byte) ([]byte, error) {
 	batch, err := simwire.ParseBatch(frame)
 	if err != nil {
 		return nil, err
 	}
-	reply, err := h.answer(batch)
+	reply, err := h.answerBatch(batch)
 	if err != nil {
 		return nil, &batchError{Number: batch.Number, Err: err}
 	}
 	return simwire.AppendReply(nil, reply)
 }
 
-// answer passes each instance its events of the batch, in order, and collects the actions. The instances
-// act in the order of their first events.
-func (h *host) answer(batch simwire.Batch) (simwire.Reply, error) {
+// answerBatch passes to each instance its events of the batch, in their order, and returns all actions. The
+// actions are grouped by instance, in the order of the instances' first events.
+func (h *host) answerBatch(batch simwire.Batch) (simwire.Reply, error) {
 	queues := instanceQueues{byInstance: map[uint16]*instanceQueue{}}
 	for _, record := range batch.Records {
 		err := h.handleRecord(batch.Clock, record, &queues)
@@ -82,7 +82,7 @@
 		}
 	}
 	reply := simwire.Reply{Number: batch.Number}
-	for _, queue := range queues.inOrder {
+	for _, queue := range queues.ordered {
 		if queue.router != nil {
 			reply.Records = append(reply.Records, queue.handle(batch.Clock)...)
 		}
@@ -90,27 +90,27 @@
 	return reply, nil
 }
 
-// handleRecord applies a record that concerns the host, and queues an event for its instance.
+// handleRecord stores an endpoint table, or starts or stops an instance, or queues an event for its instance.
 func (h *host) handleRecord(now control.Time, record simwire.Event, queues *instanceQueues) error {
 	switch body := record.Body.(type) {
 	case simwire.EndpointTable:
 		h.tables[body.Number] = body.Endpoints
 		return nil
 	case simwire.Stop:
-		return h.stop(record.Router, queues)
+		return h.stopInstance(record.Router, queues)
 	case simwire.Start:
-		err := h.start(now, record.Router, body, queues)
+		err := h.startInstance(now, record.Router, body, queues)
 		if err != nil {
 			return err
 		}
 	}
 	router := h.routers[record.Router]
 	if router == nil {
-		return fmt.Errorf("event %s for %w %d", typeName(record.Body), errUnknownInstance, record.Router)
+		return fmt.Errorf("event %s for %w %d", eventTypeName(record.Body), errUnknownInstance, record.Router)
 	}
 	queue := queues.forInstance(record.Router)
 	queue.router = router
-	event, err := h.translate(record.Body)
+	event, err := h.controlEvent(record.Body)
 	if err != nil {
 		return err
 	}
@@ -120,9 +120,9 @@
 	return nil
 }
 
-// start starts an instance. If one with this number is running, the new one replaces it, and the events
-// for the old one in this batch are discarded.
-func (h *host) start(now control.Time, instance uint16, body simwire.Start, queues *instanceQueues) error {
+// startInstance starts an instance. If one with this number is running, the new one replaces it, and the events
+// queued for the old one are discarded.
+func (h *host) startInstance(now control.Time, instance uint16, body simwire.Start, queues *instanceQueues) error {
 	settings, err := platformsettings.Parse(body.Seed, body.Settings)
 	if err != nil {
 		return err
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// stop stops an instance. The events for it in this batch are discarded.
-func (h *host) stop(instance uint16, queues *instanceQueues) error {
+// stopInstance stops an instance and discards the events that are queued for it.
+func (h *host) stopInstance(instance uint16, queues *instanceQueues) error {
 	if h.routers[instance] == nil {
 		return fmt.Errorf("stop of %w %d", errUnknownInstance, instance)
 	}
@@ -149,21 +149,21 @@
 	return nil
 }
 
-// translate returns the module's event for a record, or nil if the module ignores the record.
-func (h *host) translate(body simwire.EventBody) (control.Event, error) {
+// controlEvent returns the event for the control package, or nil if the record is not passed to it.
+func (h *host) controlEvent(body simwire.EventBody) (control.Event, error) {
 	switch body := body.(type) {
 	case simwire.Start, simwire.Peer:
 		return nil, nil
 	case simwire.EndpointListUpdate:
-		return h.endpointUpdate(body)
+		return h.endpointEvent(body)
 	case simwire.ModuleEvent:
 		return body.Event, nil
 	}
-	return nil, fmt.Errorf("unexpected record %s", typeName(body))
+	return nil, fmt.Errorf("unexpected record %s", eventTypeName(body))
 }
 
-// endpointUpdate returns the event for an update that refers to an endpoint table.
-func (h *host) endpointUpdate(update simwire.EndpointListUpdate) (control.Event, error) {
+// endpointEvent returns the event for an update, with the endpoints of the table that it refers to.
+func (h *host) endpointEvent(update simwire.EndpointListUpdate) (control.Event, error) {
 	if update.Scope == simwire.ScopeFailed {
 		return control.SubscriptionFailed{}, nil
 	}
@@ -174,8 +174,8 @@
 	return control.EndpointUpdate{Endpoints: endpoints, Full: update.Scope != simwire.ScopeDelta}, nil
 }
 
-// typeName returns the name of a record's type for error messages.
-func typeName(body simwire.EventBody) string {
+// eventTypeName returns the name of an event's type for error messages.
+func eventTypeName(body simwire.EventBody) string {
 	if module, ok := body.(simwire.ModuleEvent); ok {
 		return fmt.Sprintf("%T", module.Event)
 	}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
 // Command simadapter connects the simulator's protocol to the control package. It reads batches of events
-// from standard input and writes one reply each to standard output. It hosts one control.Router for each
-// instance. Instances share nothing but the endpoint tables of the protocol.
+// from standard input and writes one reply for each batch to standard output. It hosts one control.Router for
+// each instance. Instances share only the endpoint tables of the protocol.
 package main
 
 import (
@@ -9,7 +9,7 @@
 )
 
 func main() {
-	err := run(os.Stdin, os.Stdout)
+	err := answerBatches(os.Stdin, os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
--- a/cmd/simadapter/queue.go
+++ b/cmd/simadapter/queue.go
@@ -16,28 +16,28 @@
 
 // instanceQueues holds the queues of one batch.
 type instanceQueues struct {
-	inOrder    []*instanceQueue // in the order of the instances' first events
+	ordered    []*instanceQueue // by the instances' first events
 	byInstance map[uint16]*instanceQueue
 }
 
-// forInstance returns the queue of an instance. It adds one if there is none.
+// forInstance returns the queue of an instance. It creates the queue if there is none.
 func (q *instanceQueues) forInstance(instance uint16) *instanceQueue {
 	queue := q.byInstance[instance]
 	if queue == nil {
 		queue = &instanceQueue{instance: instance}
 		q.byInstance[instance] = queue
-		q.inOrder = append(q.inOrder, queue)
+		q.ordered = append(q.ordered, queue)
 	}
 	return queue
 }
 
-// handle passes the events to the module and returns its actions as records. A panic of the module becomes
-// an InternalError.
+// handle passes the events to the router and returns its actions as records. If the router panics, the only
+// record is an InternalError.
 func (q *instanceQueue) handle(now control.Time) (records []simwire.Action) {
 	defer func() {
-		reason := recover()
-		if reason != nil {
-			records = append(records, q.action(simwire.InternalError{Text: fmt.Sprint(reason)}))
+		panicValue := recover()
+		if panicValue != nil {
+			records = append(records, q.action(simwire.InternalError{Text: fmt.Sprint(panicValue)}))
 		}
 	}()
 	for _, action := range q.router.Handle(now, q.events) {
@@ -46,7 +46,6 @@
 	return records
 }
 
-// action returns the record of an action of this instance.
 func (q *instanceQueue) action(body simwire.ActionBody) simwire.Action {
 	return simwire.Action{Router: q.instance, Body: body}
 }
