--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -8,19 +8,19 @@
 	"martenlock/internal/inifile"
 )
 
-// Class is a request class of the file. The decision module has two classes for it, since the first
-// byte of an answer that is not streamed is also the last and needs an objective of its own.
+// Class is a request class of the file. It has two classes in the decision module: an answer that is not
+// streamed arrives only when it is complete, so its time to first token has its own objective.
 type Class struct {
 	Name        string
-	StreamIndex int // in Control.Classes, for streamed answers
-	UnaryIndex  int // in Control.Classes, for answers that are not streamed
+	StreamIndex int // index in Control.Classes of the class of streamed answers
+	UnaryIndex  int // index in Control.Classes of the class of answers that are not streamed
 }
 
-// The values of effect and scope and what they mean.
+// The values of the keys effect and scope, and their meanings by the same index.
 var (
-	effectWords   = []string{"safe", "keyed", "unsafe"}
+	effectValues  = []string{"safe", "keyed", "unsafe"}
 	idempotencies = []control.Idempotency{control.Idempotent, control.IdempotentWithKey, control.NotIdempotent}
-	scopeWords    = []string{"all", "zone", "cell"}
+	scopeValues   = []string{"all", "zone", "cell"}
 	dedupScopes   = []control.DedupScope{control.DedupScopeAll, control.DedupScopeZone, control.DedupScopeCell}
 )
 
@@ -36,8 +36,8 @@
 		ITLObjective:      section.Duration("token_aim", 0, 0, day),
 		PriorityWeight:    section.Float("worth", 1, 0, maxWeight),
 		LateWeightShare:   section.Float("late_worth", 0.2, 0, 1),
-		Idempotency:       idempotencies[section.Choice("effect", "safe", effectWords...)],
-		DedupScope:        dedupScopes[section.Choice("scope", "all", scopeWords...)],
+		Idempotency:       idempotencies[section.Choice("effect", "safe", effectValues...)],
+		DedupScope:        dedupScopes[section.Choice("scope", "all", scopeValues...)],
 		DedupWindow:       section.Duration("window", 0, 0, day),
 		MaxAttempts:       section.Int("max_attempts", 0, 0, 100),
 	}
@@ -50,22 +50,22 @@
 }
 
 // defaultUnaryObjective returns the default of whole_aim: three quarters of the deadline, or the objective
-// of streams if it is longer. The first byte of an answer that is not streamed comes later than that of a
-// stream, but must come before the deadline.
+// of streams if that is longer.
 func defaultUnaryObjective(stream *control.Class) time.Duration {
 	return max(stream.TTFTObjective, stream.Deadline*3/4)
 }
 
-// checkClass records an error for the first of a class's keys that contradicts others.
+// checkClass records an error if keys of a class are missing or contradict each other. It records only the first
+// such error.
 func (c *Config) checkClass(section *inifile.Section, stream, unary *control.Class) {
-	const notBelowDeadline = "%s %v is %w, want less than the deadline, %v"
+	const notBelowDeadlineFormat = "%s %v is %w, want less than the deadline, %v"
 	switch {
 	case stream.TTFTObjective <= 0 || stream.Deadline <= 0:
 		section.AddError("aim", "%w value, aim and deadline must both be longer than 0", inifile.ErrMissing)
 	case stream.TTFTObjective >= stream.Deadline:
-		section.AddError("aim", notBelowDeadline, "aim", stream.TTFTObjective, inifile.ErrOutOfRange, stream.Deadline)
+		section.AddError("aim", notBelowDeadlineFormat, "aim", stream.TTFTObjective, inifile.ErrOutOfRange, stream.Deadline)
 	case unary.TTFTObjective >= stream.Deadline:
-		section.AddError("whole_aim", notBelowDeadline, "whole_aim", unary.TTFTObjective, inifile.ErrOutOfRange, stream.Deadline)
+		section.AddError("whole_aim", notBelowDeadlineFormat, "whole_aim", unary.TTFTObjective, inifile.ErrOutOfRange, stream.Deadline)
 	case stream.Idempotency == control.IdempotentWithKey && stream.DedupWindow <= 0:
 		section.AddError("window", "%w value, must be set if effect is keyed", inifile.ErrMissing)
 	case stream.Deadline <= c.Limits.DeadlineMargin:
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the router's configuration from its INI file. Fields have the terms of the
-// code, and the file has its own keys; docs/operating.md explains each.
+// Package config reads the router's configuration from its INI file. The names of fields differ from
+// those of the keys in the file. docs/operating.md explains each key.
 package config
 
 import (
@@ -26,18 +26,17 @@
 
 	Limits  Limits
 	Request RequestRules
-	Control control.Settings // without the fields that a pool sets
+	Control control.Settings // for all pools; each pool sets its own report fields, zone and seed
 	Kinds   []string         // names of the kinds of engines, by index in Control.Engines.Kinds
 	Classes []Class
 	Tenants []string // names, by index in Control.Tenants
 	Pools   []Pool
 }
 
-// Bounds that several keys share. They catch mistakes such as a missing unit, and are far from what
-// a service needs.
+// Bounds of values. They only catch mistakes such as a wrong unit, and don't restrict realistic values.
 const (
 	day             = 24 * time.Hour
-	minTimeout      = 10 * time.Millisecond // shorter ones would close connections that are merely busy
+	minTimeout      = 10 * time.Millisecond // a shorter time-out would close connections in normal use
 	maxTimeout      = day
 	maxTokens       = 1e9     // of a request or a batch
 	maxMemoryTokens = 1e12    // of an engine
@@ -46,7 +45,7 @@
 	maxItems        = 1 << 20 // of a request
 	maxRouters      = 100_000
 	maxSeed         = 1 << 62
-	maxConnsLimit   = 1 << 20 // Linux's default limit of a process's descriptors, fs.nr_open
+	maxClientConns  = 1 << 20 // Linux's default of fs.nr_open, the most file descriptors of a process
 )
 
 // Load reads and parses a file. A relative path of the endpoint list is relative to the directory of
@@ -100,7 +99,7 @@
 	return c, nil
 }
 
-// requireSection records an error if there is no section of a kind.
+// requireSection records an error if count, the number of named sections of a kind, is 0.
 func requireSection(file *inifile.File, kind string, count int) {
 	if count == 0 {
 		file.AddError("%w section [%s NAME]", inifile.ErrMissing, kind)
@@ -118,7 +117,7 @@
 	c.Seed = uint64(section.Int("seed", 0, 0, maxSeed))
 	c.LogPath = section.Text("log", "")
 	c.LogLevel = logLevels[section.Choice("log_level", "info", logLevels...)]
-	c.MaxConnections = section.Int("max_connections", 12000, 1, maxConnsLimit)
+	c.MaxConnections = section.Int("max_connections", 12000, 1, maxClientConns)
 	identity := &c.Control.Identity
 	identity.Routers = section.Int("routers", 1, 1, maxRouters)
 	identity.Rank = section.Int("rank", 0, 0, maxRouters)
@@ -127,7 +126,7 @@
 	}
 }
 
-// Summary returns the size of the configuration in one line, for the command check.
+// Summary returns the listen address and the numbers of pools, classes and kinds in one line.
 func (c *Config) Summary() string {
 	return fmt.Sprintf("%d pools, %d classes, %d kinds of engine, listens on %s", len(c.Pools), len(c.Classes), len(c.Kinds), c.Listen)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,10 +9,9 @@
 	"martenlock/internal/demo"
 )
 
-// settings is a valid configuration.
 var settings = fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "info")
 
-// TestParseErrorsNameSectionAndKey changes one line of a valid configuration at a time.
+// TestParseErrorsNameSectionAndKey makes one change at a time to a valid configuration.
 func TestParseErrorsNameSectionAndKey(t *testing.T) {
 	if _, err := config.Parse("f.ini", []byte(settings)); err != nil {
 		t.Fatal(err)
@@ -43,11 +42,11 @@
 		{"[class ask]", "[request]\nforward = Host\n[class ask]", `[request] forward: invalid field "Host", it belongs to one connection`},
 	} {
 		if !strings.Contains(settings, c.old) {
-			t.Fatalf("the settings have no %q", c.old)
+			t.Fatalf("the valid configuration does not contain %q", c.old)
 		}
 		_, err := config.Parse("f.ini", []byte(strings.Replace(settings, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v; want %s", c.new, err, c.want)
+			t.Errorf("with %q: got error %v, want one that contains %q", c.new, err, c.want)
 		}
 	}
 }
@@ -61,7 +60,7 @@
 			}
 		}
 		if _, err := config.Parse("f.ini", []byte(strings.Join(kept, "\n\n"))); err == nil || !strings.Contains(err.Error(), "missing section "+missing) {
-			t.Errorf("without %s]: %v", missing, err)
+			t.Errorf("without sections %s...]: got error %v, want a missing section", missing, err)
 		}
 	}
 }
--- a/internal/config/kind.go
+++ b/internal/config/kind.go
@@ -5,19 +5,19 @@
 	"martenlock/internal/inifile"
 )
 
-// The values of role and what they mean.
+// The values of the key role, and their meanings by the same index.
 var (
-	roleWords = []string{"reader", "writer", "mixed"}
-	roles     = []control.Role{control.RolePrefill, control.RoleDecode, control.RoleColocated}
+	roleValues = []string{"reader", "writer", "mixed"}
+	roles      = []control.Role{control.RolePrefill, control.RoleDecode, control.RoleColocated}
 )
 
-// parseKind parses a section [kind NAME]: a kind of engines.
+// parseKind parses a section [kind NAME], which describes a kind of engine.
 func (c *Config) parseKind(section *inifile.Section) {
 	if !section.RequireName() {
 		return
 	}
 	kind := control.EngineKind{
-		Role:         roles[section.Choice("role", "", roleWords...)],
+		Role:         roles[section.Choice("role", "", roleValues...)],
 		MemoryTokens: control.Tokens(section.Float("memory_tokens", 0, 0, maxMemoryTokens)),
 	}
 	c.Kinds = append(c.Kinds, section.Name)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -7,21 +7,21 @@
 	"martenlock/internal/inifile"
 )
 
-// Limits bound connections, requests and what is buffered of answers.
+// Limits bounds connections, requests, and the buffered part of responses.
 type Limits struct {
-	HTTP               http1.Limits  // of a client's request
-	MaxResponseBytes   int64         // of an answer that is not streamed
-	MaxBufferedBytes   int           // of an answer that is buffered while its request may yet be retried
+	HTTP               http1.Limits  // limits on a client's request
+	MaxResponseBytes   int64         // body of an engine's response
+	MaxBufferedBytes   int           // of an answer that is buffered to allow a retry; a longer answer is forwarded and not retried after that
 	IdleTimeout        time.Duration // of a client's connection without a request
 	RequestTimeout     time.Duration // from a request's first byte to its last
 	WriteStallTimeout  time.Duration // within which a client must accept more of its answer
-	StreamIdleTimeout  time.Duration // within which an engine must send more of its response
-	EngineIdleTimeout  time.Duration // of an engine's connection without a request; must be less than the engine's own
-	MaxEngineConns     int           // of one engine
-	HealthCheckTimeout time.Duration // of a health check
+	StreamIdleTimeout  time.Duration // within which an engine must send more of a streamed answer
+	EngineIdleTimeout  time.Duration // of a connection to an engine without a request; must be shorter than the engine's own
+	MaxEngineConns     int           // connections to one engine
+	HealthCheckTimeout time.Duration
 	DeadlineMargin     time.Duration // by which the decision module's deadline is earlier than the client's
-	ShutdownTimeout    time.Duration // after SIGTERM, for open requests
-	MaxRequests        int           // open at once
+	ShutdownTimeout    time.Duration // for open requests, after SIGTERM
+	MaxRequests        int           // open requests
 }
 
 // parseLimits parses the section [limits].
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -18,16 +18,16 @@
 	APIs                 []openai.API
 	Models               []string              // nil for any
 	DefaultClass         int                   // index in Classes, for requests that name no class
-	ReportMetrics        []string              // names of the metrics of a load report
-	ReportFields         []control.ReportField // what these metrics mean, by the same index
+	ReportMetrics        []string              // names of the metrics in a load report
+	ReportFields         []control.ReportField // meanings of ReportMetrics, by the same index
 	ShardLimits          scatter.Limits        // of embeddings and rerank requests
-	MaxContextTokens     float64               // most tokens of prompt and answer together; 0 for unknown
-	LargeTokens          float64               // tokens above which a request waits for admission; 0 for no limit
-	OutstandingLargeWork time.Duration         // most work that large requests have outstanding, as the time in which the pool serves it
+	MaxContextTokens     float64               // tokens of prompt and answer together; 0 for unknown
+	LargeTokens          float64               // a request of more tokens is large and waits for admission; 0: no request is
+	OutstandingLargeWork time.Duration         // limit on admitted large requests: the pool must be able to serve them in this time
 	Batching             batching.Settings     // of small embeddings requests
-	Coalesces            bool                  // identical embeddings inputs are computed once
-	CacheBytes           int                   // of cached embeddings; 0 disables the cache
-	SharesCache          bool                  // tenants may get each other's embeddings
+	Coalesces            bool                  // identical embeddings inputs that arrive while one is computed share its result
+	CacheBytes           int                   // size of the cache of embeddings; 0 disables it
+	SharesCache          bool                  // tenants may get embeddings that were computed for other tenants
 }
 
 // parsePool parses a section [pool NAME].
@@ -57,8 +57,8 @@
 	c.Pools = append(c.Pools, pool)
 }
 
-// parseAPIs parses the operations that a pool serves. Two pools must not serve one model with the
-// same operation: a request could not be assigned to either.
+// parseAPIs parses the operations that a pool serves. It records an error if another pool serves the
+// same operation for the same model, because the pool of a request would be ambiguous.
 func (c *Config) parseAPIs(section *inifile.Section, pool *Pool) {
 	known := strings.Join(openai.APINames(), ", ")
 	for _, name := range section.List("apis") {
@@ -79,8 +79,8 @@
 	}
 }
 
-// sharesModelWith reports whether there may be a model that both pools serve. A pool without models
-// serves any.
+// sharesModelWith reports whether both pools may serve the same model. A pool with no models serves
+// any model.
 func (p *Pool) sharesModelWith(other *Pool) bool {
 	if len(p.Models) == 0 || len(other.Models) == 0 {
 		return true
@@ -89,11 +89,11 @@
 }
 
 // outstandingLargeWorkDivisor makes the default of large_wait a tenth of the default class's objective.
-// That leaves most of the objective to the requests that wait behind large ones.
+// Requests that wait behind large ones have the rest of the objective for their own work.
 const outstandingLargeWorkDivisor = 10
 
-// parseDefaultClass parses the class of requests that name none, and large_wait, whose default
-// depends on it.
+// parseDefaultClass parses the class of requests that name none. It also parses large_wait, whose
+// default depends on that class.
 func (c *Config) parseDefaultClass(section *inifile.Section, pool *Pool) {
 	name := section.Required("class")
 	pool.DefaultClass = c.ClassIndex(name)
@@ -105,22 +105,22 @@
 	pool.OutstandingLargeWork = section.Duration("large_wait", objective/outstandingLargeWorkDivisor, 0, time.Minute)
 }
 
-// The fields of report and what they mean.
+// The field names in the key report, and their meanings by the same index.
 var (
-	reportWords  = []string{"other", "in_flight", "queue", "util", "memory", "backlog"}
-	reportFields = []control.ReportField{
+	reportFieldNames = []string{"other", "in_flight", "queue", "util", "memory", "backlog"}
+	reportFields     = []control.ReportField{
 		control.ReportOther, control.ReportInFlight, control.ReportQueued,
 		control.ReportUtilization, control.ReportMemory, control.ReportBacklog,
 	}
 )
 
-// parseReport parses the names and the meaning of the metrics of a load report.
+// parseReport parses the names and meanings of the metrics in a load report.
 func (p *Pool) parseReport(section *inifile.Section) {
 	for _, pair := range section.List("report") {
-		metric, word, isPair := strings.Cut(pair, ":")
-		index := slices.Index(reportWords, strings.TrimSpace(word))
+		metric, fieldName, isPair := strings.Cut(pair, ":")
+		index := slices.Index(reportFieldNames, strings.TrimSpace(fieldName))
 		if !isPair || index < 0 {
-			section.AddError("report", "%w metric %q, want METRIC:FIELD with one of the fields %s", inifile.ErrInvalid, pair, strings.Join(reportWords, ", "))
+			section.AddError("report", "%w metric %q, want METRIC:FIELD with one of the fields %s", inifile.ErrInvalid, pair, strings.Join(reportFieldNames, ", "))
 			continue
 		}
 		p.ReportMetrics = append(p.ReportMetrics, strings.TrimSpace(metric))
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -8,7 +8,7 @@
 	"martenlock/internal/openai"
 )
 
-// RequestRules configure how a request's header and body are decoded. Names of header fields are in
+// RequestRules configures how a request's header and body are decoded. Names of header fields are in
 // lower case.
 type RequestRules struct {
 	ClassHeader     string
@@ -19,10 +19,10 @@
 	OpenAI          openai.DecodeOptions
 }
 
-// defaultForwardedFields is the default of forward.
+// defaultForwardedFields is the default of the key forward.
 var defaultForwardedFields = []string{"x-client-request-id", "traceparent", "tracestate", "baggage"}
 
-// neverForwarded are the header fields that describe one connection or are set by the router.
+// neverForwarded are the header fields that belong to one connection or are set by the router.
 var neverForwarded = []string{
 	"host", "connection", "content-length", "transfer-encoding", "te", "trailer",
 	"upgrade", "keep-alive", "expect", "x-request-id", "content-type",
@@ -47,7 +47,7 @@
 	}
 }
 
-// parseForwardedFields parses the header fields that are forwarded.
+// parseForwardedFields parses the key forward and returns the names in lower case.
 func parseForwardedFields(section *inifile.Section) []string {
 	names := section.List("forward")
 	if !section.Has("forward") {
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -7,7 +7,7 @@
 	"martenlock/internal/inifile"
 )
 
-// parseRules parses the section [rules], which configures the decision module.
+// parseRules parses the section [rules], which sets limits and capabilities of the decision module.
 func (c *Config) parseRules(section *inifile.Section) {
 	c.Control.Limits = control.Limits{
 		MaxAttempts:      section.Int("max_attempts", 5, 1, 100),
--- a/internal/config/tenant.go
+++ b/internal/config/tenant.go
@@ -20,9 +20,9 @@
 	c.Control.Tenants = append(c.Control.Tenants, tenant)
 }
 
-// FairShareTenant returns the name under which a tenant gets its share of what tenants share. If the
-// configuration names tenants, all others have "" and get one share together: a client could
-// otherwise invent names to get more.
+// FairShareTenant returns the name that identifies a tenant in fair queueing. If the configuration has
+// tenants, all others are treated as one tenant with the name "". Otherwise a client could get a larger
+// share by sending several made-up names.
 func (c *Config) FairShareTenant(name string) string {
 	if len(c.Tenants) > 0 && !slices.Contains(c.Tenants, name) {
 		return ""
@@ -30,8 +30,8 @@
 	return name
 }
 
-// TenantIndex returns the index of a tenant in Control.Tenants. It returns that of the first tenant
-// if the configuration does not name it.
+// TenantIndex returns the index of a tenant in Control.Tenants, or 0 if the configuration does not
+// have the tenant.
 func (c *Config) TenantIndex(name string) int {
 	return max(slices.Index(c.Tenants, name), 0)
 }
