--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,5 +1,5 @@
-// Package endpointlist reads the endpoint list of serve, an INI file with one section [node NAME] for each
-// engine, and watches the file for changes. To operators the file is the node list.
+// Package endpointlist reads the endpoint list, an INI file with one section [node NAME] for each engine, and
+// watches the file for changes. The operators' documentation calls it the node list.
 package endpointlist
 
 import (
@@ -19,20 +19,20 @@
 // Endpoint is one engine of the list.
 type Endpoint struct {
 	Name      string
-	ID        control.EndpointID // a hash of the name: the same at all routers and after restarts
+	ID        control.EndpointID // a hash of the name, so that all routers agree on it, also after restarts
 	Pool      string
 	Addr      netip.AddrPort
 	Kind      string
-	Role      control.Role // of its kind
+	Role      control.Role // of Kind
 	Zone      string
 	Cell      string
-	Weight    float64 // capacity, compared with other engines of its role
+	Weight    float64 // capacity relative to other engines of its role
 	Revision  string  // of the model; answers of different revisions differ
 	State     control.EndpointState
-	StartedAt time.Time // start of its process; zero for long ago
+	StartedAt time.Time // start of its process; zero if unknown, which is treated as long ago
 }
 
-// maxEndpoints is the most endpoints of a list. A longer list is a mistake.
+// maxEndpoints is the most endpoints of a list. A longer list is treated as a mistake.
 const maxEndpoints = 100_000
 
 // Load reads and parses the list in a file. Errors in the list are those of Parse.
@@ -61,7 +61,7 @@
 	for _, section := range file.Sections("node") {
 		list = append(list, p.parseEndpoint(section))
 	}
-	if len(list) == 0 { // more likely a mistake than a service without engines, which has state = gone
+	if len(list) == 0 { // probably a mistake: to take all engines out of service, set state = gone
 		file.AddError("%w section [node NAME]", inifile.ErrMissing)
 	}
 	if len(list) > maxEndpoints {
@@ -81,13 +81,13 @@
 	nameByAddr map[netip.AddrPort]string     // of the endpoints parsed so far
 }
 
-// The values of state and what they mean.
+// The values of the key state, and their meanings by the same index.
 var (
-	stateWords = []string{"gone", "ready", "draining"}
-	states     = []control.EndpointState{control.Gone, control.Ready, control.Draining}
+	stateValues = []string{"gone", "ready", "draining"}
+	states      = []control.EndpointState{control.Gone, control.Ready, control.Draining}
 )
 
-// parseEndpoint parses a section [node NAME]. It records errors in the section.
+// parseEndpoint parses a section [node NAME]. Errors are recorded in the section.
 func (p *parser) parseEndpoint(section *inifile.Section) Endpoint {
 	endpoint := Endpoint{
 		Name:     section.Name,
@@ -98,7 +98,7 @@
 		Cell:     section.Text("cell", ""),
 		Revision: section.Text("revision", ""),
 		Weight:   section.Float("weight", 1, 0.01, 1000),
-		State:    states[section.Choice("state", "ready", stateWords...)],
+		State:    states[section.Choice("state", "ready", stateValues...)],
 	}
 	p.checkIdentity(section, &endpoint)
 	pool := p.findPool(section, endpoint.Pool)
@@ -107,22 +107,22 @@
 	return endpoint
 }
 
-// checkIdentity checks that no earlier endpoint has the same id or address.
+// checkIdentity checks that the endpoint has a name and that no earlier one has the same id or address.
 func (p *parser) checkIdentity(section *inifile.Section, endpoint *Endpoint) {
 	section.RequireName()
-	sameID, isUsed := p.nameByID[endpoint.ID]
-	if isUsed && sameID != endpoint.Name {
-		section.AddError("", "%w id, the names of this node and of node %s have the same hash: rename one", inifile.ErrDuplicate, sameID)
+	idOwner, isUsed := p.nameByID[endpoint.ID]
+	if isUsed && idOwner != endpoint.Name {
+		section.AddError("", "%w id, the names of this node and of node %s have the same hash: rename one", inifile.ErrDuplicate, idOwner)
 	}
 	p.nameByID[endpoint.ID] = endpoint.Name
-	sameAddr, isUsed := p.nameByAddr[endpoint.Addr]
+	addrOwner, isUsed := p.nameByAddr[endpoint.Addr]
 	if isUsed {
-		section.AddError("address", "%w address %s, node %s has it too", inifile.ErrDuplicate, endpoint.Addr, sameAddr)
+		section.AddError("address", "%w address %s, node %s has it too", inifile.ErrDuplicate, endpoint.Addr, addrOwner)
 	}
 	p.nameByAddr[endpoint.Addr] = endpoint.Name
 }
 
-// findPool returns a pool of the configuration. It returns nil if there is none of that name.
+// findPool returns the pool with a name. If there is none, it records an error and returns nil.
 func (p *parser) findPool(section *inifile.Section, name string) *config.Pool {
 	pools := p.config.Pools
 	i := slices.IndexFunc(pools, func(pool config.Pool) bool { return pool.Name == name })
@@ -133,7 +133,7 @@
 	return &pools[i]
 }
 
-// parseKind parses the kind of an endpoint and sets its role. pool is the endpoint's pool, or nil if it is
+// parseKind parses the kind of an endpoint and sets its role. pool is the endpoint's pool, or nil if that is
 // unknown.
 func (p *parser) parseKind(section *inifile.Section, endpoint *Endpoint, pool *config.Pool) {
 	kind := section.Required("kind")
@@ -153,7 +153,7 @@
 	}
 }
 
-// parseStart parses the start of an engine's process. It returns the zero time if the list has none.
+// parseStart parses the start time of an engine's process. It returns the zero time if the key is not set.
 func parseStart(section *inifile.Section) time.Time {
 	text := section.Text("start", "")
 	if text == "" {
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -10,7 +10,7 @@
 	"martenlock/internal/endpointlist"
 )
 
-// settings is a valid configuration.
+// settings is the text of a valid configuration.
 var settings = fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "info")
 
 // list is a valid endpoint list.
@@ -28,7 +28,6 @@
 start = 2026-12-01T08:00:00Z
 `
 
-// parseSettings parses a valid configuration.
 func parseSettings(t *testing.T, text string) *config.Config {
 	t.Helper()
 	c, err := config.Parse("f.ini", []byte(text))
@@ -41,18 +40,18 @@
 func TestParseReturnsNodesOfValidList(t *testing.T) {
 	valid, err := endpointlist.Parse("n.ini", []byte(list), parseSettings(t, settings))
 	if err != nil || len(valid) != 2 || valid[0].ID == valid[1].ID || valid[1].StartedAt.IsZero() {
-		t.Fatal(valid, err)
+		t.Fatalf("got %+v (error %v), want two endpoints with different ids, the second with a start time", valid, err)
 	}
 }
 
 func TestParseRejectsPrefillEngineInPoolOfEmbeddings(t *testing.T) {
 	withEmbeddings := parseSettings(t, strings.Replace(settings, "apis = chat", "apis = embeddings, chat", 1))
 	if _, err := endpointlist.Parse("n.ini", []byte(list), withEmbeddings); err == nil || !strings.Contains(err.Error(), `[node r1] kind: invalid kind "reader", want one of role mixed: [pool chat]`) {
-		t.Error(err)
+		t.Errorf("got error %v, want one that names node, kind and pool", err)
 	}
 }
 
-// TestParseErrorsNameNodeAndKey changes one line of a valid list at a time.
+// TestParseErrorsNameNodeAndKey makes one change at a time to a valid list.
 func TestParseErrorsNameNodeAndKey(t *testing.T) {
 	cfg := parseSettings(t, settings)
 	for _, c := range []struct{ old, new, want string }{
@@ -70,7 +69,7 @@
 		{"zone = a", "zome = a", "[node r1] zome: unknown key"},
 	} {
 		if _, err := endpointlist.Parse("n.ini", []byte(strings.Replace(list, c.old, c.new, 1)), cfg); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v; want %s", c.new, err, c.want)
+			t.Errorf("with %q: got error %v, want one that contains %q", c.new, err, c.want)
 		}
 	}
 }
--- a/internal/endpointlist/watch.go
+++ b/internal/endpointlist/watch.go
@@ -11,20 +11,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// inotifyBufferBytes is the size of the buffer for events. It holds some hundred, more than are
-// expected in a directory between two reads.
+// inotifyBufferBytes is the size of the buffer for events. It holds over two hundred events, even with the
+// longest file names.
 const inotifyBufferBytes = 64 << 10
 
-// Watcher calls a function whenever a file was written or replaced.
+// Watcher calls a function each time that a file has been written or replaced.
 type Watcher struct {
 	inotify *os.File
 	changed func()
 	done    chan struct{} // closed when the goroutine has ended
 }
 
-// Watch starts to watch the file at path (inotify(7)). The Watcher calls changed on a goroutine of
-// its own each time a writer has closed the file or another file was renamed to path. It does not
-// call changed while the file is being written: half a list may look like a whole one.
+// Watch starts to watch the file at path with inotify(7). The Watcher calls changed, on its own goroutine,
+// each time that a writer has closed the file or another file has been renamed to path. It does not call
+// changed while the file is being written, because part of a list can be a valid list.
 func Watch(path string, changed func()) (*Watcher, error) {
 	fd, err := unix.InotifyInit1(unix.IN_CLOEXEC | unix.IN_NONBLOCK)
 	if err != nil {
@@ -33,7 +33,7 @@
 	// The watch is on the directory, since one on the file would end when another file replaces it.
 	_, err = unix.InotifyAddWatch(fd, filepath.Dir(path), unix.IN_CLOSE_WRITE|unix.IN_MOVED_TO)
 	if err != nil {
-		_ = unix.Close(fd) // nothing was read or written: the first error is the one to report
+		_ = unix.Close(fd) // the error of InotifyAddWatch is returned instead
 		return nil, fmt.Errorf("watch %s: %w", path, err)
 	}
 	w := &Watcher{inotify: os.NewFile(uintptr(fd), "inotify"), changed: changed, done: make(chan struct{})}
@@ -56,7 +56,7 @@
 	}
 }
 
-// mayHaveChanged reports whether one of the events is about the file, or events were lost.
+// mayHaveChanged reports whether one of the events is about the file or says that events were lost.
 func mayHaveChanged(events []byte, fileName string) bool {
 	for len(events) >= unix.SizeofInotifyEvent {
 		event := (*unix.InotifyEvent)(unsafe.Pointer(&events[0]))
@@ -70,7 +70,8 @@
 	return false
 }
 
-// Close ends the watch. After it has returned, changed is not called any more.
+// Close ends the watch. It waits until a call of changed that is in progress has returned. No more calls
+// follow.
 func (w *Watcher) Close() error {
 	err := w.inotify.Close()
 	<-w.done
--- a/internal/endpointlist/watch_test.go
+++ b/internal/endpointlist/watch_test.go
@@ -9,9 +9,8 @@
 	"martenlock/internal/endpointlist"
 )
 
-// TestWatchReportsOnlyWholeFiles writes a file in pieces, which must be reported when it is closed;
-// replaces it by a rename, which must be reported at once; and writes another file, which must not
-// be reported.
+// TestWatchReportsOnlyWholeFiles checks that a file that is written in pieces is reported once, after it is closed,
+// that its replacement by a rename is reported, and that other files in the directory are not.
 func TestWatchReportsOnlyWholeFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "nodes.ini")
@@ -31,7 +30,7 @@
 		if _, err := file.WriteString(piece); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(20 * time.Millisecond) // gives incorrect code time to report too early
+		time.Sleep(20 * time.Millisecond) // time for an early report, which would be an error
 	}
 	if err := os.WriteFile(filepath.Join(dir, "other"), nil, 0o644); err != nil {
 		t.Fatal(err)
