--- a/internal/platformsettings/controlsettings.go
+++ b/internal/platformsettings/controlsettings.go
@@ -51,12 +51,12 @@
 	return settings, err
 }
 
-// engineKinds returns the role and memory of each kind of engine. The memory of a kind is unknown if the
-// list of memories ends before it.
+// engineKinds returns the role and memory of each kind of engine. If MemoryTokensByKind is shorter than
+// RoleByKind, the memory of the remaining kinds is unknown.
 func (o *settingsObject) engineKinds() ([]control.EngineKind, error) {
 	var kinds []control.EngineKind
 	for i, name := range o.Family.RoleByKind {
-		role, err := valueOf(roleByName, "role", name)
+		role, err := lookupValue(roleByName, "role", name)
 		if err != nil {
 			return nil, &Error{Key: "FamilyInfo.KindRole", Err: err}
 		}
@@ -66,16 +66,16 @@
 	return kinds, nil
 }
 
-// controlClasses returns the classes of requests in the decision module's terms.
+// controlClasses returns the request classes of the decision module.
 func (o *settingsObject) controlClasses() ([]control.Class, error) {
 	var classes []control.Class
 	for i, class := range o.Classes {
 		key := fmt.Sprintf("RequestClasses[%d]", i)
-		idempotency, err := valueOf(idempotencyByName, "effect", class.Effect)
+		idempotency, err := lookupValue(idempotencyByName, "effect", class.Effect)
 		if err != nil {
 			return nil, &Error{Key: key, Err: err}
 		}
-		scope, err := valueOf(dedupScopeByName, "deduplication scope", class.DedupScope)
+		scope, err := lookupValue(dedupScopeByName, "deduplication scope", class.DedupScope)
 		if err != nil {
 			return nil, &Error{Key: key, Err: err}
 		}
@@ -94,8 +94,9 @@
 	return classes, nil
 }
 
-// valueOf returns the enumerated value of a name, or an *UnknownValueError. kind is for the error.
-func valueOf[V any](valueByName map[string]V, kind, name string) (V, error) {
+// lookupValue returns the enumerated value with a name, or an *UnknownValueError. kind is the enumeration's name
+// for the error.
+func lookupValue[V any](valueByName map[string]V, kind, name string) (V, error) {
 	value, isKnown := valueByName[name]
 	if !isKnown {
 		return value, &UnknownValueError{Kind: kind, Name: name}
@@ -103,26 +104,26 @@
 	return value, nil
 }
 
-// reportFields returns the meaning of each field of an engine's load report, in order. Unknown names stand
-// for fields that the decision module does not use.
+// reportFields returns the meaning of each field of an engine's load report, in the order of the report.
+// Fields with unknown names are control.ReportOther, which the decision module does not use.
 func (o *settingsObject) reportFields() []control.ReportField {
 	var fields []control.ReportField
 	for _, name := range o.LoadReport.Fields {
 		field := reportFieldByName[name]
 		switch name {
 		case "x0":
-			field = siteReportField(o.Family.ReportX0)
+			field = describedReportField(o.Family.ReportX0)
 		case "x1":
-			field = siteReportField(o.Family.ReportX1)
+			field = describedReportField(o.Family.ReportX1)
 		}
 		fields = append(fields, field)
 	}
 	return fields
 }
 
-// siteReportField returns the meaning of a site's own field of the load report. The site states it by a
-// description in words only.
-func siteReportField(description string) control.ReportField {
+// describedReportField returns the meaning of a field that is specific to a site. The meaning can only be
+// recognized from words in the field's description.
+func describedReportField(description string) control.ReportField {
 	switch {
 	case strings.Contains(description, "share of memory"):
 		return control.ReportMemory
@@ -132,10 +133,10 @@
 	return control.ReportOther
 }
 
-// microseconds converts a number of microseconds to a duration. Fractions are dropped.
+// microseconds converts a number of microseconds to a duration. Fractions of a microsecond are dropped.
 func microseconds(count float64) time.Duration { return time.Duration(count) * time.Microsecond }
 
-// elementOrZero returns element i of a list, or 0 if the list ends before it.
+// elementOrZero returns element i of a list, or 0 if the list is too short.
 func elementOrZero(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
--- a/internal/platformsettings/object.go
+++ b/internal/platformsettings/object.go
@@ -2,8 +2,8 @@
 
 import "martenlock/control"
 
-// settingsObject is the JSON form of the settings. Missing keys are zero and unknown keys are ignored. The tags
-// are the platform's names, the fields those of this program.
+// settingsObject is the JSON form of the settings. Missing keys are zero, and unknown keys are ignored. Fields
+// whose name differs from the platform's have a tag.
 type settingsObject struct {
 	Tenants        []tenantObject `json:"Accounts"`
 	Routers        int            `json:"Balancers"`
@@ -19,7 +19,7 @@
 	ZoneNames      []string `json:"Zones"`
 }
 
-// tenantObject is the quota of one tenant.
+// tenantObject is the rate limit and the share of one tenant.
 type tenantObject struct {
 	RateLimitPerSecond float64 `json:"AllowancePerS"`
 	Share              float64
@@ -33,8 +33,8 @@
 	MemoryTokensByKind        []float64 `json:"TokensByKind"`
 	KVRetentionLimitUs        float64   `json:"PinLimitUs"`
 	ResumesStreams            bool      `json:"Resume"`
-	ReportX0                  string    // description of the site's first own field of the load report
-	ReportX1                  string    // description of its second one
+	ReportX0                  string    // description of the load report's field x0, which is specific to the site
+	ReportX1                  string    // description of the load report's field x1
 	DecodeCanPrefill          bool      `json:"WritersRead"`
 }
 
@@ -50,7 +50,7 @@
 	SendsRetryAfter     bool `json:"RetryAfter"`
 }
 
-// loadReportObject holds the names of the fields of an engine's load report, in order.
+// loadReportObject holds the names of the fields of an engine's load report, in the order of the report.
 type loadReportObject struct{ Fields []string }
 
 // classObject is one class of requests.
@@ -65,7 +65,7 @@
 	DedupScope      string
 }
 
-// rulesObject holds the rules by which engines start, drain and fail under overload.
+// rulesObject describes how engines start, drain and fail under overload.
 type rulesObject struct {
 	SlowStartShare   float64 `json:"ColdFrom"`
 	SlowStartUs      float64 `json:"ColdUs"`
@@ -78,7 +78,7 @@
 // membershipModeSubscribe is the value of MembershipMode if routers must subscribe to the endpoint list.
 const membershipModeSubscribe = "ask"
 
-// The platform's names of enumerated values.
+// Enumerated values by their names on the platform.
 var (
 	roleByName = map[string]control.Role{
 		"read":  control.RolePrefill,
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -1,5 +1,5 @@
-// Package platformsettings decodes the settings object that a router receives at its start. The platform
-// and the simulator use the same JSON object, with the same keys and units.
+// Package platformsettings decodes the JSON object with a router's settings. The platform and the simulator
+// use the same object, with the same keys and units.
 package platformsettings
 
 import (
@@ -10,21 +10,21 @@
 	"martenlock/control"
 )
 
-// Settings holds the decision module's settings, the names of the module's numbers, and the settings of
-// connections and admission, which the module does not need.
+// Settings holds the settings of the decision module and of the rest of the router. The decision module
+// identifies classes, kinds and zones by number only; their names are here.
 type Settings struct {
 	Control           control.Settings
-	ClassNames        []string      // of request classes, by control.Request.Class
-	KindNames         []string      // of engine kinds, by control.Endpoint.Kind
-	ZoneNames         []string      // of zones, by control.Endpoint.Zone
-	EngineIdleTimeout time.Duration // after which engines close an idle connection; 0 if they never do
+	ClassNames        []string      // indexed by control.Request.Class
+	KindNames         []string      // indexed by control.Endpoint.Kind
+	ZoneNames         []string      // indexed by control.Endpoint.Zone
+	EngineIdleTimeout time.Duration // after which engines close an idle connection; 0 if it is unknown
 	MaxRequests       int           // open requests of one router; 0 for no limit
 	ResumesStreams    bool          // clients may resume a truncated stream
 }
 
-// Error reports an unusable key of the settings object.
+// Error reports an invalid value in the settings object.
 type Error struct {
-	Key string // path of the key, such as "FamilyInfo.KindRole"; empty for the object as a whole
+	Key string // path of the value's key, such as "FamilyInfo.KindRole"; empty for the object as a whole
 	Err error  // an *UnknownValueError, or the error of the JSON decoder
 }
 
@@ -39,16 +39,16 @@
 // Unwrap returns Err.
 func (e *Error) Unwrap() error { return e.Err }
 
-// UnknownValueError reports an unknown name of an enumerated value.
+// UnknownValueError reports a name that is not one of the enumerated values.
 type UnknownValueError struct {
-	Kind string // what the value stands for, such as "role"
+	Kind string // the enumeration, such as "role"
 	Name string
 }
 
-// Error returns the kind of the value and the unknown name.
+// Error implements error.
 func (e *UnknownValueError) Error() string { return fmt.Sprintf("unknown %s %q", e.Kind, e.Name) }
 
-// Parse decodes the settings object of a router. Each start of the router should have its own seed. Any
+// Parse decodes the settings object of a router. The seed should differ between starts of the router. Any
 // error is an *Error.
 func Parse(seed uint64, text []byte) (Settings, error) {
 	var decoded settingsObject
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -10,8 +10,8 @@
 	"martenlock/control"
 )
 
-// TestParseConvertsKeysToTermsAndUnitsOfControl also holds that unknown keys are ignored.
-func TestParseConvertsKeysToTermsAndUnitsOfControl(t *testing.T) {
+// TestParseConvertsNamesAndUnits also checks that unknown keys are ignored.
+func TestParseConvertsNamesAndUnits(t *testing.T) {
 	text := `{"Balancers": 2, "NewKey": {"a": 1}, "FamilyInfo": {"KindRole": ["read", "both"], "TokensByKind": [5],
 		"ReportX0": "share of memory that is held", "ReportX1": "thousands of prompt tokens waiting"},
 		"LoadReport": {"Fields": ["rif", "lat_ms", "x1", "x0"]}, "Limits": {"MaxRetryAfterUs": 1000, "ConnIdleUs": 7000},
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestParseErrorNamesUnusableKey holds for each source of an error, with the unknown value if there is one.
-func TestParseErrorNamesUnusableKey(t *testing.T) {
+// TestParseErrorNamesInvalidKey checks each source of an error, and the unknown value if there is one.
+func TestParseErrorNamesInvalidKey(t *testing.T) {
 	for _, c := range []struct {
 		text    string
 		key     string
@@ -64,11 +64,11 @@
 
 		var settingsErr *Error
 		if !errors.As(err, &settingsErr) || settingsErr.Key != c.key || !strings.Contains(err.Error(), "settings") {
-			t.Errorf("%q: error %v", c.text, err)
+			t.Errorf("%q: got error %v, want an *Error with key %q", c.text, err, c.key)
 		}
 		unknown := &UnknownValueError{}
 		if isUnknown := errors.As(err, &unknown); isUnknown != (c.unknown != UnknownValueError{}) || *unknown != c.unknown {
-			t.Errorf("%q: error %v, want %v", c.text, err, &c.unknown)
+			t.Errorf("%q: got error %v, want one that wraps %v", c.text, err, &c.unknown)
 		}
 	}
 }
