--- a/internal/serve/log.go
+++ b/internal/serve/log.go
@@ -15,14 +15,13 @@
 	"martenlock/internal/inifile"
 )
 
-// Bounds of the log's ring buffer.
 const (
-	maxPendingLines = 10000                 // further lines are dropped: the event loop must not wait for the disk
-	logPollInterval = 10 * time.Millisecond // between two checks for new lines; bounds how late a line is written
+	ringBufferLines = 10000                 // capacity of the log's ring buffer; if it is full, lines are dropped
+	logPollInterval = 10 * time.Millisecond // time between two checks of the ring buffer for new lines
 )
 
-// logFile is the log and its destination. A ring buffer hands lines to a goroutine that writes them, so that logging
-// never blocks the event loop.
+// logFile is the log and its destination. A goroutine takes lines from a ring buffer and writes them, so that the
+// event loop never waits for the disk.
 type logFile struct {
 	logger  zerolog.Logger
 	ring    diode.Writer
@@ -30,8 +29,8 @@
 	dropped atomic.Uint64
 }
 
-// openLog opens the log that the configuration names. configPath is the configuration's own path. Without a log file in
-// the configuration, lines go to stderr.
+// openLog opens the log file of the configuration at configPath. If the configuration has no log file, lines go to
+// stderr.
 func openLog(c *config.Config, configPath string, stderr io.Writer) (*logFile, error) {
 	l := &logFile{}
 	out := stderr
@@ -43,9 +42,9 @@
 		l.file = file
 		out = file
 	}
-	l.ring = diode.NewWriter(nopCloser{out}, maxPendingLines, logPollInterval, func(missed int) {
+	l.ring = diode.NewWriter(nopCloser{out}, ringBufferLines, logPollInterval, func(missed int) {
 		l.dropped.Add(uint64(missed))
-		// The ring is full, so the warning bypasses it.
+		// The ring buffer has overflowed, so the warning is written without it.
 		direct := zerolog.New(out)
 		direct.Warn().Msgf("%d log lines dropped, %d in all", missed, l.dropped.Load())
 	})
@@ -78,7 +77,7 @@
 	return err
 }
 
-// nopCloser hides a writer's Close method from the ring, which would close standard error.
+// nopCloser hides the Close method of a writer. Closing the ring buffer would otherwise close standard error.
 type nopCloser struct{ io.Writer }
 
 // Close implements io.Closer. It does nothing.
--- a/internal/serve/service.go
+++ b/internal/serve/service.go
@@ -1,4 +1,4 @@
-// Package serve runs a router from its files: configuration, endpoint list and log.
+// Package serve runs a router that is configured by files and can be reloaded.
 package serve
 
 import (
@@ -15,14 +15,14 @@
 	"martenlock/internal/openaiserver"
 )
 
-// Service is a running router with its log and the files that it is configured by.
+// Service is a running router with its log, its configuration and a watch on its endpoint list.
 type Service struct {
-	Router  *openaiserver.Server
-	path    string                        // of the configuration
-	config  atomic.Pointer[config.Config] // in force
-	log     *logFile
-	watcher *endpointlist.Watcher
-	ended   chan error // receives the result of Router.Run
+	Router    *openaiserver.Server
+	path      string                        // of the configuration
+	config    atomic.Pointer[config.Config] // the one in force
+	log       *logFile
+	watcher   *endpointlist.Watcher
+	runResult chan error // receives the result of Router.Run
 }
 
 // Check loads and checks the configuration at path and its endpoint list. It starts nothing.
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Service{path: path, ended: make(chan error, 1)}
+	s := &Service{path: path, runResult: make(chan error, 1)}
 	s.config.Store(c)
 	s.log, err = openLog(c, path, stderr)
 	if err != nil {
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	s.reloadEndpoints() // the list may have changed between Check and Watch
-	go func() { s.ended <- s.Router.Run() }()
+	go func() { s.runResult <- s.Router.Run() }()
 	s.log.logger.Info().Str("address", s.Router.Addr()).Msg("listening")
 	return s, nil
 }
@@ -86,10 +86,10 @@
 	return nil
 }
 
-// errNeedsRestart is the error of a change that Reload can't apply.
+// errNeedsRestart is the error of a changed setting that Reload can't apply.
 var errNeedsRestart = errors.New("needs a restart")
 
-// reload is Reload without the log lines. It returns the configuration that it has applied.
+// reload does the work of Reload except for logging and for replacing s.config. It returns the new configuration.
 func (s *Service) reload() (*config.Config, error) {
 	c, list, err := Check(s.path)
 	if err != nil {
@@ -104,14 +104,14 @@
 	return c, err
 }
 
-// DroppedLogLines returns the number of log lines dropped because the log's destination was slow.
+// DroppedLogLines returns the number of log lines that were dropped because they were written too slowly.
 func (s *Service) DroppedLogLines() uint64 { return s.log.dropped.Load() }
 
-// gcPercent is the value of GOGC: by how many percent of the live heap the heap may grow before a collection. The live
-// heap is some ten megabytes. With Go's default of 100, collections take a tenth of a busy router's time.
+// gcPercent is the value of GOGC, in percent of the live heap. The live heap of a router is small, so Go's default of
+// 100 would cause frequent collections under load.
 const gcPercent = 400
 
-// TuneGC sets the garbage collector's target to gcPercent unless the environment has GOGC.
+// TuneGC sets the garbage collector's target percentage to gcPercent unless the environment sets GOGC.
 func TuneGC() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
@@ -124,10 +124,10 @@
 	return s.Wait()
 }
 
-// Wait waits until the router has ended, and closes the watch and the log. It must be called once, by Stop or instead
-// of it.
+// Wait waits until the router has ended, and then closes the watch and the log. Stop calls Wait; the caller must call
+// exactly one of the two.
 func (s *Service) Wait() error {
-	routerErr := <-s.ended
+	routerErr := <-s.runResult
 	watcherErr := s.watcher.Close()
 	s.log.logger.Info().Msg("stopped")
 	return errors.Join(routerErr, watcherErr, s.log.Close())
--- a/internal/serve/service_test.go
+++ b/internal/serve/service_test.go
@@ -14,13 +14,11 @@
 	"martenlock/internal/serve"
 )
 
-// validConfig is a valid configuration.
 var validConfig = fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "info")
 
 // validList is a valid endpoint list. Nothing listens at its address.
 const validList = "[node m1]\npool = chat\naddress = 127.0.0.1:1\nkind = mixed\n"
 
-// writeFile writes a file.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	err := os.WriteFile(path, []byte(text), 0o644)
@@ -32,16 +30,16 @@
 // expectErrorAt fails the test unless err names the key of section [router] in the file.
 func expectErrorAt(t *testing.T, err error, file, key string) {
 	t.Helper()
-	var placed *inifile.Error
-	if !errors.As(err, &placed) {
-		t.Fatalf("%v is not an *inifile.Error", err)
+	var fileErr *inifile.Error
+	if !errors.As(err, &fileErr) {
+		t.Fatalf("got error %v, want an *inifile.Error", err)
 	}
-	if placed.File != file || placed.Section != "[router]" || placed.Key != key {
-		t.Errorf("%q %q %q: %v", placed.File, placed.Section, placed.Key, err)
+	if fileErr.File != file || fileErr.Section != "[router]" || fileErr.Key != key {
+		t.Errorf("error %v names file %q, section %q and key %q; want %q, [router] and %q", err, fileErr.File, fileErr.Section, fileErr.Key, file, key)
 	}
 }
 
-func TestReloadRejectsAnotherNodeListPath(t *testing.T) {
+func TestReloadRejectsChangedEndpointListPath(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "router.ini")
 	writeFile(t, path, validConfig)
@@ -57,7 +55,7 @@
 	expectErrorAt(t, reloadErr, path, "nodes")
 	want := fmt.Sprintf("%s: [router] nodes: a change from %s to %s needs a restart", path, filepath.Join(dir, "nodes.ini"), filepath.Join(dir, "others.ini"))
 	if reloadErr.Error() != want {
-		t.Errorf("%v, want %s", reloadErr, want)
+		t.Errorf("got error %v, want %s", reloadErr, want)
 	}
 	writeFile(t, path, validConfig)
 	err = s.Reload()
@@ -75,7 +73,7 @@
 	}
 }
 
-func TestStartReportsLogThatCannotBeOpened(t *testing.T) {
+func TestStartReportsLogFileThatCannotBeOpened(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "router.ini")
 	writeFile(t, path, strings.Replace(validConfig, "[router]", "[router]\nlog = absent/router.log", 1))
@@ -83,6 +81,6 @@
 	_, err := serve.Start(path, &bytes.Buffer{})
 	expectErrorAt(t, err, path, "log")
 	if !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v does not wrap the system's error", err)
+		t.Errorf("got error %v, want one that wraps os.ErrNotExist", err)
 	}
 }
