--- a/cmd/martenlock/bench.go
+++ b/cmd/martenlock/bench.go
@@ -8,7 +8,7 @@
 	"martenlock/internal/bench"
 )
 
-// defaultSpan is the default length of a measurement by bench or measure.
+// defaultSpan is the default of --span.
 const defaultSpan = 4 * time.Second
 
 const benchHelp = `Compare the router with the reverse proxy of Go's standard library
@@ -20,7 +20,6 @@
 scheduling on real engines. The command needs two cores and an otherwise idle machine. It
 takes about 15 times the span, plus half a minute.`
 
-// benchCommand returns the command bench.
 func benchCommand() *cobra.Command {
 	var span time.Duration
 	command := &cobra.Command{
@@ -37,7 +36,7 @@
 	return command
 }
 
-// benchProcessCommand returns a hidden command. bench starts its processes with it.
+// benchProcessCommand returns the hidden command by which bench starts its processes.
 func benchProcessCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "bench-process KIND BACKEND",
--- a/cmd/martenlock/check.go
+++ b/cmd/martenlock/check.go
@@ -10,7 +10,6 @@
 anything. If both are valid, print a summary. Otherwise print every error with its file,
 section and key, and exit with 1.`
 
-// checkCommand returns the command check.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE.ini",
--- a/cmd/martenlock/demo.go
+++ b/cmd/martenlock/demo.go
@@ -12,7 +12,7 @@
 	"martenlock/internal/demo"
 )
 
-// errRuleBroken ends the command if the report of a fault scenario names a broken rule.
+// errRuleBroken is the result of the command if a rule was broken in a fault scenario.
 var errRuleBroken = errors.New("a rule was broken")
 
 const demoHelp = `Run a router and 17 fake engines in one process: prefill, decode, embeddings and rerank
@@ -32,17 +32,15 @@
 The built-in scenario takes 30 seconds. The exit code is 0 if all rules held, or 1 if one
 was broken.`
 
-// demoFlags are the flags of the command demo.
-type demoFlags struct {
+type demoOptions struct {
 	listen    string
 	logLevel  string
 	script    string
 	runFaults bool
 }
 
-// demoCommand returns the command demo.
 func demoCommand() *cobra.Command {
-	var options demoFlags
+	var options demoOptions
 	command := &cobra.Command{
 		Use:   "demo",
 		Short: "Run a router with fake engines, or a fault scenario on them",
@@ -61,7 +59,7 @@
 	flags := command.Flags()
 	flags.BoolVar(&options.runFaults, "faults", false, "run a fault scenario and check the five rules (also --bad-day)")
 	flags.BoolVar(&options.runFaults, "bad-day", false, "another name of --faults")
-	_ = flags.MarkHidden("bad-day") // fails only if there is no such flag
+	_ = flags.MarkHidden("bad-day") // fails only if the flag does not exist
 	flags.StringVar(&options.script, "script", "", "with --faults: `FILE` of a scenario to run in place of the built-in one (INI; see docs/operating.md)")
 	flags.StringVar(&options.listen, "listen", "127.0.0.1:0", "`ADDRESS` of the router; with port 0 the kernel chooses a port")
 	flags.StringVar(&options.logLevel, "log-level", "warn", "lowest `LEVEL` that the router logs: debug, info, warn or error")
@@ -70,7 +68,7 @@
 
 // runFaultScenario runs a fault scenario and prints its report. It returns errRuleBroken if a rule
 // was broken.
-func runFaultScenario(options demoFlags, out io.Writer) error {
+func runFaultScenario(options demoOptions, out io.Writer) error {
 	report, err := demo.RunFaultScenario(options.script, demo.RunOptions{
 		Rules:    demo.Rules,
 		Listen:   options.listen,
@@ -89,7 +87,7 @@
 }
 
 // runDemo runs a router and fake engines until SIGTERM or SIGINT.
-func runDemo(options demoFlags, out io.Writer) error {
+func runDemo(options demoOptions, out io.Writer) error {
 	cluster, err := demo.Start(demo.Options{Listen: options.listen, Seed: 1, LogLevel: options.logLevel, Log: os.Stderr})
 	if err != nil {
 		return err
--- a/cmd/martenlock/main.go
+++ b/cmd/martenlock/main.go
@@ -1,6 +1,6 @@
 // Martenlock is a router for serving language models with prefill (computing the prompt's KV
-// state) and decode (streaming the answer) on separate engines. This package is its command
-// line: flags, help and exit codes.
+// state) and decode (streaming the answer) on separate engines. This package parses its command
+// line, prints help and sets the exit code.
 package main
 
 import (
@@ -28,8 +28,8 @@
 
 The exit code is 0 on success. On an error it is 1, with a message on standard error.`
 
-// logTimeFormat is RFC 3339 with milliseconds. Whole seconds would not show the order of events in
-// an incident.
+// logTimeFormat is RFC 3339 with milliseconds, to show the order of events in an incident. The default
+// of zerolog has whole seconds.
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func main() {
@@ -57,8 +57,8 @@
 	}
 }
 
-// printf writes to the output of a command. It ignores errors: an output that is closed does not
-// change the command's result, which is its exit code.
+// printf writes to the output of a command. It ignores errors: a closed output does not change the
+// exit code.
 func printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...)
 }
--- a/cmd/martenlock/measure.go
+++ b/cmd/martenlock/measure.go
@@ -16,7 +16,6 @@
                batching, and chat and searches beside bulk embeddings with and without
                the fair queue of large requests`
 
-// measureCommand returns the command measure.
 func measureCommand() *cobra.Command {
 	var options experiment.Options
 	command := &cobra.Command{
--- a/cmd/martenlock/platform.go
+++ b/cmd/martenlock/platform.go
@@ -17,7 +17,6 @@
 PROXY_LISTEN      address to listen on, if the file has no "listen"
 PROXY_DISCOVERY   address of the discovery service, if the file has no "discovery"`
 
-// platformCommand returns the command platform.
 func platformCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "platform",
--- a/cmd/martenlock/serve.go
+++ b/cmd/martenlock/serve.go
@@ -10,9 +10,9 @@
 	"martenlock/internal/serve"
 )
 
-// pendingSignals is how many signals may arrive while the settings are being reloaded. Further ones
-// are lost.
-const pendingSignals = 4
+// signalBufferSize is the number of signals that may arrive while the settings are being reloaded.
+// More are lost.
+const signalBufferSize = 4
 
 const serveHelp = `Run one router in the foreground. The settings file names the list of engines (nodes).
 Routers share no state: run several behind any TCP load balancer.
@@ -21,7 +21,6 @@
 SIGTERM   shut down gracefully: accept no new requests, answer the open ones, exit
 SIGINT    like SIGTERM`
 
-// serveCommand returns the command serve.
 func serveCommand() *cobra.Command {
 	var path string
 	command := &cobra.Command{
@@ -43,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	signals := make(chan os.Signal, pendingSignals)
+	signals := make(chan os.Signal, signalBufferSize)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
 	for received := range signals {
 		if received != syscall.SIGHUP {
