--- a/internal/openaiserver/admissionqueue.go
+++ b/internal/openaiserver/admissionqueue.go
@@ -6,14 +6,14 @@
 	"martenlock/control/admission"
 )
 
-// admissionQueue is a pool's queue of large requests. Package admission decides when their shards may start.
+// admissionQueue holds a pool's large requests. Package admission decides when each of their shards may start.
 type admissionQueue struct {
 	*deadlineTimer
 	pool     *pool
 	queue    *admission.Queue
-	requests map[admission.RequestID]*scatterRequest
+	requests map[admission.RequestID]*scatteredRequest // all requests that have not ended
 	lastID   admission.RequestID
-	rejected uint64 // number of requests rejected
+	rejected uint64 // number of rejected requests
 }
 
 // newAdmissionQueue returns an empty queue with the pool's settings.
@@ -26,14 +26,15 @@
 	q := &admissionQueue{
 		pool:     p,
 		queue:    admission.NewQueue(settings),
-		requests: map[admission.RequestID]*scatterRequest{},
+		requests: map[admission.RequestID]*scatteredRequest{},
 	}
 	q.deadlineTimer = newDeadlineTimer(p.server, q.poll, q.queue.NextDeadline)
 	return q
 }
 
-// enqueue adds a large request. A rejection reaches the client at the end of this iteration of the event loop.
-func (q *admissionQueue) enqueue(scattered *scatterRequest) {
+// enqueue adds a large request. If package admission rejects it, the client is answered at the end of this event loop
+// iteration, after the request's operation was returned to the caller.
+func (q *admissionQueue) enqueue(scattered *scatteredRequest) {
 	s := q.pool.server
 	q.lastID++
 	scattered.admissionID = q.lastID
@@ -47,8 +48,8 @@
 	q.schedulePoll()
 }
 
-// admissionRequest returns what package admission needs to know of the request.
-func (r *scatterRequest) admissionRequest() admission.Request {
+// admissionRequest returns the description of the request for package admission. Each shard is a unit.
+func (r *scatteredRequest) admissionRequest() admission.Request {
 	unitTokens := make([]float64, len(r.plan))
 	for i := range unitTokens {
 		unitTokens[i] = r.shardTokens(i)
@@ -61,14 +62,14 @@
 	}
 }
 
-// reject rejects a request. One of its shards at least has not started.
-func (q *admissionQueue) reject(scattered *scatterRequest, retryAfter time.Duration) {
+// reject rejects a request with a shard that has not started. The rejection counts as the answer of that shard.
+func (q *admissionQueue) reject(scattered *scatteredRequest, retryAfter time.Duration) {
 	if scattered.hasEnded {
 		return
 	}
 	q.rejected++
-	for index, started := range scattered.shards {
-		if started == nil {
+	for index, s := range scattered.shards {
+		if s == nil {
 			scattered.shardEnded(index, overloadedAnswer("", retryAfter))
 			return
 		}
@@ -76,13 +77,13 @@
 }
 
 // remove removes a request that has ended.
-func (q *admissionQueue) remove(scattered *scatterRequest) {
+func (q *admissionQueue) remove(scattered *scatteredRequest) {
 	delete(q.requests, scattered.admissionID)
 	q.queue.Cancel(q.pool.server.now(), scattered.admissionID)
 	q.schedulePoll()
 }
 
-// poll rejects requests that would miss their deadlines and starts the shards that are admitted.
+// poll rejects the requests that would miss their deadlines and starts the admitted shards.
 func (q *admissionQueue) poll() {
 	result := q.queue.Poll(q.pool.server.now())
 	for _, rejection := range result.Rejected {
--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -11,33 +11,33 @@
 	"martenlock/internal/timerwheel"
 )
 
-// batchMember is a small embeddings request that may share a batch with others. If its batch fails, it is retried by
-// itself.
+// batchMember is a small embeddings request that may share a batch with others. If one of the members
+// may have caused the batch to fail, each member is retried in an exchange of its own.
 type batchMember struct {
 	bufferedResponder
-	request     *inferenceRequest
-	client      responder
-	id          batching.RequestID
-	inputs      [][]byte
-	inputTokens []float64
-	exchange    *exchange        // of its own retry; nil before
-	retry       *sequentialRetry // in which it waits for its retry; nil if it does not have to
-	deadline    timerwheel.Timer // bounds that wait
+	request         *inferenceRequest
+	client          responder
+	id              batching.RequestID
+	inputs          [][]byte
+	inputTokens     []float64
+	retryExchange   *exchange        // of its retry; nil before
+	sequentialRetry *sequentialRetry // set if its retry has to wait for those of other members
+	expiryTimer     timerwheel.Timer // rejects the member if its deadline passes during that wait
 }
 
-// batch computes the answers of one or several members with one exchange. It is the exchange's responder.
+// batch is one exchange that computes the answers for one or more members. It is the exchange's responder.
 type batch struct {
 	bufferedResponder
 	scheduler   *batchScheduler
 	id          batching.BatchID
 	exchange    *exchange
-	call        *openai.Request            // with the inputs of all members; nil if there is one
+	call        *openai.Request            // with the inputs of all members; nil if there is only one member
 	firstInput  map[batching.RequestID]int // index of each member's first input
-	inputTokens []float64
-	maxAttempts int // of the members' class
+	inputTokens []float64                  // estimated tokens of each input in call
+	maxAttempts int                        // of the members' class
 }
 
-// batchScheduler starts a pool's batches. Package batching decides which requests share one and when it starts.
+// batchScheduler starts a pool's batches. Package batching decides which requests share a batch and when it starts.
 type batchScheduler struct {
 	*deadlineTimer
 	pool            *pool
@@ -45,10 +45,10 @@
 	members         map[batching.RequestID]*batchMember
 	inFlight        map[batching.BatchID]*batch
 	lastID          batching.RequestID
-	batchedRequests uint64 // requests answered by a batch of several
+	batchedRequests uint64 // number of requests answered by a batch with other members
 }
 
-// newBatchScheduler returns a scheduler without members, with the pool's settings.
+// newBatchScheduler returns a scheduler without members. It uses the pool's settings.
 func newBatchScheduler(p *pool) *batchScheduler {
 	settings := p.settings.Batching
 	settings.Routers = p.config.Control.Identity.Routers
@@ -62,7 +62,7 @@
 	return b
 }
 
-// mayBatch reports whether a request may share a batch. A part of a larger request may not.
+// mayBatch reports whether a request may share a batch. Shards and partial cache fills may not.
 func (b *batchScheduler) mayBatch(request *inferenceRequest) bool {
 	return request.call.API == openai.Embeddings && request.shardLabel == "" &&
 		b.batcher.IsSmall(request.call.ItemCount, request.call.PromptTokens) &&
@@ -71,29 +71,29 @@
 
 // startBatched enqueues a request that may share a batch. It returns nil if the request may not.
 func (r *inferenceRequest) startBatched(client responder) operation {
-	b := r.pool.batches
-	if !b.mayBatch(r) {
+	scheduler := r.pool.batchScheduler
+	if !scheduler.mayBatch(r) {
 		return nil
 	}
 	member := &batchMember{request: r, client: client}
 	member.inputs, member.inputTokens = r.splitInputs()
-	b.lastID++
-	member.id = b.lastID
-	b.members[member.id] = member
+	scheduler.lastID++
+	member.id = scheduler.lastID
+	scheduler.members[member.id] = member
 	now := r.pool.server.now()
-	b.batcher.Enqueue(now, member.batchKey(), batching.Request{
+	scheduler.batcher.Enqueue(now, member.batchKey(), batching.Request{
 		ID:        member.id,
 		Items:     r.call.ItemCount,
 		Tokens:    r.call.PromptTokens,
 		Objective: now.Add(r.class().TTFTObjective),
 		Deadline:  r.moduleRequest.Deadline,
 	})
-	b.schedulePoll()
+	scheduler.schedulePoll()
 	return member
 }
 
-// batchKey returns the hash of what the requests of a batch must have in common. It includes the first byte of an input
-// because engines accept no mixture of texts and lists of tokens.
+// batchKey returns a hash of everything that must be equal in the requests of a batch. It includes the first byte of an
+// input, which distinguishes texts from lists of tokens: engines don't accept both in one call.
 func (m *batchMember) batchKey() (key batching.Key) {
 	r := m.request
 	class := r.moduleRequest.Class
@@ -105,46 +105,47 @@
 	return key
 }
 
-// startAlone retries a member by itself. The attempts of its failed batch count as its own.
-func (m *batchMember) startAlone(client responder, batchAnswer answer) {
+// startRetry retries a member in an exchange of its own. The attempts of the failed batch count as attempts of the
+// member.
+func (m *batchMember) startRetry(client responder, batchAnswer answer) {
 	request := *m.request
 	request.moduleRequest.PriorAttempts = batchAnswer.attempts
 	request.moduleRequest.PriorResets = batchAnswer.lostConnections
-	m.exchange = request.startExchange(client, request.pool.server.requestIDs.next())
+	m.retryExchange = request.startExchange(client, request.pool.server.requestIDs.next())
 }
 
-// respond implements responder for the member's retry in sequence.
+// respond implements responder for a sequential retry. It allows the next member to be retried.
 func (m *batchMember) respond(a answer) {
-	m.retry.complete(m, a.lostConnections > 0)
+	m.sequentialRetry.complete(m, a.lostConnections > 0)
 	m.client.respond(a)
 }
 
-// cancel implements operation. The other members of the batch are not affected.
+// cancel implements operation. A batch that has started is cancelled only if no other members are left.
 func (m *batchMember) cancel() {
-	b := m.request.pool.batches
-	if m.exchange != nil {
-		m.exchange.cancel()
+	scheduler := m.request.pool.batchScheduler
+	if m.retryExchange != nil {
+		m.retryExchange.cancel()
 	}
-	if m.retry != nil {
-		m.retry.complete(m, false)
+	if m.sequentialRetry != nil {
+		m.sequentialRetry.complete(m, false)
 	}
-	if m.exchange != nil || m.retry != nil {
+	if m.retryExchange != nil || m.sequentialRetry != nil {
 		return
 	}
-	delete(b.members, m.id)
-	cancellation := b.batcher.Cancel(m.id)
+	delete(scheduler.members, m.id)
+	cancellation := scheduler.batcher.Cancel(m.id)
 	if !cancellation.BatchCancelled {
 		return
 	}
-	cancelled := b.inFlight[cancellation.Batch]
+	cancelled := scheduler.inFlight[cancellation.Batch]
 	if cancelled != nil {
-		delete(b.inFlight, cancellation.Batch)
+		delete(scheduler.inFlight, cancellation.Batch)
 		cancelled.exchange.cancel()
 	}
-	b.schedulePoll()
+	scheduler.schedulePoll()
 }
 
-// clientWritable implements operation. It has no effect: the answer does not come in pieces.
+// clientWritable implements operation. It has no effect because the answer is not streamed.
 func (m *batchMember) clientWritable() {}
 
 // poll rejects members whose deadline has passed and starts the batches that are due.
@@ -174,7 +175,7 @@
 	started.exchange = request.startExchange(started, b.pool.server.requestIDs.next())
 }
 
-// mergeRequests extends request, a copy of the first member's, by the inputs of the other members.
+// mergeRequests turns request, a copy of the first member's request, into the request for all members of the batch.
 func (b *batchScheduler) mergeRequests(started *batch, due batching.Batch, request *inferenceRequest) {
 	var inputs [][]byte
 	var headers [][]byte
@@ -191,14 +192,15 @@
 	request.call = started.call
 	request.headers = commonHeaders(headers)
 	request.moduleRequest.PromptTokens = control.Tokens(promptTokens)
-	request.moduleRequest.SessionID = 0 // members belong to different sessions
+	request.moduleRequest.SessionID = 0 // the members may belong to different sessions
 	request.moduleRequest.Deadline = due.Deadline
 }
 
 // isBatch implements responder.
 func (b *batch) isBatch() bool { return b.call != nil }
 
-// respond implements responder. It hands each member its part of the answer, or retries the members of a failed batch.
+// respond implements responder. It sends each member its part of the answer. Members of a failed batch are retried if
+// package batching decides so, and get the batch's answer otherwise.
 func (b *batch) respond(a answer) {
 	scheduler := b.scheduler
 	s := scheduler.pool.server
@@ -222,7 +224,7 @@
 		case completion.Handling == batching.RetrySequentially:
 			retry.enqueue(member)
 		case completion.Handling == batching.RetrySeparately:
-			member.startAlone(member.client, a)
+			member.startRetry(member.client, a)
 		case results != nil:
 			scheduler.batchedRequests++
 			member.client.respond(b.memberAnswer(member, a, results))
@@ -233,13 +235,13 @@
 	retry.startNext()
 }
 
-// memberAnswer returns a member's part of the batch's answer.
+// memberAnswer returns a member's part of the answer. results holds the results for all inputs of the batch.
 func (b *batch) memberAnswer(member *batchMember, a answer, results []openai.EmbeddingResult) answer {
-	from := b.firstInput[member.id]
-	to := from + len(member.inputs)
+	first := b.firstInput[member.id]
+	end := first + len(member.inputs)
 	embeddings := make([]openai.Embedding, 0, len(member.inputs))
 	promptTokens := int64(0)
-	for _, result := range results[from:to] {
+	for _, result := range results[first:end] {
 		embeddings = append(embeddings, result.Embedding)
 		promptTokens += result.PromptTokens
 	}
--- a/internal/openaiserver/batchheaders.go
+++ b/internal/openaiserver/batchheaders.go
@@ -7,14 +7,16 @@
 	"martenlock/internal/http1"
 )
 
-// clientRequestIDHeader is the header field with a client's own id of a request. A batch lists those of its members.
+// clientRequestIDHeader is the header field with a client's own id for a request. A batch sends a list of its members'
+// ids.
 const clientRequestIDHeader = "x-client-request-id"
 
-// maxClientRequestIDBytes bounds the list of a batch: engines must accept it as one header field.
-const maxClientRequestIDBytes = 4 << 10
+// maxClientRequestIDListBytes limits the total length of the ids that a batch sends, because engines limit the length
+// of a header field.
+const maxClientRequestIDListBytes = 4 << 10
 
-// commonHeaders returns the header fields that all members of a batch have, and one with the list of their ids.
-// headers holds the fields of each member.
+// commonHeaders returns the header fields for a batch: those that all members have, and one with the list of the
+// members' own ids. headers holds the header fields of each member, each ending with CRLF.
 func commonHeaders(headers [][]byte) (common []byte) {
 	for line := range bytes.Lines(headers[0]) {
 		name, _, _ := strings.Cut(string(line), ":")
@@ -29,13 +31,13 @@
 	return common
 }
 
-// clientRequestIDs returns the members' own ids, up to maxClientRequestIDBytes in total.
+// clientRequestIDs returns the members' own ids. It omits ids that would exceed maxClientRequestIDListBytes.
 func clientRequestIDs(headers [][]byte) (ids []string) {
 	size := 0
-	for _, lines := range headers {
-		for line := range bytes.Lines(lines) {
+	for _, fields := range headers {
+		for line := range bytes.Lines(fields) {
 			name, value, _ := strings.Cut(string(line), ":")
-			if name == clientRequestIDHeader && size+len(value) < maxClientRequestIDBytes {
+			if name == clientRequestIDHeader && size+len(value) < maxClientRequestIDListBytes {
 				ids = append(ids, strings.TrimSpace(value))
 				size += len(value)
 			}
@@ -44,10 +46,10 @@
 	return ids
 }
 
-// allContain reports whether each member's header fields contain the line.
+// allContain reports whether the header fields of every member contain the line.
 func allContain(headers [][]byte, line []byte) bool {
-	for _, lines := range headers {
-		if !bytes.HasPrefix(lines, line) && !bytes.Contains(lines, append([]byte("\n"), line...)) {
+	for _, fields := range headers {
+		if !bytes.HasPrefix(fields, line) && !bytes.Contains(fields, append([]byte("\n"), line...)) {
 			return false
 		}
 	}
--- a/internal/openaiserver/cachefill.go
+++ b/internal/openaiserver/cachefill.go
@@ -9,28 +9,29 @@
 	"martenlock/internal/openai"
 )
 
-// cacheFill is a computation of some or all inputs of an embeddings request, and the responder of its operation.
+// cacheFill computes some or all inputs of an embeddings request by an operation of its own. It is the responder of
+// that operation.
 type cacheFill struct {
 	bufferedResponder
-	request     *embeddingRequest
-	inputs      []int // indices in the request
-	call        *openai.Request
-	operation   operation
-	copiedBytes int64 // size of the inputs' copy in the call
+	parent       *embeddingRequest
+	inputIndices []int // indices in parent.inputs
+	call         *openai.Request
+	operation    operation
+	copiedBytes  int64 // size of the body in call if it was copied for this fill, or 0; counted in Server.bufferedBytes
 }
 
-// follower is an input of another request that waits for a cacheFill.
+// follower is an input of another request that waits for the result of a cacheFill.
 type follower struct {
 	inputRef
-	position int // index in cacheFill.inputs
+	position int // in cacheFill.inputIndices
 }
 
-// respond implements responder. It hands the result to all requests that wait for one of the inputs.
+// respond implements responder. It passes the result to all requests that wait for one of the inputs.
 func (f *cacheFill) respond(a answer) {
-	e := f.request
-	cache := e.request.pool.embeddings
+	e := f.parent
+	cache := e.request.pool.embeddingCache
 	f.remove()
-	result := coalesce.OutcomeOfInput(a.outcome, len(f.inputs))
+	result := coalesce.OutcomeOfInput(a.outcome, len(f.inputIndices))
 	followers, newLeaders := f.completeInputs(result)
 	cache.restart()
 	if result != outcome.Served {
@@ -39,15 +40,15 @@
 		startFills(newLeaders)
 		return
 	}
-	if e.envelope == nil {
-		e.envelope = a.body
+	if e.template == nil {
+		e.template = a.body
 	}
-	isWholeRequest := len(f.inputs) == len(e.inputs) && len(followers) == 0
-	if isWholeRequest && cache.cache == nil {
+	isWholeRequest := len(f.inputIndices) == len(e.inputs) && len(followers) == 0
+	if isWholeRequest && cache.entries == nil {
 		e.respond(a)
 		return
 	}
-	results := f.call.SplitResponse(a.body, f.computedTokens())
+	results := f.call.SplitResponse(a.body, f.inputTokens())
 	f.store(results, isWholeRequest)
 	serveFollowers(followers, a, results)
 	if isWholeRequest {
@@ -57,9 +58,9 @@
 	}
 }
 
-// remove removes the fill from its request.
+// remove removes the fill from its parent.
 func (f *cacheFill) remove() {
-	e := f.request
+	e := f.parent
 	index := slices.Index(e.fills, f)
 	if index >= 0 {
 		e.fills = slices.Delete(e.fills, index, index+1)
@@ -67,13 +68,13 @@
 	e.request.pool.server.bufferedBytes -= f.copiedBytes
 }
 
-// completeInputs ends the inputs' computations in the coalescing group. It returns the inputs of other requests that
-// share the result, and those that another request now has to compute.
+// completeInputs records the result of each input in the coalescing group. It returns the inputs of other requests that
+// share the result, and the inputs that another request now has to compute.
 func (f *cacheFill) completeInputs(result outcome.Outcome) (followers []follower, newLeaders []inputRef) {
-	cache := f.request.request.pool.embeddings
-	for position, index := range f.inputs {
-		id := f.request.pendingIDs[index]
-		f.request.pendingIDs[index] = 0
+	cache := f.parent.request.pool.embeddingCache
+	for position, index := range f.inputIndices {
+		id := f.parent.pendingIDs[index]
+		f.parent.pendingIDs[index] = 0
 		delete(cache.pending, id)
 		completion := cache.group.Complete(id, result)
 		for _, followerID := range completion.SameResult {
@@ -87,23 +88,23 @@
 	return followers, newLeaders
 }
 
-// computedTokens returns the estimated tokens of the fill's inputs.
-func (f *cacheFill) computedTokens() []float64 {
-	tokens := make([]float64, len(f.inputs))
-	for position, index := range f.inputs {
-		tokens[position] = f.request.inputTokens[index]
+// inputTokens returns the estimated tokens of each of the fill's inputs.
+func (f *cacheFill) inputTokens() []float64 {
+	tokens := make([]float64, len(f.inputIndices))
+	for position, index := range f.inputIndices {
+		tokens[position] = f.parent.inputTokens[index]
 	}
 	return tokens
 }
 
-// store caches the embeddings. It hands them to the request too, unless the request gets the answer unchanged.
+// store caches the embeddings. It also sets them in the parent, unless the parent gets the engine's answer unchanged.
 func (f *cacheFill) store(results []openai.EmbeddingResult, isWholeRequest bool) {
-	e := f.request
-	cache := e.request.pool.embeddings.cache
-	for position, index := range f.inputs {
+	e := f.parent
+	cache := e.request.pool.embeddingCache.entries
+	for position, index := range f.inputIndices {
 		if cache != nil {
 			cached := results[position]
-			cached.Embedding = bytes.Clone(cached.Embedding) // so that the answer around it can be freed
+			cached.Embedding = bytes.Clone(cached.Embedding) // the cache must not keep the whole answer in memory
 			cache.Set(e.keys[index], cached)
 		}
 		if !isWholeRequest {
@@ -112,7 +113,7 @@
 	}
 }
 
-// serveFollowers hands embeddings to the other requests that wait for them.
+// serveFollowers passes the embeddings to the other requests that wait for them.
 func serveFollowers(followers []follower, a answer, results []openai.EmbeddingResult) {
 	for _, waiting := range followers {
 		e := waiting.request
@@ -120,15 +121,15 @@
 		if e.hasEnded {
 			continue
 		}
-		if e.envelope == nil {
-			e.envelope = openai.ResponseTemplate(a.body)
+		if e.template == nil {
+			e.template = openai.ResponseTemplate(a.body)
 		}
 		e.setEmbedding(waiting.index, results[waiting.position])
 		e.respondIfComplete(a.requestID)
 	}
 }
 
-// endFollowers answers the other requests that wait for a failed computation with its answer.
+// endFollowers ends the other requests that wait for a computation that was not served. They get the same answer.
 func endFollowers(followers []follower, a answer) {
 	for _, waiting := range followers {
 		waiting.request.pendingIDs[waiting.index] = 0
@@ -136,22 +137,23 @@
 	}
 }
 
-// startFills starts a fill for each request whose inputs no other request computes any more.
+// startFills starts the computation of inputs whose computation for another request was rejected or cancelled. It
+// starts one fill for each request.
 func startFills(inputs []inputRef) {
 	for len(inputs) > 0 {
 		request := inputs[0].request
-		var own []int
-		others := inputs[:0:0]
+		var indices []int
+		remaining := inputs[:0:0]
 		for _, input := range inputs {
 			if input.request == request {
-				own = append(own, input.index)
+				indices = append(indices, input.index)
 			} else {
-				others = append(others, input)
+				remaining = append(remaining, input)
 			}
 		}
 		if !request.hasEnded {
-			request.startFill(own)
+			request.startFill(indices)
 		}
-		inputs = others
+		inputs = remaining
 	}
 }
--- a/internal/openaiserver/embeddingcache.go
+++ b/internal/openaiserver/embeddingcache.go
@@ -11,47 +11,47 @@
 	"martenlock/internal/openai"
 )
 
-// embeddingCache holds a pool's cached embeddings and its computations in flight, input by input. Package coalesce
-// decides which request computes an input that several wait for.
+// embeddingCache holds a pool's cached embeddings and its computations in flight, both by input. If several requests
+// wait for the same input, package coalesce decides which of them computes it.
 type embeddingCache struct {
 	*deadlineTimer
 	pool      *pool
 	group     *coalesce.Group
-	cache     *otter.Cache[coalesce.Key, openai.EmbeddingResult] // nil if cache_bytes is 0
-	pending   map[coalesce.RequestID]inputRef                    // inputs that are computed or wait for a computation
+	entries   *otter.Cache[coalesce.Key, openai.EmbeddingResult] // nil if cache_bytes is 0
+	pending   map[coalesce.RequestID]inputRef                    // inputs that are computed by their own or another request
 	lastID    coalesce.RequestID
-	hits      uint64 // inputs answered from the cache
-	coalesced uint64 // inputs that waited for another request's computation
+	hits      uint64 // number of inputs answered from the cache
+	coalesced uint64 // number of inputs that waited for another request's computation
 }
 
-// inputRef is an input of a request.
+// inputRef refers to an input of a request.
 type inputRef struct {
 	request *embeddingRequest
 	index   int
 }
 
-// cacheEntryOverheadBytes estimates the memory of a cache entry apart from its embedding: key, node and the eviction
-// policy's share.
+// cacheEntryOverheadBytes is the estimated memory of a cache entry in addition to its embedding: the key, the node and
+// the data of the eviction policy.
 const cacheEntryOverheadBytes = 150
 
-// newEmbeddingCache returns an empty cache with the pool's settings.
+// newEmbeddingCache returns an empty cache. It uses the pool's settings.
 func newEmbeddingCache(p *pool) *embeddingCache {
 	c := &embeddingCache{pool: p, group: coalesce.NewGroup(), pending: map[coalesce.RequestID]inputRef{}}
 	c.deadlineTimer = newDeadlineTimer(p.server, c.expire, c.group.NextDeadline)
 	if p.settings.CacheBytes > 0 {
-		c.cache = newCache(uint64(p.settings.CacheBytes))
+		c.entries = newEntries(uint64(p.settings.CacheBytes))
 	}
 	return c
 }
 
-// newCache returns an empty cache bounded to maxBytes.
-func newCache(maxBytes uint64) *otter.Cache[coalesce.Key, openai.EmbeddingResult] {
+// newEntries returns an empty cache of at most maxBytes.
+func newEntries(maxBytes uint64) *otter.Cache[coalesce.Key, openai.EmbeddingResult] {
 	return otter.Must(&otter.Options[coalesce.Key, openai.EmbeddingResult]{
 		MaximumWeight: maxBytes,
 		Weigher: func(_ coalesce.Key, entry openai.EmbeddingResult) uint32 {
 			return uint32(len(entry.Embedding) + cacheEntryOverheadBytes)
 		},
-		Executor: func(fn func()) { fn() }, // runs on the loop: there is no other goroutine, and evictions can't fall behind
+		Executor: func(fn func()) { fn() }, // runs evictions at once on the event loop, not on another goroutine
 	})
 }
 
@@ -69,14 +69,14 @@
 
 // lookUp returns an input's embedding if it is cached.
 func (c *embeddingCache) lookUp(key coalesce.Key) (cached openai.EmbeddingResult, isCached bool) {
-	if c.cache == nil {
+	if c.entries == nil {
 		return openai.EmbeddingResult{}, false
 	}
-	return c.cache.GetIfPresent(key)
+	return c.entries.GetIfPresent(key)
 }
 
-// add records that a request awaits an input's embedding. isLeader reports whether that request has to compute it.
-// Otherwise the result of a computation in flight is shared.
+// add records that a request waits for an input's embedding. isLeader reports whether the request has to compute it.
+// Otherwise the request gets the result of a computation in flight.
 func (c *embeddingCache) add(request *embeddingRequest, index int) (isLeader bool) {
 	c.lastID++
 	request.pendingIDs[index] = c.lastID
@@ -88,9 +88,9 @@
 	return isLeader
 }
 
-// cacheKeys returns the cache's key of each input. It is the hash of the input and of all else that the embedding
-// depends on: the other members of the call except for the user, the path and the model's revision. The tenant is part
-// of it unless tenants share the cache.
+// cacheKeys returns the cache key of each input: a hash of the input and of everything else that its embedding depends
+// on. That is the path, the model's revision and all members of the call except the inputs and the user. The key
+// includes the tenant unless tenants share the cache.
 func (r *inferenceRequest) cacheKeys(inputs [][]byte) []coalesce.Key {
 	p := r.pool
 	tenant := r.tenant
@@ -105,12 +105,12 @@
 		hash.Write([]byte(part))
 	}
 	r.call.WriteBatchKey(hash)
-	form := hash.Sum(nil)
+	commonHash := hash.Sum(nil)
 	keys := make([]coalesce.Key, len(inputs))
 	var sum [sha256.Size]byte
 	for i, input := range inputs {
 		hash.Reset()
-		hash.Write(form)
+		hash.Write(commonHash)
 		hash.Write(input)
 		copy(keys[i][:], hash.Sum(sum[:0]))
 	}
--- a/internal/openaiserver/embeddingcache_internal_test.go
+++ b/internal/openaiserver/embeddingcache_internal_test.go
@@ -39,7 +39,7 @@
 					return isCached
 				},
 				add: func(key coalesce.Key, embedding []byte) {
-					cache.cache.Set(key, openai.EmbeddingResult{Embedding: embedding})
+					cache.entries.Set(key, openai.EmbeddingResult{Embedding: embedding})
 				},
 			})
 		})
--- a/internal/openaiserver/embeddingrequest.go
+++ b/internal/openaiserver/embeddingrequest.go
@@ -13,48 +13,48 @@
 	"martenlock/internal/openai"
 )
 
-// embeddingRequest is an embeddings request each of whose inputs is cached, computed for another request at this time,
-// or computed by a fill of its own.
+// embeddingRequest is an embeddings request that uses the embedding cache. Each input is answered from the cache, by a
+// computation in flight for another request, or by a fill of this request.
 type embeddingRequest struct {
 	request     *inferenceRequest
 	client      responder
 	inputs      [][]byte
 	inputTokens []float64
 	keys        []coalesce.Key
-	pendingIDs  []coalesce.RequestID // by input; 0 if its embedding is not awaited
-	duplicateOf []int                // by input: index of the first equal one, which may be itself
+	pendingIDs  []coalesce.RequestID // by input; 0 unless the request waits for its embedding
+	duplicateOf []int                // by input: index of the first equal input, which may be itself
 
 	embeddings   []openai.Embedding // by input; nil until known
-	inputUsage   []int64            // prompt tokens used, by input
-	missing      int                // inputs whose embeddings are not known yet
-	cacheHits    int
-	envelope     []byte // an answer from which the members around the embeddings are taken; nil if all is cached
+	inputUsage   []int64            // by input: prompt tokens used
+	missingCount int                // number of distinct inputs whose embeddings are not known yet
+	cacheHits    int                // number of distinct inputs answered from the cache
+	template     []byte             // engine's answer whose other members are copied; nil if all inputs are cached
 	fills        []*cacheFill
-	shardedFills int   // number of fills started for some of the inputs
-	copiedBytes  int64 // size of the embeddings that were copied out of answers
+	partialFills int   // number of fills that were started for only some of the inputs
+	copiedBytes  int64 // size of the embeddings copied from answers; counted in Server.bufferedBytes
 	hasEnded     bool
 }
 
-// startCached answers an embeddings request with the help of the cache and of computations in flight. It returns nil if
-// the request must be computed by itself.
+// startCached starts an embeddings request that may use the cache and computations in flight. It returns nil if the
+// request may not.
 func (r *inferenceRequest) startCached(client responder) operation {
 	p := r.pool
-	// Engines of two revisions give different answers to the same input.
+	// Engines with different model revisions give different answers to the same input.
 	if r.call.API != openai.Embeddings || !p.settings.Coalesces || p.revisionsMixed || !coalesce.MayCoalesce(*r.class()) {
 		return nil
 	}
 	e := newEmbeddingRequest(r, client)
 	leaders := e.resolveInputs()
-	if e.missing == 0 {
+	if e.missingCount == 0 {
 		e.respondIfComplete("")
 		return e
 	}
 	e.startFill(leaders)
-	p.embeddings.restart()
+	p.embeddingCache.restart()
 	return e
 }
 
-// newEmbeddingRequest returns a request whose inputs have not been looked up.
+// newEmbeddingRequest returns a request whose inputs have not been looked up yet.
 func newEmbeddingRequest(r *inferenceRequest, client responder) *embeddingRequest {
 	inputs, tokens := r.splitInputs()
 	return &embeddingRequest{
@@ -73,8 +73,8 @@
 // resolveInputs looks up each input in the cache and in the computations in flight. It returns the indices of the
 // inputs that this request has to compute.
 func (e *embeddingRequest) resolveInputs() (leaders []int) {
-	cache := e.request.pool.embeddings
-	e.markRepeatedInputs()
+	cache := e.request.pool.embeddingCache
+	e.findDuplicates()
 	for i, key := range e.keys {
 		if e.duplicateOf[i] != i {
 			continue
@@ -87,7 +87,7 @@
 			e.cacheHits++
 			continue
 		}
-		e.missing++
+		e.missingCount++
 		if cache.add(e, i) {
 			leaders = append(leaders, i)
 		}
@@ -95,15 +95,15 @@
 	return leaders
 }
 
-// markRepeatedInputs sets duplicateOf.
-func (e *embeddingRequest) markRepeatedInputs() {
-	if len(e.keys) == 1 { // nothing to compare
+// findDuplicates sets duplicateOf for each input.
+func (e *embeddingRequest) findDuplicates() {
+	if len(e.keys) == 1 { // duplicateOf is already set to 0
 		return
 	}
 	first := make(map[coalesce.Key]int, len(e.keys))
 	for i, key := range e.keys {
-		earlier, isRepeated := first[key]
-		if isRepeated {
+		earlier, isDuplicate := first[key]
+		if isDuplicate {
 			e.duplicateOf[i] = earlier
 			continue
 		}
@@ -112,15 +112,15 @@
 	}
 }
 
-// startFill starts the computation of the inputs with these indices, if any.
-func (e *embeddingRequest) startFill(inputs []int) {
-	if len(inputs) == 0 {
+// startFill starts the computation of the inputs with the given indices. It does nothing if there are none.
+func (e *embeddingRequest) startFill(indices []int) {
+	if len(indices) == 0 {
 		return
 	}
-	fill := &cacheFill{request: e, inputs: inputs, call: e.request.call}
+	fill := &cacheFill{parent: e, inputIndices: indices, call: e.request.call}
 	request := *e.request
-	if len(inputs) < len(e.inputs) {
-		e.selectInputs(&request, inputs)
+	if len(indices) < len(e.inputs) {
+		e.selectInputs(&request, indices)
 		fill.call = request.call
 		fill.copiedBytes = int64(request.call.BodySize())
 		request.pool.server.bufferedBytes += fill.copiedBytes
@@ -129,7 +129,7 @@
 	fill.operation = request.start(fill)
 }
 
-// selectInputs restricts request, a copy of the client's, to the inputs with these indices.
+// selectInputs restricts request, a copy of e.request, to the inputs with the given indices.
 func (e *embeddingRequest) selectInputs(request *inferenceRequest, indices []int) {
 	inputs := make([][]byte, len(indices))
 	inputTokens := make([]float64, len(indices))
@@ -144,16 +144,16 @@
 	request.promptTokens = promptTokens
 	request.inputs = inputs
 	request.inputTokens = inputTokens
-	e.shardedFills++
-	request.shardLabel = fmt.Sprintf("%d.", e.shardedFills)
+	e.partialFills++
+	request.shardLabel = fmt.Sprintf("%d.", e.partialFills) // startShard appends to it if the fill is scattered
 }
 
-// setEmbedding sets an input's embedding. If the request waits for more, the embedding is copied, so that the answer
-// around it can be freed.
+// setEmbedding sets an input's embedding. If the request still waits for other inputs, it stores a copy, so that the
+// answer that contains the embedding can be freed.
 func (e *embeddingRequest) setEmbedding(index int, result openai.EmbeddingResult) {
 	embedding := result.Embedding
-	e.missing--
-	if e.missing > 0 || len(e.fills) > 0 {
+	e.missingCount--
+	if e.missingCount > 0 || len(e.fills) > 0 {
 		embedding = bytes.Clone(embedding)
 		e.copiedBytes += int64(len(embedding))
 		e.request.pool.server.bufferedBytes += int64(len(embedding))
@@ -162,10 +162,10 @@
 	e.inputUsage[index] = result.PromptTokens
 }
 
-// respondIfComplete answers the request if all embeddings are known. requestID is that of the latest computation, ""
-// if there was none.
+// respondIfComplete answers the request if all embeddings are known. requestID is the id of the computation that ended
+// last, or "" if there was none.
 func (e *embeddingRequest) respondIfComplete(requestID string) {
-	if e.missing > 0 || e.hasEnded {
+	if e.missingCount > 0 || e.hasEnded {
 		return
 	}
 	usage := int64(0)
@@ -185,25 +185,27 @@
 		requestID:   requestID,
 		fields:      e.cacheField(),
 	}
-	if e.envelope == nil {
-		e.envelope = append(gjson.AppendJSONString([]byte(`{"object":"list","data":[],"model":`), e.request.call.Model), `,"usage":{}}`...)
+	if e.template == nil {
+		e.template = append(gjson.AppendJSONString([]byte(`{"object":"list","data":[],"model":`), e.request.call.Model), `,"usage":{}}`...)
 	}
-	a.body = openai.AssembleResponse(e.envelope, e.embeddings, usage)
+	a.body = openai.AssembleResponse(e.template, e.embeddings, usage)
 	e.respond(a)
 }
 
-// cacheField returns the header field that says whether all inputs were cached or some. It is empty if none was.
+// cacheField returns the header field that tells the client whether all or some of the inputs were cached. It returns
+// "" if none were.
 func (e *embeddingRequest) cacheField() string {
 	switch {
 	case e.cacheHits == 0:
 		return ""
-	case e.envelope == nil:
+	case e.template == nil:
 		return "x-cache: hit\r\n"
 	}
 	return "x-cache: partial\r\n"
 }
 
-// end answers the request with the answer to one of its computations. The others are cancelled.
+// end answers the request with the answer to one of its computations and cancels the others. It has no effect if the
+// request has ended.
 func (e *embeddingRequest) end(a answer) {
 	if !e.hasEnded {
 		e.respond(a)
@@ -216,13 +218,13 @@
 	e.client.respond(a)
 }
 
-// cancel implements operation. Other requests that wait for the cancelled computations start their own.
+// cancel implements operation. Other requests that wait for one of its computations start their own.
 func (e *embeddingRequest) cancel() {
 	if e.hasEnded {
 		return
 	}
 	e.hasEnded = true
-	cache := e.request.pool.embeddings
+	cache := e.request.pool.embeddingCache
 	server := e.request.pool.server
 	server.bufferedBytes -= e.copiedBytes
 	for _, fill := range e.fills {
@@ -232,7 +234,7 @@
 		}
 	}
 	e.fills = nil
-	var orphans []inputRef
+	var newLeaders []inputRef
 	for _, id := range e.pendingIDs {
 		if id == 0 {
 			continue
@@ -240,12 +242,12 @@
 		delete(cache.pending, id)
 		newLeader, hasNewLeader := cache.group.Cancel(id)
 		if hasNewLeader {
-			orphans = append(orphans, cache.pending[newLeader])
+			newLeaders = append(newLeaders, cache.pending[newLeader])
 		}
 	}
 	cache.restart()
-	startFills(orphans)
+	startFills(newLeaders)
 }
 
-// clientWritable implements operation. It has no effect: the answer does not come in pieces.
+// clientWritable implements operation. It has no effect because the answer is not streamed.
 func (e *embeddingRequest) clientWritable() {}
--- a/internal/openaiserver/httpexchange.go
+++ b/internal/openaiserver/httpexchange.go
@@ -101,7 +101,7 @@
 // of a rejected request counts as at least its objective. Only the first call has an effect.
 func (e *httpExchange) observeLatency(result outcome.Outcome) {
 	request := e.request
-	queue := request.pool.admission.queue
+	queue := request.pool.admissionQueue.queue
 	if e.latencyObserved || queue.IsLarge(request.promptTokens) {
 		return
 	}
--- a/internal/openaiserver/pool.go
+++ b/internal/openaiserver/pool.go
@@ -20,9 +20,9 @@
 	mailbox   decisionloop.Mailbox[*exchange]
 	exchanges decisionloop.Exchanges[*exchange]
 
-	embeddings *embeddingCache
-	admission  *admissionQueue
-	batches    *batchScheduler
+	embeddingCache *embeddingCache
+	admissionQueue *admissionQueue
+	batchScheduler *batchScheduler
 
 	tokenLimits    admission.TokenLimits    // of a single request, according to the listed engines
 	tokenEstimator admission.TokenEstimator // corrects estimated prompt lengths
@@ -101,9 +101,9 @@
 		CheckHealth: p.checkHealth,
 		AfterPoll:   p.afterPoll,
 	}
-	p.embeddings = newEmbeddingCache(p)
-	p.admission = newAdmissionQueue(p)
-	p.batches = newBatchScheduler(p)
+	p.embeddingCache = newEmbeddingCache(p)
+	p.admissionQueue = newAdmissionQueue(p)
+	p.batchScheduler = newBatchScheduler(p)
 	return p
 }
 
@@ -175,8 +175,8 @@
 		})
 	}
 	p.tokenLimits = admission.NewTokenLimits(p.settings.MaxContextTokens, capacities)
-	p.admission.queue.SetReadyEndpoints(p.readyEndpoints)
-	p.batches.batcher.SetReadyEndpoints(p.readyEndpoints)
+	p.admissionQueue.queue.SetReadyEndpoints(p.readyEndpoints)
+	p.batchScheduler.batcher.SetReadyEndpoints(p.readyEndpoints)
 	p.push(update)
 }
 
--- a/internal/openaiserver/scatter.go
+++ b/internal/openaiserver/scatter.go
@@ -11,48 +11,48 @@
 	"martenlock/control/scatter"
 )
 
-// scatterRequest is a request that is computed in shards, or a large one that passes the admission queue. Each shard
-// is an exchange of its own. Package scatter decides what their ends mean for the request, package admission when each
-// shard may start.
-type scatterRequest struct {
+// scatteredRequest is a request that is computed in shards, or a large request that passes the admission queue. Each
+// shard has an exchange of its own. Package scatter decides how the request ends, given the outcomes of its shards.
+// Package admission decides when each shard of a large request may start.
+type scatteredRequest struct {
 	request        *inferenceRequest
 	client         responder
-	inputs         [][]byte // nil if the request has one shard, which is computed unchanged
+	inputs         [][]byte // nil if the request has only one shard, to which it is forwarded unchanged
 	inputTokens    []float64
 	plan           []scatter.Shard
 	gather         *scatter.Gather
 	shards         []*shard // by index in plan; nil until started
-	bodies         [][]byte // of the shards' answers; counted in Server.bufferedBytes
-	requestID      string   // under which the client knows it
+	bodies         [][]byte // of the shards' answers, by index in plan; counted in Server.bufferedBytes
+	requestID      string   // sent to the client; the shards' ids are derived from it
 	admissionID    admission.RequestID
-	needsAdmission bool // it passes the admission queue, under admissionID
+	needsAdmission bool // the request passes the admission queue, under admissionID
 	hasEnded       bool
 }
 
-// shard is one shard of a scatterRequest. It is the responder of the shard's exchange.
+// shard is one shard of a scatteredRequest. It is the responder of the shard's exchange.
 type shard struct {
 	bufferedResponder
-	parent      *scatterRequest
+	parent      *scatteredRequest
 	index       int
-	exchange    *exchange // nil once it has ended
-	copiedBytes int64     // size of the inputs' copy in the shard's call
+	exchange    *exchange // nil after it has ended
+	copiedBytes int64     // size of the inputs copied into the shard's call; counted in Server.bufferedBytes
 }
 
-// startScattered scatters a request that exceeds the pool's limits of a shard, and enqueues a large one for admission.
-// It returns nil if the request is neither.
+// startScattered starts a request that has to be split into shards or is large. A large request is enqueued for
+// admission. It returns nil for any other request.
 func (r *inferenceRequest) startScattered(client responder) operation {
 	p := r.pool
 	inputs, tokens := r.splitInputs()
 	plan := scatter.Plan(tokens, p.settings.ShardLimits)
-	isLarge := p.admission.queue.IsLarge(r.promptTokens)
+	isLarge := p.admissionQueue.queue.IsLarge(r.promptTokens)
 	if len(plan) < 2 && !isLarge {
 		return nil
 	}
-	if len(plan) < 2 { // computed unchanged
+	if len(plan) < 2 { // one shard, to which the request is forwarded unchanged
 		plan = []scatter.Shard{{To: r.call.ItemCount}}
 		inputs = nil
 	}
-	scattered := &scatterRequest{
+	scattered := &scatteredRequest{
 		request:     r,
 		client:      client,
 		inputs:      inputs,
@@ -64,7 +64,7 @@
 		requestID:   p.server.requestIDs.next(),
 	}
 	if isLarge {
-		p.admission.enqueue(scattered)
+		p.admissionQueue.enqueue(scattered)
 		return scattered
 	}
 	for i := range plan {
@@ -74,7 +74,7 @@
 }
 
 // shardTokens returns the estimated prompt tokens of a shard.
-func (r *scatterRequest) shardTokens(index int) float64 {
+func (r *scatteredRequest) shardTokens(index int) float64 {
 	if r.inputs == nil {
 		return float64(r.request.moduleRequest.PromptTokens)
 	}
@@ -86,7 +86,7 @@
 }
 
 // startShard starts the exchange of a shard.
-func (r *scatterRequest) startShard(index int) {
+func (r *scatteredRequest) startShard(index int) {
 	started := &shard{parent: r, index: index}
 	r.shards[index] = started
 	request := *r.request
@@ -107,19 +107,19 @@
 	started.exchange = request.startExchange(started, fmt.Sprintf("%s-%d", r.requestID, index))
 }
 
-// complete ends the shard's computation and notifies the admission queue.
+// complete records the end of the shard's exchange, also in the admission queue.
 func (s *shard) complete(result admission.UnitOutcome) {
 	p := s.parent.request.pool
 	s.exchange = nil
 	p.server.bufferedBytes -= s.copiedBytes
 	if s.parent.needsAdmission {
 		unit := admission.Unit{Request: s.parent.admissionID, Index: s.index}
-		p.admission.queue.Complete(p.server.now(), unit, result)
-		p.admission.schedulePoll()
+		p.admissionQueue.queue.Complete(p.server.now(), unit, result)
+		p.admissionQueue.schedulePoll()
 	}
 }
 
-// respond implements responder.
+// respond implements responder. It buffers the shard's answer.
 func (s *shard) respond(a answer) {
 	parent := s.parent
 	result := admission.UnitNotServed
@@ -132,8 +132,8 @@
 	parent.shardEnded(s.index, a)
 }
 
-// shardEnded processes the answer of a shard, and answers the request if that decides it.
-func (r *scatterRequest) shardEnded(index int, a answer) {
+// shardEnded processes the answer of a shard. If it decides how the request ends, it answers the request.
+func (r *scatteredRequest) shardEnded(index int, a answer) {
 	decision := r.gather.Complete(index, a.outcome)
 	switch decision {
 	case scatter.Wait:
@@ -154,8 +154,8 @@
 	r.client.respond(a)
 }
 
-// merge returns the request's answer once all shards are served. last is the answer of the shard that ended last.
-func (r *scatterRequest) merge(last answer) answer {
+// merge returns the request's answer after all shards were served. last is the answer of the shard that ended last.
+func (r *scatteredRequest) merge(last answer) answer {
 	if r.inputs == nil {
 		return last
 	}
@@ -167,9 +167,10 @@
 	}
 }
 
-// retryAfter returns the Retry-After of a rejected request. The delay given by the admission queue is for the whole
-// request, the one given by the decision module for one shard.
-func (r *scatterRequest) retryAfter(after time.Duration) time.Duration {
+// retryAfter returns the Retry-After of a rejected request. after is that of the shard that was rejected. The admission
+// queue calculates it for the whole request, the decision module for one shard. If the request passes the admission
+// queue, after is assumed to be for the whole request.
+func (r *scatteredRequest) retryAfter(after time.Duration) time.Duration {
 	limit := r.request.pool.config.Control.Limits.MaxRetryAfter
 	if r.needsAdmission {
 		return min(after, limit)
@@ -177,9 +178,9 @@
 	return scatter.RetryAfter(after, len(r.plan), limit)
 }
 
-// cancel implements operation. It cancels the shards that are being computed or wait for admission, and releases
-// what the request holds.
-func (r *scatterRequest) cancel() {
+// cancel implements operation. It cancels the shards that are in flight or wait for admission, and drops the buffered
+// answers of the others.
+func (r *scatteredRequest) cancel() {
 	if r.hasEnded {
 		return
 	}
@@ -198,9 +199,9 @@
 		r.bodies[i] = nil
 	}
 	if r.needsAdmission {
-		r.request.pool.admission.remove(r)
+		r.request.pool.admissionQueue.remove(r)
 	}
 }
 
-// clientWritable implements operation. It has no effect: the answer does not come in pieces.
-func (r *scatterRequest) clientWritable() {}
+// clientWritable implements operation. It has no effect because the answer is not streamed.
+func (r *scatteredRequest) clientWritable() {}
--- a/internal/openaiserver/stats.go
+++ b/internal/openaiserver/stats.go
@@ -63,12 +63,12 @@
 		BufferedBytes:     s.bufferedBytes,
 	}
 	for _, p := range s.pools.current {
-		stats.CacheHits += p.embeddings.hits
-		stats.CoalescedInputs += p.embeddings.coalesced
-		stats.BatchedRequests += p.batches.batchedRequests
-		stats.AdmissionRejected += p.admission.rejected
-		if p.embeddings.cache != nil {
-			stats.CacheBytes += p.embeddings.cache.WeightedSize()
+		stats.CacheHits += p.embeddingCache.hits
+		stats.CoalescedInputs += p.embeddingCache.coalesced
+		stats.BatchedRequests += p.batchScheduler.batchedRequests
+		stats.AdmissionRejected += p.admissionQueue.rejected
+		if p.embeddingCache.entries != nil {
+			stats.CacheBytes += p.embeddingCache.entries.WeightedSize()
 		}
 	}
 	for conn := range s.clients.All() {
