--- a/internal/openaiserver/admission_test.go
+++ b/internal/openaiserver/admission_test.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// TestBulkDoesNotKeepASearchFromEngines: large requests of one client, and then of many, don't delay a small request at
-// the engines that they keep busy. A large request that would miss its deadline is rejected before it is computed.
-func TestBulkDoesNotKeepASearchFromEngines(t *testing.T) {
+// TestLargeRequestsDoNotDelaySmallOnes: while large requests keep all engines busy, small requests are served within a
+// second. Large requests that would miss their deadline are rejected.
+func TestLargeRequestsDoNotDelaySmallOnes(t *testing.T) {
 	specs := embeddingSpecs(2)
 	for i := range specs {
 		specs[i].PrefillTokensPerSecond, specs[i].MaxWaiting = 40_000, 10_000
 	}
 	h := startHarness(t, specs, "join_wait = 5ms", "join_wait = 0s")
-	const bulkRequests = 12
-	bulk := startBulk(h, bulkRequests)
-	h.waitUntil("a bulk request is computed", func() bool { return h.engine("e1").Stats().Waiting > 0 })
+	const largeCount = 12
+	large := startLargeRequests(h, largeCount)
+	h.waitUntil("an engine computes a large request", func() bool { return h.engine("e1").Stats().Waiting > 0 })
 	ctx, cancel := context.WithCancel(t.Context())
 	abandoned := make(chan response)
 	go func() {
-		abandoned <- h.send(request{ctx: ctx, path: embeddingsPath, class: "search", body: strings.Replace(bulk.body, `"input":[`, `"input":["waits",`, 1)})
+		abandoned <- h.send(request{ctx: ctx, path: embeddingsPath, class: "search", body: strings.Replace(large.body, `"input":[`, `"input":["waits",`, 1)})
 	}()
-	time.AfterFunc(100*ms, cancel) // while it waits for admission, or shortly before or after
+	time.AfterFunc(100*ms, cancel) // while the request waits for admission, or shortly before or after
 
 	maxWaiting := 0
 	for i := range 30 {
@@ -36,52 +36,54 @@
 		}
 		received := h.sendEmbeddings(fmt.Sprintf(`{"model":"demo-embed","input":"search %d"}`, i))
 		if !received.served() || received.elapsed > time.Second {
-			t.Errorf("search %d: %v", i, received)
+			t.Errorf("small request %d: %v; want an answer within 1s", i, received)
 		}
 	}
-	bulk.clients.Wait()
+	large.clients.Wait()
 
 	received := <-abandoned
 	if received.err == nil && !received.rejected() {
-		t.Error(received)
+		t.Errorf("cancelled large request: %v; want no response or a rejection", received)
 	}
-	if bulk.served == 0 || bulk.rejected == 0 || bulk.served+bulk.rejected != bulkRequests || maxWaiting > 12 {
-		t.Errorf("%d bulk requests served, %d rejected; %d shards waited at one engine", bulk.served, bulk.rejected, maxWaiting)
+	if large.served == 0 || large.rejected == 0 || large.served+large.rejected != largeCount || maxWaiting > 12 {
+		t.Errorf("%d large requests served and %d rejected, want some of each and %d in total; %d requests waited at one engine, want at most 12",
+			large.served, large.rejected, largeCount, maxWaiting)
 	}
 }
 
-// bulk is a number of large embeddings requests, sent concurrently.
-type bulk struct {
-	body    string // that the requests' bodies are variants of
+// largeRequests is a group of large embeddings requests that are sent concurrently.
+type largeRequests struct {
+	body    string // the requests' bodies are variants of it
 	clients sync.WaitGroup
 
 	mu               sync.Mutex
 	served, rejected int
 }
 
-// startBulk sends requests of 42,000 tokens each, which take an engine 0.5 s.
-func startBulk(h *harness, requests int) *bulk {
+// startLargeRequests sends n requests of about 42,000 tokens each.
+func startLargeRequests(h *harness, n int) *largeRequests {
 	const inputs = 1024
-	b := &bulk{body: `{"model":"demo-embed","dimensions":1,"input":` + inputList(inputs, strings.Repeat("ice ", 40)) + `}`}
-	for i := range requests {
-		b.clients.Go(func() {
-			received := h.sendEmbeddings(strings.ReplaceAll(b.body, `"ice `, fmt.Sprintf(`"%d `, i)))
-			b.mu.Lock()
-			defer b.mu.Unlock()
+	l := &largeRequests{body: `{"model":"demo-embed","dimensions":1,"input":` + inputList(inputs, strings.Repeat("ice ", 40)) + `}`}
+	for i := range n {
+		l.clients.Go(func() {
+			received := h.sendEmbeddings(strings.ReplaceAll(l.body, `"ice `, fmt.Sprintf(`"%d `, i)))
+			l.mu.Lock()
+			defer l.mu.Unlock()
 			switch {
 			case received.served() && len(parseEmbeddings(received.body).vectors) == inputs:
-				b.served++
+				l.served++
 			case received.rejected():
-				b.rejected++
+				l.rejected++
 			default:
-				h.t.Error(received)
+				h.t.Errorf("large request was neither served nor rejected: %v", received)
 			}
 		})
 	}
-	return b
+	return l
 }
 
-// chatBody returns the body of a chat completion with so many tokens of prompt. maxTokens is left out if it is 0.
+// chatBody returns the body of a chat completion request with a prompt of about promptTokens. It has no max_tokens if
+// maxTokens is 0.
 func chatBody(promptTokens, maxTokens int) string {
 	limit := ""
 	if maxTokens > 0 {
@@ -90,10 +92,10 @@
 	return `{"model":"demo-chat",` + limit + `"messages":[{"role":"user","content":"` + strings.Repeat("ice ", promptTokens) + `"}]}`
 }
 
-// TestOversizedRequestIsAnsweredAtOnce: a request for which no engine has the memory is rejected at once in OpenAI's
-// form, and no engine receives it. One that may fit is forwarded. The margin gets smaller with the prompt lengths that
-// engines report.
-func TestOversizedRequestIsAnsweredAtOnce(t *testing.T) {
+// TestOversizedRequestIsRejectedWithoutAnEngine: a request that no engine has memory for is rejected with OpenAI's
+// error for it, and no engine receives the request. A request that may fit is forwarded. The more prompt lengths
+// engines have reported, the more accurate is the router's estimate.
+func TestOversizedRequestIsRejectedWithoutAnEngine(t *testing.T) {
 	specs := append(prefillDecodeSpecs(1, 8), embeddingSpec("e1"))
 	h := startHarness(t, specs, "models = demo-embed\n", "models = demo-embed\nmax_context = 500\n")
 
@@ -104,39 +106,39 @@
 	h.expectOversized(request{path: embeddingsPath, class: "search", body: `{"model":"demo-embed","input":["x","` + strings.Repeat("ice ", 2_100) + `"]}`}, "input")
 	received := h.sendEmbeddings(`{"model":"demo-embed","input":` + inputList(400, strings.Repeat("ice ", 100)) + `}`)
 	if !received.served() {
-		t.Errorf("many inputs each of which fits: %v", received)
+		t.Errorf("many inputs, each of which fits: %v; want an answer", received)
 	}
 
 	received = h.send(request{body: chatBody(130_000, 5)})
 	if !received.served() {
-		t.Errorf("may fit, as long as no prompt lengths were reported: %v", received)
+		t.Errorf("request that may fit while no prompt lengths were reported: %v; want an answer", received)
 	}
 	for range 150 {
 		received := h.send(request{prompt: strings.Repeat("ice ", 300)})
 		if !received.served() {
-			t.Fatal(received)
+			t.Fatalf("small request was not served: %v", received)
 		}
 	}
 	h.expectOversized(request{body: chatBody(130_000, 5)}, "messages")
 	received = h.send(request{body: chatBody(55_000, 5)})
 	if !received.served() {
-		t.Errorf("fits: %v", received)
+		t.Errorf("request that fits: %v; want an answer", received)
 	}
 
 	oversized := h.stats().Oversized
 	if oversized != 5 {
-		t.Errorf("%d requests counted as oversized", oversized)
+		t.Errorf("%d requests counted as oversized, want 5", oversized)
 	}
 	for range 10 { // no engine was ejected
 		received := h.send(request{stream: true, maxTokens: 3})
 		if !received.served() {
-			t.Error(received)
+			t.Errorf("request after the oversized ones was not served: %v", received)
 		}
 	}
 }
 
-// expectOversized sends a request and fails the test unless it is rejected because of the parameter's length, without
-// any engine having received it.
+// expectOversized sends a request and fails the test unless it is rejected because the given parameter is too long, and
+// no engine has received it.
 func (h *harness) expectOversized(r request, param string) {
 	h.t.Helper()
 	before := h.requestsServedByEngines()
@@ -149,7 +151,7 @@
 	isOversizedError := err == nil && received.status == http.StatusBadRequest &&
 		parsed.Error.Code == "context_length_exceeded" && parsed.Error.Param == param && parsed.Error.Type == "invalid_request_error"
 	if !isOversizedError || forwarded != 0 {
-		h.t.Errorf("%.60s: %v; %d requests at engines", r.body, received, forwarded)
+		h.t.Errorf("%.60s: %v; %d requests served by engines; want error context_length_exceeded and none", r.body, received, forwarded)
 	}
 }
 
--- a/internal/openaiserver/batch_test.go
+++ b/internal/openaiserver/batch_test.go
@@ -12,7 +12,7 @@
 	"martenlock/internal/fakeengine"
 )
 
-// longBatchWait is an edit of the settings: small requests wait for others for up to a second.
+// longBatchWait is an edit for startHarness: small requests wait up to a second for others to share a batch.
 var longBatchWait = []string{"join_wait = 5ms", "join_wait = 1s"}
 
 // embeddingBody returns the body of a small embeddings request with one input.
@@ -20,8 +20,9 @@
 	return fmt.Sprintf(`{"model":"demo-embed","dimensions":4,"input":%q}`, input)
 }
 
-// sendWhileBusy sends embeddings requests concurrently while engine e1 computes another one, so that they wait for each
-// other. It returns the responses in the order of the bodies. Tenants take turns.
+// sendWhileBusy sends embeddings requests concurrently while engine e1 computes another request, so that they wait for
+// the engine and may share a batch. It returns the responses in the order of bodies. If there are tenants, the requests
+// are assigned to them in turn.
 func (h *harness) sendWhileBusy(class string, bodies []string, tenants ...string) []response {
 	h.t.Helper()
 	engine := h.engine("e1")
@@ -43,13 +44,14 @@
 	clients.Wait()
 	received := <-first
 	if !received.served() {
-		h.t.Error(received)
+		h.t.Errorf("first request was not served: %v", received)
 	}
 	return responses
 }
 
-// TestSmallRequestsShareABatchAndGetTheirOwnAnswers: small requests that have to wait anyway share a batch. Each gets
-// its own vectors and its share of the usage. Requests of other forms, tenants and classes are not mixed in.
+// TestSmallRequestsShareABatchAndGetTheirOwnAnswers: small requests that wait for an engine share a batch, and each gets
+// its own vectors. Requests with different tenants, or of classes that may not be executed again without a key, are not
+// batched. Requests with other parameters or input types get valid answers too.
 func TestSmallRequestsShareABatchAndGetTheirOwnAnswers(t *testing.T) {
 	h := startHarness(t, embeddingSpecs(1), longBatchWait...)
 	engine := h.engine("e1")
@@ -59,7 +61,7 @@
 		received := h.sendEmbeddings(fmt.Sprintf(`{"model":"demo-embed","dimensions":4,"input":[%q]}`, input))
 		answer := parseEmbeddings(received.body)
 		if len(answer.vectors) != 1 {
-			t.Fatal(received)
+			t.Fatalf("no vector for input %q: %v", input, received)
 		}
 		return answer.vectors[0]
 	}
@@ -80,20 +82,20 @@
 	for i, received := range h.sendWhileBusy("search", bodies) {
 		answer := parseEmbeddings(received.body)
 		if !received.served() || answer.promptTokens < 0 || len(answer.vectors) == 0 {
-			t.Errorf("request %d: %v", i, received)
+			t.Errorf("request %d has no valid answer: %v", i, received)
 			continue
 		}
 		if i >= len(wanted) {
 			continue
 		}
 		if !slices.EqualFunc(answer.vectors, wanted[i], sameVector) {
-			t.Errorf("request %d has other vectors than its inputs: %v", i, received)
+			t.Errorf("request %d got vectors that are not those of its inputs: %v", i, received)
 		}
 	}
 
 	batched, calls := h.stats().BatchedRequests, engine.Stats().Served-callsBefore
 	if batched < 20 || calls > 25 {
-		t.Errorf("%d of 42 requests batched, %d calls", batched, calls)
+		t.Errorf("%d of 42 requests batched in %d calls, want at least 20 and at most 25", batched, calls)
 	}
 	h.expectNotBatched("search", bodies[1:3], "one", "other")
 	for _, class := range []string{"note", "job"} {
@@ -102,13 +104,13 @@
 	}
 }
 
-// expectNotBatched sends requests concurrently and fails the test if one is not served or some share a batch.
+// expectNotBatched sends requests concurrently. It fails the test if a request is not served or some share a batch.
 func (h *harness) expectNotBatched(class string, bodies []string, tenants ...string) {
 	h.t.Helper()
 	before := h.stats().BatchedRequests
 	for _, received := range h.sendWhileBusy(class, bodies, tenants...) {
 		if !received.served() {
-			h.t.Errorf("class %s: %v", class, received)
+			h.t.Errorf("request of class %s was not served: %v", class, received)
 		}
 	}
 	if h.stats().BatchedRequests != before {
@@ -116,12 +118,13 @@
 	}
 }
 
-// TestBatchMembersCostEachOtherNothingButTime: what one member of a batch does wrong, or suffers, only delays the others.
-func TestBatchMembersCostEachOtherNothingButTime(t *testing.T) {
+// TestBatchMembersFailIndependently: the failure, expiry or cancellation of one member of a batch only delays the
+// others.
+func TestBatchMembersFailIndependently(t *testing.T) {
 	t.Run("one input is invalid", testInvalidBatchMember)
 	t.Run("one input crashes engines", testCrashingBatchMember)
-	t.Run("one has little time, one client leaves", testImpatientBatchMembers)
-	t.Run("one engine hangs, one drains", testBatchesWithoutTwoEngines)
+	t.Run("one member expires and one client disconnects", testExpiredAndCancelledBatchMembers)
+	t.Run("one engine hangs and one drains", testBatchesWithHangingAndDrainingEngine)
 }
 
 // testInvalidBatchMember: only the invalid request is rejected.
@@ -131,12 +134,12 @@
 	responses := h.sendWhileBusy("search", []string{embeddingBody("good 1"), embeddingBody(fakeengine.RejectMarker), embeddingBody("good 2")})
 
 	if !responses[0].served() || !responses[2].served() || responses[1].status != http.StatusBadRequest {
-		t.Error(responses)
+		t.Errorf("responses %v, want a status 400 for the second request only", responses)
 	}
 }
 
-// testCrashingBatchMember: the input crashes no more engines than its class has attempts, and the others are served or
-// rejected.
+// testCrashingBatchMember: an input that crashes engines crashes at most max_attempts of them. The other members are
+// served or rejected.
 func testCrashingBatchMember(t *testing.T) {
 	edits := append([]string{"[class search]\n", "[class search]\nmax_attempts = 2\n"}, longBatchWait...)
 	h := startHarness(t, embeddingSpecs(5), edits...)
@@ -157,16 +160,16 @@
 
 	alive := h.countAliveEmbeddingEngines()
 	if alive != 3 || !responses[crashing].failed() {
-		t.Errorf("%d of 5 engines left, answer to the crashing request: %v", alive, responses[crashing])
+		t.Errorf("%d of 5 engines are alive, want 3; response to the crashing request %v, want a failure", alive, responses[crashing])
 	}
 	for i, received := range responses {
 		if i != crashing && !received.served() && !received.rejected() {
-			t.Errorf("another member: %v", received)
+			t.Errorf("another member was neither served nor rejected: %v", received)
 		}
 	}
 }
 
-// occupyEngines sends one request to each of the engines, so that further requests share a batch. The calls end one
+// occupyEngines sends one request to each engine, so that further requests share a batch. The engines become idle one
 // after another.
 func (h *harness) occupyEngines(clients *sync.WaitGroup, engines int) {
 	h.t.Helper()
@@ -183,9 +186,9 @@
 	}
 }
 
-// testImpatientBatchMembers: a member with little time is rejected in time, and neither it nor a client that leaves
-// takes the others with it.
-func testImpatientBatchMembers(t *testing.T) {
+// testExpiredAndCancelledBatchMembers: a member with a short deadline is rejected in time. Neither this nor the
+// disconnect of a client affects the other members.
+func testExpiredAndCancelledBatchMembers(t *testing.T) {
 	h := startHarness(t, embeddingSpecs(1), "join_wait = 5ms", "join_wait = 20ms")
 	engine := h.engine("e1")
 	engine.SetFault(fakeengine.Fault{PrefillDelay: 600 * ms})
@@ -198,29 +201,29 @@
 			h.waitUntil("the engine is busy", func() bool { return engine.Stats().Waiting > 0 })
 		}
 	}
-	h.waitUntil("the others share a batch", func() bool { return engine.Stats().Waiting == 2 })
+	h.waitUntil("the other requests share a batch", func() bool { return engine.Stats().Waiting == 2 })
 
 	cancel()
 
-	served, rejected, left := 0, 0, 0
+	served, rejected, disconnected := 0, 0, 0
 	for range cap(responses) {
 		received := <-responses
 		switch {
 		case received.err != nil:
-			left++
+			disconnected++
 		case received.served():
 			served++
 		case received.rejected() && received.elapsed < 400*ms:
 			rejected++
 		}
 	}
-	if served != 2 || rejected != 1 || left != 1 {
-		t.Errorf("%d served, %d rejected, %d left", served, rejected, left)
+	if served != 2 || rejected != 1 || disconnected != 1 {
+		t.Errorf("%d served, %d rejected in time, %d disconnected; want 2, 1 and 1", served, rejected, disconnected)
 	}
 }
 
-// testBatchesWithoutTwoEngines: all requests are served though one engine hangs and another one drains.
-func testBatchesWithoutTwoEngines(t *testing.T) {
+// testBatchesWithHangingAndDrainingEngine: all requests are served although one engine hangs and another one drains.
+func testBatchesWithHangingAndDrainingEngine(t *testing.T) {
 	h := startHarness(t, embeddingAndRerankSpecs(3), "join_wait = 5ms", "join_wait = 50ms")
 	h.engine("e1").SetFault(fakeengine.Fault{Hang: true})
 
@@ -229,7 +232,7 @@
 		clients.Go(func() {
 			received := h.sendEmbeddings(embeddingBody(fmt.Sprintf("good %d", i)))
 			if !received.served() {
-				t.Error(received)
+				t.Errorf("request %d was not served: %v", i, received)
 			}
 		})
 		if i == 30 {
--- a/internal/openaiserver/embeddingcache_internal_test.go
+++ b/internal/openaiserver/embeddingcache_internal_test.go
@@ -12,24 +12,24 @@
 	"martenlock/internal/openai"
 )
 
-// Size of the caches that BenchmarkEmbeddingCache compares.
+// Sizes of the caches that BenchmarkEmbeddingCache compares.
 const (
 	benchmarkEntries    = 2000
 	benchmarkEntryBytes = 700
 )
 
-// cacheUnderTest is a cache as BenchmarkEmbeddingCache uses it.
+// cacheUnderTest holds the operations of a cache that BenchmarkEmbeddingCache uses.
 type cacheUnderTest struct {
 	contains func(key coalesce.Key) bool
 	add      func(key coalesce.Key, embedding []byte)
 }
 
-// BenchmarkEmbeddingCache replays one trace against the cache and an LRU of the same size. Keys follow Zipf's law over
-// 100,000 ones. In the second trace half of the keys never return, as in a bulk load beside searches.
+// BenchmarkEmbeddingCache compares the hit rates of the cache and of an LRU cache of the same size. Keys are drawn from
+// a Zipf distribution over 100,000 keys. In the second trace, half of the lookups are for keys that are used only once.
 func BenchmarkEmbeddingCache(b *testing.B) {
 	for _, trace := range []struct {
 		name        string
-		uniqueShare float64 // share of keys that never return
+		uniqueShare float64 // share of lookups for keys that are used only once
 	}{{"zipf", 0}, {"zipf and as many unique keys", 0.5}} {
 		b.Run(trace.name+"/cache", func(b *testing.B) {
 			cache := newEmbeddingCache(&pool{settings: &config.Pool{CacheBytes: benchmarkEntries * benchmarkEntryBytes}})
@@ -59,7 +59,7 @@
 	}
 }
 
-// replayTrace looks up b.N keys, adds those that are missing, and reports the share of hits among keys that return.
+// replayTrace looks up b.N keys, adds those that are missing, and reports the hit rate of the keys that are not unique.
 func replayTrace(b *testing.B, uniqueShare float64, cache cacheUnderTest) {
 	b.Helper()
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/internal/openaiserver/embeddingcache_test.go
+++ b/internal/openaiserver/embeddingcache_test.go
@@ -12,8 +12,8 @@
 	"martenlock/internal/fakeengine"
 )
 
-// TestEachInputIsComputedOnce: an input is computed once, though it is in several requests, twice in one request, or
-// cached. A request that fails does not affect the others.
+// TestEachInputIsComputedOnce: an input that is repeated in one request or was cached by an earlier one has the same
+// embedding everywhere. A request whose inputs are all cached reaches no engine.
 func TestEachInputIsComputedOnce(t *testing.T) {
 	h := startHarness(t, embeddingSpecs(1), "models = demo-embed\n", "models = demo-embed\ncache_bytes = 1000000\n")
 	engine := h.engine("e1")
@@ -26,7 +26,7 @@
 
 	mixed := parseEmbeddings(received.body).vectors
 	if len(mixed) != 4 || !sameVector(mixed[1], vectorOfA) || !sameVector(mixed[0], mixed[2]) || sameVector(mixed[0], mixed[3]) || received.header.Get("X-Cache") != "partial" {
-		t.Error(received)
+		t.Errorf("request with one cached input: %v, X-Cache %q", received, received.header.Get("X-Cache"))
 	}
 	callsBefore := engine.Stats().Served
 
@@ -34,12 +34,12 @@
 
 	cached := parseEmbeddings(received.body).vectors
 	if len(cached) != 3 || !sameVector(cached[2], vectorOfA) || !sameVector(cached[0], mixed[3]) || received.header.Get("X-Cache") != "hit" || engine.Stats().Served != callsBefore {
-		t.Error(received)
+		t.Errorf("request with cached inputs only: %v, X-Cache %q, %d calls; want no calls", received, received.header.Get("X-Cache"), engine.Stats().Served-callsBefore)
 	}
 }
 
-// TestFollowerComputesAfterTheLeaderIsRejected: two requests share an input, and the one that computes it is invalid
-// because of another input. The second one is served.
+// TestFollowerComputesAfterTheLeaderIsRejected: two requests share an input. The request that computes it is rejected
+// because another of its inputs is invalid. The second request is served.
 func TestFollowerComputesAfterTheLeaderIsRejected(t *testing.T) {
 	h := startHarness(t, embeddingSpecs(1), "models = demo-embed\n", "models = demo-embed\ncache_bytes = 1000000\n")
 	engine := h.engine("e1")
@@ -49,9 +49,9 @@
 		go func() { responses <- h.sendEmbeddings(`{"model":"demo-embed","dimensions":4,"input":` + inputs + `}`) }()
 	}
 	send(`["x","` + fakeengine.RejectMarker + `","y"]`)
-	h.waitUntil("the leader is open", func() bool { return h.stats().OpenRequests == 1 })
+	h.waitUntil("the leader has arrived", func() bool { return h.stats().OpenRequests == 1 })
 	send(`["y","p","q"]`)
-	h.waitUntil("both are open", func() bool { return h.stats().OpenRequests == 2 })
+	h.waitUntil("the follower has arrived", func() bool { return h.stats().OpenRequests == 2 })
 
 	engine.SetFault(fakeengine.Fault{})
 
@@ -66,11 +66,11 @@
 		}
 	}
 	if served != 1 || invalid != 1 {
-		t.Errorf("%d served, %d rejected as invalid", served, invalid)
+		t.Errorf("%d served, %d rejected as invalid; want 1 and 1", served, invalid)
 	}
 	received := h.sendEmbeddings(`{"model":"demo-embed","dimensions":4,"input":["x","z"]}`)
 	if !received.served() {
-		t.Error(received)
+		t.Errorf("request with an input of the invalid request was not served: %v", received)
 	}
 }
 
@@ -78,10 +78,10 @@
 type identicalRequests struct {
 	*harness
 	engine    *fakeengine.Engine
-	responses chan response // of the requests sent, in the order of their ends
+	responses chan response // of the requests that were started, in order of completion
 }
 
-// startIdenticalRequests starts a harness.
+// startIdenticalRequests starts a harness. It sends no requests.
 func startIdenticalRequests(t *testing.T) *identicalRequests {
 	t.Helper()
 	h := startHarness(t, embeddingSpecs(1))
@@ -90,7 +90,7 @@
 	return identical
 }
 
-// start sends a request, of class "search" unless it has another one, without waiting for its response.
+// start sends a request without waiting for its response. The class is "search" if r has none.
 func (i *identicalRequests) start(r request) {
 	if r.class == "" {
 		r.class = "search"
@@ -99,20 +99,20 @@
 	go func() { i.responses <- i.send(r) }()
 }
 
-// waitForCalls waits until n computations are in flight.
+// waitForCalls waits until n calls to the engine are in flight.
 func (i *identicalRequests) waitForCalls(n int) {
 	i.t.Helper()
-	i.waitUntil(fmt.Sprintf("%d computations are in flight", n), func() bool { return i.engine.Stats().Waiting == n })
+	i.waitUntil(fmt.Sprintf("%d calls are in flight", n), func() bool { return i.engine.Stats().Waiting == n })
 }
 
-// waitForFollowers waits until n requests have waited for another request's computation.
+// waitForFollowers waits until n requests have started to wait for another request's computation.
 func (i *identicalRequests) waitForFollowers(n uint64) {
 	i.t.Helper()
-	i.waitUntil(fmt.Sprintf("%d requests wait for another one's computation", n), func() bool { return i.stats().CoalescedInputs == n })
+	i.waitUntil(fmt.Sprintf("%d requests wait for another request's computation", n), func() bool { return i.stats().CoalescedInputs == n })
 }
 
-// TestIdenticalRequestsAreCoalesced: identical requests at the same time are computed once, but not across tenants and
-// not for classes that are not idempotent.
+// TestIdenticalRequestsAreCoalesced: concurrent identical requests are computed once. Requests of other tenants or of
+// classes that are not idempotent are computed separately.
 func TestIdenticalRequestsAreCoalesced(t *testing.T) {
 	identical := startIdenticalRequests(t)
 	for range 20 {
@@ -127,22 +127,22 @@
 	for range 22 {
 		received := <-identical.responses
 		if !received.served() {
-			t.Error(received)
+			t.Errorf("request was not served: %v", received)
 		}
 		var parsed struct{ Data json.RawMessage }
-		_ = json.Unmarshal([]byte(received.body), &parsed) // served has checked the body
+		_ = json.Unmarshal([]byte(received.body), &parsed) // served has checked that the body is valid JSON
 		answers[string(parsed.Data)] = true
 	}
 
 	calls := identical.engine.Stats().Served
 	if calls != 3 || len(answers) != 1 {
-		t.Errorf("computed %d times, %d different answers", calls, len(answers))
+		t.Errorf("%d calls and %d different answers, want 3 and 1", calls, len(answers))
 	}
 }
 
-// TestCoalescedRequestsOutliveALeaderWithLittleTime: requests with little time are rejected by their own deadlines,
-// the one that leads included. The other one is served.
-func TestCoalescedRequestsOutliveALeaderWithLittleTime(t *testing.T) {
+// TestCoalescedRequestIsServedAfterItsLeaderExpires: a leader and a follower with short deadlines are rejected. Another
+// follower is served.
+func TestCoalescedRequestIsServedAfterItsLeaderExpires(t *testing.T) {
 	identical := startIdenticalRequests(t)
 	identical.start(request{deadline: 300 * ms})
 	identical.waitForCalls(1)
@@ -162,12 +162,12 @@
 	}
 
 	if rejected != 2 || served != 1 {
-		t.Errorf("%d rejected, %d served", rejected, served)
+		t.Errorf("%d rejected, %d served; want 2 and 1", rejected, served)
 	}
 }
 
-// TestCoalescedRequestsOutliveALeaderWhoseClientLeaves: the request that waits for the leader's computation is served.
-func TestCoalescedRequestsOutliveALeaderWhoseClientLeaves(t *testing.T) {
+// TestCoalescedRequestIsServedAfterItsLeaderIsCancelled: the leader's client disconnects. The follower is served.
+func TestCoalescedRequestIsServedAfterItsLeaderIsCancelled(t *testing.T) {
 	identical := startIdenticalRequests(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	identical.start(request{ctx: ctx})
@@ -180,29 +180,30 @@
 	for range 2 {
 		received := <-identical.responses
 		if received.err == nil && !received.served() {
-			t.Error(received)
+			t.Errorf("request was not served: %v", received)
 		}
 	}
 }
 
-// startCachedHarness starts a harness with two engines and a cache of cacheBytes.
+// startCachedHarness starts a harness with two engines and the given value of cache_bytes.
 func startCachedHarness(t *testing.T, cacheBytes int) *harness {
 	t.Helper()
 	return startHarness(t, embeddingSpecs(2), "models = demo-embed\n", fmt.Sprintf("models = demo-embed\ncache_bytes = %d\n", cacheBytes))
 }
 
-// isCached sends an embeddings request with one input, numbered, and reports whether it is answered from the cache.
+// isCached sends an embeddings request for the input with the given number, and reports whether it was answered from
+// the cache.
 func (h *harness) isCached(input int, tenant string) bool {
 	h.t.Helper()
 	received := h.send(request{path: embeddingsPath, class: "search", tenant: tenant, body: fmt.Sprintf(`{"model":"demo-embed","input":"pipe %d"}`, input)})
 	if !received.served() {
-		h.t.Error(received)
+		h.t.Errorf("input %d was not served: %v", input, received)
 	}
 	return received.header.Get("X-Cache") == "hit"
 }
 
-// TestRepeatedInputIsAnsweredFromTheCache: a repeated input is answered without an engine, but not across tenants, not
-// after the model's revision has changed and not while engines serve different revisions.
+// TestRepeatedInputIsAnsweredFromTheCache: a repeated input is answered from the cache. The cache is not used for
+// another tenant, after the model's revision has changed, or while engines serve different revisions.
 func TestRepeatedInputIsAnsweredFromTheCache(t *testing.T) {
 	h := startCachedHarness(t, 50_000)
 	for _, test := range []struct {
@@ -218,26 +219,26 @@
 	listPath := filepath.Join(h.Dir(), "nodes.ini")
 	list := readFile(t, listPath)
 	for _, test := range []struct {
-		name    string
-		list    string
-		isValid bool // the cache may be used after the change
+		name        string
+		list        string
+		isCacheUsed bool // for an input that is repeated after the change
 	}{
 		{"another revision", strings.ReplaceAll(list, "kind = embedder", "kind = embedder\nrevision = 2"), true},
 		{"two revisions", strings.Replace(list, "kind = embedder", "kind = embedder\nrevision = 2", 1), false},
 	} {
 		writeFile(t, listPath, test.list)
-		h.waitUntil("the list invalidates the answer", func() bool { return !h.isCached(0, "") })
+		h.waitUntil("the cached embedding is not used any more", func() bool { return !h.isCached(0, "") })
 		got := h.isCached(0, "")
-		if got != test.isValid {
-			t.Errorf("%s: answered from the cache: %v", test.name, got)
+		if got != test.isCacheUsed {
+			t.Errorf("%s: repeated input answered from the cache: %v, want %v", test.name, got, test.isCacheUsed)
 		}
 	}
 	writeFile(t, listPath, list)
-	h.waitUntil("there is one revision again", func() bool { return h.isCached(0, "") })
+	h.waitUntil("the cache is used again", func() bool { return h.isCached(0, "") })
 }
 
-// TestCacheStaysWithinItsBytes: many inputs don't make the cache exceed its bytes, and it uses half of them at least.
-func TestCacheStaysWithinItsBytes(t *testing.T) {
+// TestCacheStaysWithinCacheBytes: after many inputs, the cache uses at most cache_bytes, and at least half of it.
+func TestCacheStaysWithinCacheBytes(t *testing.T) {
 	const cacheBytes = 50_000
 	h := startCachedHarness(t, cacheBytes)
 
@@ -245,11 +246,11 @@
 		h.isCached(input, "")
 		used := h.stats().CacheBytes
 		if used > cacheBytes {
-			t.Fatalf("%d bytes after %d inputs", used, input)
+			t.Fatalf("%d bytes used at input %d, want at most %d", used, input, cacheBytes)
 		}
 	}
 	used := h.stats().CacheBytes
 	if used < cacheBytes/2 {
-		t.Errorf("only %d bytes used", used)
+		t.Errorf("%d bytes used, want at least %d", used, cacheBytes/2)
 	}
 }
--- a/internal/openaiserver/mixedload_test.go
+++ b/internal/openaiserver/mixedload_test.go
@@ -13,10 +13,9 @@
 	"martenlock/internal/fakeengine"
 )
 
-// TestFiveRulesHoldForMixedRequestsUnderAllFaults sends 5,000 requests of all kinds while engines have one fault after
-// another. The harness checks the five rules from what was observed on the sockets: one answer each, in time, no
-// execution twice or overlapping.
-func TestFiveRulesHoldForMixedRequestsUnderAllFaults(t *testing.T) {
+// TestInvariantsHoldForMixedRequestsUnderAllFaults sends embeddings and rerank requests of all kinds while engines have
+// one fault after another. The harness checks the invariants of package invariant.
+func TestInvariantsHoldForMixedRequestsUnderAllFaults(t *testing.T) {
 	h := startHarness(t, embeddingAndRerankSpecs(5), "part_items = 64", "part_items = 20", "part_tokens = 4000", "part_tokens = 500",
 		"[class search]\n", "[class search]\nmax_attempts = 3\n", "models = demo-embed\n", "models = demo-embed\ncache_bytes = 100000\n")
 	transport := &http.Transport{MaxIdleConnsPerHost: 256}
@@ -36,10 +35,10 @@
 	for i := range requests {
 		time.Sleep(time.Until(startedAt.Add(time.Duration(i) * duration / requests)))
 		ctx, cancel := context.WithCancel(t.Context())
-		r, leavesAfter := randomRequest(rng, i)
+		r, cancelAfter := randomRequest(rng, i)
 		r.ctx = ctx
-		if leavesAfter > 0 {
-			time.AfterFunc(leavesAfter, cancel)
+		if cancelAfter > 0 {
+			time.AfterFunc(cancelAfter, cancel)
 		}
 		clients.Go(func() {
 			defer cancel()
@@ -54,12 +53,12 @@
 	t.Logf("%v; %d inputs coalesced, %d cached, %d requests batched, %d rejected by the admission queue",
 		&counts, stats.CoalescedInputs, stats.CacheHits, stats.BatchedRequests, stats.AdmissionRejected)
 	if counts.served < 2000 || stats.BatchedRequests == 0 || stats.CoalescedInputs == 0 || stats.CacheHits == 0 {
-		t.Error("too few requests were served, or nothing was shared")
+		t.Error("fewer than 2000 requests were served, or coalescing, caching or batching was not used")
 	}
 }
 
-// randomRequest returns the request with number i, and after which time its client leaves; 0 if it stays.
-func randomRequest(rng *rand.Rand, i int) (r request, leavesAfter time.Duration) {
+// randomRequest returns the request with number i and the time after which its client cancels it, or 0 if it does not.
+func randomRequest(rng *rand.Rand, i int) (r request, cancelAfter time.Duration) {
 	r = request{
 		class: []string{"search", "search", "search", "job", "note"}[rng.IntN(5)],
 		path:  embeddingsPath,
@@ -74,18 +73,18 @@
 		r.path, r.body = rerankPath, fmt.Sprintf(`{"model":"demo-rerank","query":"pipe %d","documents":["a pipe","a boiler"]}`, i)
 	case percentile < 26:
 		r.body = `{"model":"demo-embed","input":["x","` + fakeengine.RejectMarker + `"]}`
-	case i == 3500 || i == 4500: // each crashes three of five engines, which restart in slow start
+	case i == 3500 || i == 4500: // each crashes up to max_attempts engines, which restart in slow start
 		r.body = fmt.Sprintf(`{"model":"demo-embed","input":["%s %d"]}`, fakeengine.CrashMarker, i)
 	case percentile < 30:
 		r.body = `{"model":"nobody","input":"x"}`
 	case percentile < 33:
-		leavesAfter = max(time.Duration(rng.IntN(100))*ms, 1)
+		cancelAfter = max(time.Duration(rng.IntN(100))*ms, 1)
 	}
-	return r, leavesAfter
+	return r, cancelAfter
 }
 
-// cycleFaults gives one engine after another a fault, until stop is closed. Between two faults it restarts the engines
-// that have crashed, and drains an engine or lists it as ready again.
+// cycleFaults sets a fault of one engine after another until stop is closed. After each fault it restarts the engines
+// that have crashed. From time to time it drains engine e5 or lists it as ready again.
 func (h *harness) cycleFaults(stop <-chan struct{}) {
 	engines := []string{"e1", "r1", "e2", "r2", "e3", "r3"}
 	faults := []fakeengine.Fault{
@@ -128,20 +127,20 @@
 	}
 }
 
-// responseCounts counts responses by what they are.
+// responseCounts counts responses by kind. Its methods may be called concurrently, except for String.
 type responseCounts struct {
-	mu                                             sync.Mutex
-	served, rejected, failed, invalid, clientsLeft int
+	mu                                           sync.Mutex
+	served, rejected, failed, invalid, cancelled int
 }
 
-// add counts a response. It fails the test if the response is none of the kinds counted.
+// add counts a response. It fails the test if the response is of no known kind.
 func (c *responseCounts) add(t *testing.T, r response) {
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case r.err != nil:
-		c.clientsLeft++
+		c.cancelled++
 	case r.served():
 		c.served++
 	case r.rejected():
@@ -151,10 +150,10 @@
 	case r.status == http.StatusBadRequest || r.status == http.StatusNotFound:
 		c.invalid++
 	default:
-		t.Error(r)
+		t.Errorf("response of unknown kind: %v", r)
 	}
 }
 
 func (c *responseCounts) String() string {
-	return fmt.Sprintf("%d served, %d rejected, %d failed, %d invalid, %d clients left", c.served, c.rejected, c.failed, c.invalid, c.clientsLeft)
+	return fmt.Sprintf("%d served, %d rejected, %d failed, %d invalid, %d cancelled or lost", c.served, c.rejected, c.failed, c.invalid, c.cancelled)
 }
--- a/internal/openaiserver/scatter_test.go
+++ b/internal/openaiserver/scatter_test.go
@@ -14,12 +14,12 @@
 	"martenlock/internal/fakeengine"
 )
 
-// smallShards are edits of the settings: embeddings requests are scattered in shards of 10 inputs.
+// smallShards is an edit for startHarness: embeddings requests are scattered in shards of up to 10 inputs.
 var smallShards = []string{"part_items = 64", "part_items = 10"}
 
-// TestScatteredAnswerEqualsTheWholeOne: a scattered request has the same answer as one that is not scattered, whatever
-// form its items have, and several engines compute it.
-func TestScatteredAnswerEqualsTheWholeOne(t *testing.T) {
+// TestScatteredAnswerEqualsUnscatteredAnswer: a scattered request is computed by several engines and gets the same
+// answer as a request that is not scattered, whatever the form of its items.
+func TestScatteredAnswerEqualsUnscatteredAnswer(t *testing.T) {
 	scattering := startHarness(t, embeddingAndRerankSpecs(3), smallShards...)
 	notScattering := startHarness(t, embeddingAndRerankSpecs(1),
 		"part_items = 64\npart_tokens = 4000\nparts = 256\n", "parts = 1\n",
@@ -35,11 +35,11 @@
 		r := request{path: test.path, class: "search", body: test.body}
 
 		scattered := scattering.sendForAnswer(r)
-		whole := notScattering.sendForAnswer(r)
+		unscattered := notScattering.sendForAnswer(r)
 
-		scattered.usage.expectRoundedDownFrom(t, whole.usage)
-		if !reflect.DeepEqual(scattered.otherMembers, whole.otherMembers) {
-			t.Errorf("%s %.80s:\nscattered %.400v\nwhole     %.400v", test.path, test.body, scattered.otherMembers, whole.otherMembers)
+		scattered.usage.expectRoundedDownFrom(t, unscattered.usage)
+		if !reflect.DeepEqual(scattered.otherMembers, unscattered.otherMembers) {
+			t.Errorf("%s %.80s:\nscattered   %.400v\nunscattered %.400v", test.path, test.body, scattered.otherMembers, unscattered.otherMembers)
 		}
 	}
 	for _, pool := range []string{"pool:embeddings", "pool:rerank"} {
@@ -50,42 +50,42 @@
 			}
 		}
 		if used < 2 {
-			t.Errorf("%s: %d engines used", pool, used)
+			t.Errorf("%s: %d engines used, want at least 2", pool, used)
 		}
 	}
 }
 
-// tokenUsage is the usage of an answer: the number of tokens by member.
+// tokenUsage is the usage member of an answer: numbers of tokens by name.
 type tokenUsage map[string]float64
 
-// expectRoundedDownFrom fails the test unless the usage equals that of the whole request, but for prompt tokens that were
-// rounded down in each shard.
-func (u tokenUsage) expectRoundedDownFrom(t *testing.T, whole tokenUsage) {
+// expectRoundedDownFrom fails the test unless the usage equals that of an unscattered request. Prompt tokens may be
+// fewer, because they are rounded down for each shard.
+func (u tokenUsage) expectRoundedDownFrom(t *testing.T, unscattered tokenUsage) {
 	t.Helper()
-	if len(u) == 0 || len(u) != len(whole) {
-		t.Errorf("usage %v, want the members of %v", u, whole)
+	if len(u) == 0 || len(u) != len(unscattered) {
+		t.Errorf("usage %v, want the members of %v", u, unscattered)
 	}
-	for member, want := range whole {
-		got, isThere := u[member]
+	for member, want := range unscattered {
+		got, isPresent := u[member]
 		isRoundedDown := (member == "prompt_tokens" || member == "total_tokens") && got <= want && got > want-20
-		if !isThere || got != want && !isRoundedDown {
+		if !isPresent || got != want && !isRoundedDown {
 			t.Errorf("%s: %v, want %v", member, got, want)
 		}
 	}
 }
 
-// parsedAnswer is an answer with its usage apart.
+// parsedAnswer is a decoded answer.
 type parsedAnswer struct {
 	usage        tokenUsage
-	otherMembers map[string]any // without id, which differs in each answer
+	otherMembers map[string]any // all members except usage and id, which differs in each answer
 }
 
-// sendForAnswer sends a request and returns its answer.
+// sendForAnswer sends a request and returns its answer. It fails the test if the request is not served.
 func (h *harness) sendForAnswer(r request) parsedAnswer {
 	h.t.Helper()
 	received := h.send(r)
 	if !received.served() {
-		h.t.Fatalf("%s %.80s: %v", r.path, r.body, received)
+		h.t.Fatalf("%s %.80s was not served: %v", r.path, r.body, received)
 	}
 	var withUsage struct{ Usage tokenUsage }
 	err := json.Unmarshal([]byte(received.body), &withUsage)
@@ -102,9 +102,9 @@
 	return answer
 }
 
-// TestScatteredAnswerHasNoHoles: if a shard is not served, neither is the request. The harness waits until the other
-// shards are cancelled, and checks the five rules with each shard as an attempt.
-func TestScatteredAnswerHasNoHoles(t *testing.T) {
+// TestScatteredRequestIsServedOnlyIfAllShardsAre: if a shard is not served, neither is the request. The harness waits
+// until the other shards are cancelled, and checks the invariants with each shard as an attempt.
+func TestScatteredRequestIsServedOnlyIfAllShardsAre(t *testing.T) {
 	type faults = map[string]fakeengine.Fault
 	floats := `{"model":"demo-embed","encoding_format":"float","input":` + inputList(60, "pipe") + `}`
 	base64 := `{"model":"demo-embed","encoding_format":"base64","input":` + inputList(60, "pipe") + `}`
@@ -128,7 +128,7 @@
 		holds  func(response) bool
 	}{
 		{"one engine answers too few embeddings", malformed(fakeengine.EmbeddingMissing, "e1"), "search", floats, response.served},
-		{"one engine answers other lengths", malformed(fakeengine.EmbeddingTooLong, "e1"), "search", floats, response.served},
+		{"one engine answers one embedding that is too long", malformed(fakeengine.EmbeddingTooLong, "e1"), "search", floats, response.served},
 		{"one engine answers infinite numbers", malformed(fakeengine.EmbeddingInfinite, "e1"), "search", floats, response.served},
 		{"one engine answers invalid base64", malformed(fakeengine.EmbeddingInvalidBase64, "e1"), "search", base64, response.served},
 		{"all engines answer too few embeddings", malformed(fakeengine.EmbeddingMissing, "e1", "e2", "e3"), "search", floats, response.rejected},
@@ -145,20 +145,20 @@
 			received := h.send(request{path: embeddingsPath, class: test.class, body: test.body})
 
 			if !test.holds(received) {
-				t.Error(received)
+				t.Errorf("unexpected response %v", received)
 			}
 			h.clearFaults(test.faults)
 			received = h.sendEmbeddings(`{"model":"demo-embed","input":"after"}`)
 			if !received.served() && !received.rejected() {
-				t.Errorf("next request: %v", received)
+				t.Errorf("request after the fault was neither served nor rejected: %v", received)
 			}
 		})
 	}
 }
 
-// TestScatteredRequestIsCancelledWhenItsClientLeaves: the client leaves when some shards are computed and others wait.
-// The next request is served though an engine starts to drain.
-func TestScatteredRequestIsCancelledWhenItsClientLeaves(t *testing.T) {
+// TestScatteredRequestIsCancelledWhenItsClientDisconnects: the client disconnects when some shards are computed and
+// others wait. The next request is served although an engine starts to drain.
+func TestScatteredRequestIsCancelledWhenItsClientDisconnects(t *testing.T) {
 	h := startHarness(t, embeddingAndRerankSpecs(3), smallShards...)
 	h.setEmbeddingFaults(fakeengine.Fault{PrefillDelay: 500 * ms})
 	h.engine("e1").SetFault(fakeengine.Fault{})
@@ -179,20 +179,20 @@
 	h.setState("draining", "e2")
 	received := <-responses
 	if !received.served() {
-		t.Errorf("request during a drain: %v", received)
+		t.Errorf("request during a drain was not served: %v", received)
 	}
 }
 
-// TestShardOutOfTimeEndsTheRequestEarly: if a shard would miss the deadline, the request is rejected before it. The
-// shards of a request whose client has left are cancelled soon.
-func TestShardOutOfTimeEndsTheRequestEarly(t *testing.T) {
+// TestExpiredShardEndsTheWholeRequest: if engines hang, a scattered request is rejected by its deadline. If the client
+// of a scattered rerank request disconnects, its shards are cancelled within a second.
+func TestExpiredShardEndsTheWholeRequest(t *testing.T) {
 	h := startHarness(t, embeddingAndRerankSpecs(2), smallShards...)
 	h.setEmbeddingFaults(fakeengine.Fault{Hang: true})
 
 	received := h.send(request{path: embeddingsPath, class: "search", deadline: 800 * ms, body: `{"model":"demo-embed","input":` + inputList(60, "pipe") + `}`})
 
 	if !received.rejected() || received.elapsed > 850*ms {
-		t.Error(received)
+		t.Errorf("request to hanging engines: %v; want a rejection within 850ms", received)
 	}
 	h.setEmbeddingFaults(fakeengine.Fault{})
 
@@ -202,19 +202,19 @@
 	go func() {
 		responses <- h.send(request{ctx: ctx, path: rerankPath, class: "search", body: `{"model":"demo-rerank","query":"pipe","documents":` + inputList(900, "a frozen pipe") + `}`})
 	}()
-	h.waitUntil("some shards of the rerank are computed", func() bool { return h.engine("r2").Stats().Served > 0 && h.engine("r1").Stats().Waiting > 0 })
+	h.waitUntil("some shards of the rerank request are computed", func() bool { return h.engine("r2").Stats().Served > 0 && h.engine("r1").Stats().Waiting > 0 })
 	cancel()
 	<-responses
 	h.expectIdleWithinASecond()
 
 	received = h.sendEmbeddings(`{"model":"nobody","input":"x"}`)
 	if received.status != http.StatusNotFound || !strings.Contains(received.body, "model_not_found") {
-		t.Error(received)
+		t.Errorf("request for an unknown model: %v; want error model_not_found", received)
 	}
 }
 
-// BenchmarkShards measures one request of 2,048 inputs for 1 to 4 engines and several sizes of shards, of which the
-// largest does not scatter it.
+// BenchmarkShards measures a request of 2,048 inputs with several numbers of engines and sizes of shards. With the
+// largest size, the request is not scattered.
 func BenchmarkShards(b *testing.B) {
 	const inputs = 2048
 	body := `{"model":"demo-embed","encoding_format":"base64","input":` + inputList(inputs, "an outage note of a dozen words or so about a frozen pipe") + `}`
@@ -236,8 +236,8 @@
 	}
 }
 
-// startBenchmarkCluster starts a router with so many engines for embeddings and so many inputs in a shard. It ends with
-// the benchmark.
+// startBenchmarkCluster starts a router with the given numbers of embeddings engines and of inputs in a shard. It is
+// stopped when the benchmark ends.
 func startBenchmarkCluster(b *testing.B, engines, shardInputs int) *demo.Cluster {
 	b.Helper()
 	settings := strings.Replace(fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "error"),
