--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -11,8 +11,8 @@
 	"martenlock/internal/timerwheel"
 )
 
-// batchMember is a small embeddings request that may share a batch with others. If one of the members
-// may have caused the batch to fail, each member is retried in an exchange of its own.
+// batchMember is a small embeddings request that may share a batch with others. If the batch
+// fails and one of its members may be the cause, each member is retried in an exchange of its own.
 type batchMember struct {
 	bufferedResponder
 	request         *inferenceRequest
@@ -20,7 +20,7 @@
 	id              batching.RequestID
 	inputs          [][]byte
 	inputTokens     []float64
-	retryExchange   *exchange        // of its retry; nil before
+	retryExchange   *exchange        // of its retry; nil until it starts
 	sequentialRetry *sequentialRetry // set if its retry has to wait for those of other members
 	expiryTimer     timerwheel.Timer // rejects the member if its deadline passes during that wait
 }
--- a/internal/openaiserver/batch_test.go
+++ b/internal/openaiserver/batch_test.go
@@ -50,8 +50,8 @@
 }
 
 // TestSmallRequestsShareABatchAndGetTheirOwnAnswers: small requests that wait for an engine share a batch, and each gets
-// its own vectors. Requests with different tenants, or of classes that may not be executed again without a key, are not
-// batched. Requests with other parameters or input types get valid answers too.
+// its own vectors. Requests of different tenants, or of a class that is not idempotent without a key, are not batched.
+// Requests with other parameters or input types get valid answers too.
 func TestSmallRequestsShareABatchAndGetTheirOwnAnswers(t *testing.T) {
 	h := startHarness(t, embeddingSpecs(1), longBatchWait...)
 	engine := h.engine("e1")
