--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -12,18 +12,18 @@
 	"martenlock/internal/platformsettings"
 )
 
-// The environment variables that configure a router. docs/platform.md describes them.
+// Environment variables that configure a router. docs/platform.md describes them.
 const (
 	variableConfig    = "PROXY_CONFIG"    // path of the configuration file
-	variableName      = "PROXY_NAME"      // used if the file has no name
-	variableListen    = "PROXY_LISTEN"    // used if the file has no listen
-	variableDiscovery = "PROXY_DISCOVERY" // used if the file has no discovery
+	variableName      = "PROXY_NAME"      // used if the file has no key "name"
+	variableListen    = "PROXY_LISTEN"    // used if the file has no key "listen"
+	variableDiscovery = "PROXY_DISCOVERY" // used if the file has no key "discovery"
 )
 
-// maxConfigBytes bounds the configuration file, all of which is read into memory.
+// maxConfigBytes bounds the size of the configuration file, which is read into memory as a whole.
 const maxConfigBytes = 64 << 20
 
-// The smallest limits with which a router works.
+// The lowest values of Limits that are accepted.
 const (
 	minCores    = 0.01
 	minMemoryMB = 16
@@ -38,15 +38,15 @@
 	Discovery netip.AddrPort
 	Seed      uint64
 	Limits    Limits
-	Known     []byte // the latest known endpoint list, as a message of discovery; may be empty
+	Known     []byte // initial endpoint list in the form of a discovery message; may be empty
 	Settings  platformsettings.Settings
 }
 
-// Limits are the resources of all processes of a router together.
+// Limits bounds the resources that all processes of a router use together.
 type Limits struct {
-	Cores    float64 `json:"cores"` // in units of one core's time
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // open descriptors
+	Cores    float64 `json:"cores"`     // CPU seconds per second
+	MemoryMB float64 `json:"memory_mb"` // in units of bytesPerMB
+	Sockets  int     `json:"sockets"`   // open file descriptors
 }
 
 // configFile is the JSON form of the configuration file. Unknown keys are ignored.
@@ -60,16 +60,15 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// ConfigError is an unusable part of the configuration.
+// ConfigError reports an invalid configuration.
 type ConfigError struct {
-	Variable string // the environment variable that is unusable itself or names the unusable file
-	File     string // path of the unusable file; empty if Variable itself is unusable
-	Key      string // the unusable key of File; empty if it is not known
+	Variable string // the environment variable that is invalid, or that names File
+	File     string // path of the invalid file; empty if the value of Variable is invalid
+	Key      string // the invalid key of File; empty if unknown
 	Err      error  // the reason
 }
 
-// Error returns one line with the variable, the file and the key, as far as they are set, and the
-// reason.
+// Error returns one line with the variable, the file and key if they are set, and the reason.
 func (e *ConfigError) Error() string {
 	where := e.Variable + ": "
 	if e.File != "" {
@@ -85,7 +84,7 @@
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 var (
-	// ErrConfigNotSet means that no configuration file is named.
+	// ErrConfigNotSet means that PROXY_CONFIG is empty or not set.
 	ErrConfigNotSet = errors.New("not set, want the path of the configuration file")
 	// ErrConfigTooLarge means that the configuration file is larger than 64 MiB.
 	ErrConfigTooLarge = errors.New("configuration file too large")
@@ -94,8 +93,9 @@
 	errSettingsMismatch = errors.New("RequestClasses is empty, or HostTypes and FamilyInfo.KindRole differ in length")
 )
 
-// LoadConfig reads the file that PROXY_CONFIG names. The name and the addresses may come from other
-// variables instead. getenv is os.Getenv outside tests. Any error is a *ConfigError.
+// LoadConfig reads the configuration file at the path in PROXY_CONFIG. PROXY_NAME, PROXY_LISTEN and
+// PROXY_DISCOVERY replace keys that the file lacks. getenv is os.Getenv outside of tests. Any error is a
+// *ConfigError.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv(variableConfig)
 	if path == "" {
@@ -135,7 +135,8 @@
 	return config, nil
 }
 
-// readConfigFile reads the file. The error is ErrConfigTooLarge if the file exceeds maxConfigBytes.
+// readConfigFile returns the content of the file. The error wraps ErrConfigTooLarge if the file exceeds
+// maxConfigBytes.
 func readConfigFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -153,7 +154,7 @@
 	return &ConfigError{Variable: variableConfig, File: path, Key: key, Err: err}
 }
 
-// parseAddresses decodes the addresses of the file, or of the variables that stand in for them.
+// parseAddresses sets the addresses from the file, or from environment variables if the file lacks them.
 func (c *Config) parseAddresses(file *configFile, getenv func(string) string) error {
 	listen := addressSource{path: c.File, key: "listen", value: file.Listen, variable: variableListen}
 	discovery := addressSource{path: c.File, key: "discovery", value: file.Discovery, variable: variableDiscovery}
@@ -166,16 +167,16 @@
 	return err
 }
 
-// addressSource is a key of the configuration file that holds an address, and the variable that is used
-// if the key is missing.
+// addressSource is a key of the configuration file with an IP address and port, and the environment
+// variable that replaces it.
 type addressSource struct {
-	path     string // of the file
+	path     string // of the configuration file
 	key      string
-	value    string // of the key
-	variable string
+	value    string // of the key; empty if the file lacks it
+	variable string // read if value is empty
 }
 
-// parse decodes the address and its port.
+// parse returns the address and port. Its error is a *ConfigError.
 func (s addressSource) parse(getenv func(string) string) (netip.AddrPort, error) {
 	value := cmp.Or(s.value, getenv(s.variable))
 	address, err := netip.ParseAddrPort(value)
@@ -207,8 +208,8 @@
 	return nil
 }
 
-// parseSettings decodes the settings object and checks that it has request classes and a role for each
-// kind of engine.
+// parseSettings decodes the settings object. It returns a *ConfigError if the object has no request
+// classes or does not assign one role to each kind of engine.
 func parseSettings(path string, seed uint64, text []byte) (platformsettings.Settings, error) {
 	if len(text) == 0 {
 		return platformsettings.Settings{}, configFileError(path, "settings", errSettingsMissing)
@@ -220,8 +221,7 @@
 	if len(settings.ClassNames) == 0 || len(settings.KindNames) != len(settings.Control.Engines.Kinds) {
 		return platformsettings.Settings{}, configFileError(path, "settings", errSettingsMismatch)
 	}
-	// On the platform, a KV release spares the state that an attempt waits for. The simulator counts an
-	// attempt from its send and leaves this off.
+	// On the platform, a KV release does not discard state that an attempt at an engine is waiting for.
 	settings.Control.Caller.ReleaseSparesAttempts = true
 	return settings, nil
 }
--- a/internal/platform/counters.go
+++ b/internal/platform/counters.go
@@ -2,7 +2,7 @@
 
 import "github.com/rs/zerolog"
 
-// counters holds counts since the server's start.
+// counters counts events since the server's start.
 type counters struct {
 	// Requests, by outcome.
 	served    uint64
@@ -13,16 +13,16 @@
 
 	// Attempts.
 	malformed uint64 // the response could not be parsed
-	stalled   uint64 // no progress of the stream for connlimit.StreamIdleTimeout
+	stalled   uint64 // the stream made no progress for connlimit.StreamIdleTimeout
 
 	// Connections.
 	panics           uint64 // closed because a handler panicked
-	idleConnsEvicted uint64 // idle clients closed for new ones
-	connsRejected    uint64 // new clients closed because no client was idle
-	uploadsEvicted   uint64 // clients closed to free the memory of incomplete bodies
+	idleConnsEvicted uint64 // idle client connections closed to accept new ones
+	connsRejected    uint64 // new client connections closed because none was idle
+	uploadsEvicted   uint64 // client connections closed to free the memory of incomplete request bodies
 }
 
-// appendTo adds all counters to a log line and returns the line.
+// appendTo adds all counters to line and returns it.
 func (c *counters) appendTo(line *zerolog.Event) *zerolog.Event {
 	line = line.
 		Uint64("served", c.served).
@@ -36,8 +36,7 @@
 	return c.appendEvictionsTo(line)
 }
 
-// appendEvictionsTo adds the counters of clients' connections that were closed for others to a log line and
-// returns the line.
+// appendEvictionsTo adds the counters of evicted and rejected client connections to line and returns it.
 func (c *counters) appendEvictionsTo(line *zerolog.Event) *zerolog.Event {
 	return line.
 		Uint64("idle_connections_evicted", c.idleConnsEvicted).
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -12,32 +12,31 @@
 
 // endpointListStore holds the endpoint list that a discoveryClient receives.
 type endpointListStore interface {
-	// listRevision returns the revision of the list, which discovery gets so that it sends only what
-	// is newer.
+	// listRevision returns the revision of the list. Each call asks discovery for changes since it.
 	listRevision() uint64
-	// applyEndpointList applies one message of discovery. It returns an error if the message cannot
+	// applyEndpointList applies one message from discovery. It returns an error if the message cannot
 	// be decoded.
 	applyEndpointList(message []byte) error
-	// warn logs a warning that may recur. err may be nil.
+	// warn logs a warning, limited in rate. err may be nil.
 	warn(kind warning, err error)
 }
 
-// discoveryClient subscribes to the endpoint list of one discovery address. It keeps one watch
-// established. While there is none it starts calls, with a backoff between them, until one of them
-// becomes the watch.
+// discoveryClient subscribes to the endpoint list at one discovery address. It keeps one call
+// established, the watch. While there is no watch it starts calls, with a backoff between them. The
+// first one that receives a complete message or a heartbeat becomes the watch.
 type discoveryClient struct {
 	loop            *eventloop.Loop
 	store           endpointListStore
 	address         netip.AddrPort
 	maxMessageBytes int
 	watch           *watchCall       // nil if none is established
-	pending         []*watchCall     // calls without a complete message or heartbeat, the oldest first
+	pending         []*watchCall     // calls without a complete message or heartbeat so far, oldest first
 	nextCallTimer   timerwheel.Timer // runs until the next call
 	backoff         time.Duration    // between the latest two calls
 	isStopped       bool
 }
 
-// subscribe ends the current subscription, if any, and subscribes to the discovery at an address.
+// subscribe replaces the current subscription, if any, by one to the discovery service at address.
 func (s *Server) subscribe(address netip.AddrPort) {
 	if s.discovery != nil {
 		s.discovery.stop()
@@ -46,7 +45,7 @@
 		loop:            s.loop,
 		store:           s,
 		address:         address,
-		maxMessageBytes: s.limits.maxBufferedBytes / (2 * membership.MaxConcurrentCalls), // half of the budget for all calls together
+		maxMessageBytes: s.limits.maxBufferedBytes / (2 * membership.MaxConcurrentCalls), // half of maxBufferedBytes for all calls together
 	}
 	s.discovery.start()
 }
@@ -69,8 +68,8 @@
 	}
 }
 
-// startCall starts one more call and schedules the next. The oldest pending call is cancelled if there are
-// membership.MaxConcurrentCalls already.
+// startCall starts a call and schedules the next one. If membership.MaxConcurrentCalls are pending, it
+// cancels the oldest first.
 func (d *discoveryClient) startCall() {
 	if d.isStopped || d.watch != nil {
 		return
@@ -89,7 +88,7 @@
 	d.scheduleCall()
 }
 
-// scheduleCall starts the timer for the next call, unless it runs already.
+// scheduleCall increases the backoff and starts the timer for the next call, unless it is running.
 func (d *discoveryClient) scheduleCall() {
 	if d.isStopped || d.nextCallTimer.Running() {
 		return
@@ -98,10 +97,9 @@
 	d.loop.StartTimer(&d.nextCallTimer, d.backoff)
 }
 
-// cancelScheduledCall stops the timer for the next call.
 func (d *discoveryClient) cancelScheduledCall() { d.loop.StopTimer(&d.nextCallTimer) }
 
-// establish makes a call the watch and cancels all others.
+// establish makes call the watch and cancels all others.
 func (d *discoveryClient) establish(call *watchCall) {
 	d.watch = call
 	d.cancelScheduledCall()
@@ -113,8 +111,8 @@
 	d.pending = nil
 }
 
-// remove removes a call that has ended. The backoff starts again after a watch that was established
-// for membership.BackoffResetAfter.
+// remove removes a call that has ended. If it was the watch for at least membership.BackoffResetAfter,
+// the backoff is reset.
 func (d *discoveryClient) remove(call *watchCall) {
 	if d.watch == call {
 		d.watch = nil
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -7,43 +7,43 @@
 	"martenlock/internal/upstream"
 )
 
-// engineHost is the Host field of every request to an engine.
+// engineHost is the value of the Host field of every request to an engine.
 const engineHost = "api.internal"
 
-// endpoint is one engine: the connections to it and what has passed on them.
+// endpoint is an engine with its connections and the attempts on them.
 type endpoint struct {
 	upstream.Pool
 	server    *Server
 	id        control.EndpointID
-	address   string // for the log
-	name      string // in the endpoint list, for the log
-	kind      int    // index in the settings' kinds
+	address   string // for log lines
+	name      string // id in the endpoint list, for log lines
+	kind      int    // index into the settings' engine kinds
 	startedAt control.Time
-	attempts  map[*attempt]struct{} // those with a connection
+	attempts  map[*attempt]struct{} // attempts in flight that have a connection
 
-	traffic engineTraffic
+	stats engineStats
 }
 
-// attemptStarted records an attempt that was handed to a connection.
+// attemptStarted records an attempt that has been given a connection.
 func (e *endpoint) attemptStarted(a *attempt) {
 	e.attempts[a] = struct{}{}
-	e.traffic.attempts++
+	e.stats.attempts++
 }
 
 // recordFirstEvent counts a first event and the time from the attempt's start to it.
 func (e *endpoint) recordFirstEvent(elapsed time.Duration) {
-	e.traffic.firstEvents++
-	e.traffic.firstEventWait += elapsed
-	e.traffic.longestWait = max(e.traffic.longestWait, elapsed)
+	e.stats.firstEvents++
+	e.stats.totalFirstEventTime += elapsed
+	e.stats.maxFirstEventTime = max(e.stats.maxFirstEventTime, elapsed)
 }
 
-// attemptEnded records the end of an attempt, also of one without a connection.
+// attemptEnded records the end of an attempt, whether or not it had a connection.
 func (e *endpoint) attemptEnded(a *attempt, result control.Result) {
 	delete(e.attempts, a)
-	e.traffic.results[result]++
+	e.stats.results[result]++
 }
 
-// connClosed is the upstream.Pool's OnConnClosed. It logs the reason, unless that is routine.
+// connClosed is the OnConnClosed callback of upstream.Pool. It logs the reason unless it is routine.
 func (e *endpoint) connClosed(reason upstream.CloseReason) {
 	if !reason.IsRoutine() {
 		e.server.events.connLine().Str("endpoint_name", e.name).Stringer("reason", reason).Msg("engine connection closed")
@@ -51,16 +51,15 @@
 	e.removeIfUnused()
 }
 
-// removeIfUnused removes an engine that is no longer listed from the table once it has no open
-// connection.
+// removeIfUnused removes the engine from the table if it is no longer listed and has no open connection.
 func (e *endpoint) removeIfUnused() {
 	if e.Removed && e.Open() == 0 && e.server.endpoints.byID[e.id] == e {
 		delete(e.server.endpoints.byID, e.id)
 	}
 }
 
-// limitPendingSends gives requests that were not yet written completely to a draining engine until
-// the end of its grace period. They end as not sent then.
+// limitPendingSends bounds the time to finish writing requests to an engine that drains or has left the
+// list. A request that is not written completely within the drain grace ends its connection.
 func (e *endpoint) limitPendingSends() {
 	grace := max(e.server.config.Settings.Control.Limits.DrainGrace, time.Millisecond)
 	for a := range e.attempts {
@@ -70,8 +69,8 @@
 	}
 }
 
-// delist closes the idle connections of an engine that is no longer listed. Attempts in flight
-// go on.
+// delist marks the engine as no longer listed and closes its idle connections. Attempts in flight
+// continue.
 func (e *endpoint) delist() {
 	e.Removed = true
 	e.CloseIdle()
--- a/internal/platform/endpointcall.go
+++ b/internal/platform/endpointcall.go
@@ -9,15 +9,15 @@
 	"martenlock/internal/http1"
 )
 
-// callDone receives the result of a call to an engine, once. status is the response's and is set only
-// if result is control.OK.
+// callDone is called once with the result of a call to an engine. status is the HTTP status of the
+// response; it is set only if result is control.OK.
 type callDone func(result control.Result, status int)
 
-// callHeadBytes fits nearly every call, so that building one allocates once.
+// callHeadBytes is the initial capacity for the head of a call. Longer heads are reallocated.
 const callHeadBytes = 128
 
-// startCall makes a call without a body. Only the status of its response matters. done may be
-// called before startCall returns.
+// startCall sends a request without a body. Of its response only the status is used. done may be called
+// before startCall returns.
 func (e *endpoint) startCall(method, path string, timeout time.Duration, done callDone) {
 	head := http1.AppendRequest(make([]byte, 0, callHeadBytes), method, path)
 	head = http1.AppendField(head, "Host", engineHost)
@@ -47,13 +47,13 @@
 		return control.ConnectFailed
 	case call.Outcome == enginecall.TimedOut:
 		return control.TimedOut
-	case call.ConnError.ReusedConnection: // the end of an idle connection says nothing about the engine
+	case call.ConnError.ReusedConnection: // a healthy engine may close an idle connection
 		return control.NotSent
 	}
 	return classifyConnError(call.ConnError)
 }
 
-// checkHealth calls an engine's health path and reports the result to the decision module.
+// checkHealth sends a health check to an engine and reports the result to the decision module.
 func (s *Server) checkHealth(id control.EndpointID) {
 	engine := s.endpoints.byID[id]
 	if engine == nil {
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -13,14 +13,14 @@
 	"martenlock/internal/platformsettings"
 )
 
-// endpointListMessage is one message of discovery: the complete endpoint list, or changes to it.
+// endpointListMessage is a message from discovery: the complete endpoint list, or changes to it.
 type endpointListMessage struct {
 	Revision uint64          `json:"revision"`
 	Complete bool            `json:"complete"`
 	Entries  []endpointEntry `json:"members"`
 }
 
-// endpointEntry is one engine in a message of discovery.
+// endpointEntry is an engine's entry in a message from discovery.
 type endpointEntry struct {
 	ID          string  `json:"id"`
 	HostPort    string  `json:"host_port"`
@@ -32,33 +32,33 @@
 	StartedAtMs int64   `json:"up_since_ms"` // Unix time
 }
 
-// The values of endpointEntry.Phase.
+// Values of endpointEntry.Phase.
 const (
 	phaseReady    = "in_service"
 	phaseDraining = "terminating"
 	phaseGone     = "terminated"
 )
 
-// endpointEntryError is an unusable entry of the endpoint list.
+// endpointEntryError reports an invalid field of an entry in the endpoint list.
 type endpointEntryError struct {
-	ID     string // of the engine
-	Field  string // its name on the wire
+	ID     string // of the entry
+	Field  string // the field's JSON name
 	Reason string
 }
 
-// Error returns the engine's id, the field and the reason.
+// Error returns one line with the id, of which it shows at most 60 characters, the field and the reason.
 func (e *endpointEntryError) Error() string {
 	return fmt.Sprintf("%.60q: %s: %s", e.ID, e.Field, e.Reason)
 }
 
-// errEntryWithoutID is an entry of the endpoint list that names no engine.
+// errEntryWithoutID means that an entry of the endpoint list has no id.
 var errEntryWithoutID = errors.New("entry without id")
 
-// controlTimeFunc is a function that converts a Unix time in milliseconds to the decision module's clock.
-type controlTimeFunc func(milliseconds int64) control.Time
+// controlTimeFunc converts a Unix time in milliseconds to the decision module's clock.
+type controlTimeFunc func(unixMillis int64) control.Time
 
-// update converts the message to the decision module's terms. The error joins one error for each
-// unusable entry. The update is valid without these entries.
+// update converts the message to an update of the membership view. Invalid entries are left out; the
+// error joins one error for each of them.
 func (m *endpointListMessage) update(settings *platformsettings.Settings, toControlTime controlTimeFunc) (membership.Update, error) {
 	update := membership.Update{Revision: m.Revision, Complete: m.Complete}
 	var skipped error
@@ -73,13 +73,13 @@
 	return update, skipped
 }
 
-// endpointID returns the decision module's id of the engine. All routers derive the same id.
+// endpointID returns the engine's id in the decision module. All routers derive the same id.
 func (e *endpointEntry) endpointID() control.EndpointID {
 	return control.EndpointID(xxhash.Sum64String(e.ID))
 }
 
-// endpoint converts the entry. Only a ready engine needs a valid address and kind: the end of an engine
-// must not be missed because of another field.
+// endpoint converts the entry to an endpoint of the membership view. Only a ready engine needs a valid
+// address and kind: an engine that drains or is gone must not stay ready because of another field.
 func (e *endpointEntry) endpoint(settings *platformsettings.Settings, toControlTime controlTimeFunc) (membership.Endpoint, error) {
 	state, err := e.state()
 	if err != nil {
@@ -102,7 +102,7 @@
 			Weight:    e.Weight,
 			StartedAt: toControlTime(e.StartedAtMs),
 			Kind:      kind,
-			Zone:      zoneNumber(settings.ZoneNames, e.Zone),
+			Zone:      zoneIndex(settings.ZoneNames, e.Zone),
 			Cell:      uint16(e.Cell),
 			State:     state,
 		},
@@ -111,7 +111,7 @@
 	}, nil
 }
 
-// state returns the state that the entry's phase stands for.
+// state converts the entry's phase.
 func (e *endpointEntry) state() (control.EndpointState, error) {
 	switch e.Phase {
 	case phaseReady:
@@ -124,14 +124,12 @@
 	return control.Gone, e.fieldError("phase", fmt.Sprintf("unknown %.40q", e.Phase))
 }
 
-// fieldError returns an *endpointEntryError for a field of the entry.
 func (e *endpointEntry) fieldError(field, reason string) error {
 	return &endpointEntryError{ID: e.ID, Field: field, Reason: reason}
 }
 
-// zoneNumber returns a zone's index in the settings. Zones that are not in the settings share the
-// next index.
-func zoneNumber(names []string, name string) uint16 {
+// zoneIndex returns the index of a zone in names, or len(names) for a zone that is not among them.
+func zoneIndex(names []string, name string) uint16 {
 	i := slices.Index(names, name)
 	if i < 0 {
 		return uint16(len(names))
--- a/internal/platform/endpointtable.go
+++ b/internal/platform/endpointtable.go
@@ -10,10 +10,10 @@
 	"martenlock/internal/upstream"
 )
 
-// maxResponseBodyBytes bounds an engine's complete response.
+// maxResponseBodyBytes bounds the body of an engine's response.
 const maxResponseBodyBytes = 4 << 20
 
-// endpointTable holds the engines and what their connections share.
+// endpointTable holds the engines, and the options, budget and reuse policy that their connections share.
 type endpointTable struct {
 	byID        map[control.EndpointID]*endpoint
 	connOptions upstream.Options
@@ -49,7 +49,7 @@
 	return e
 }
 
-// endpointName returns an engine's name in the endpoint list, or "" if the engine is not known.
+// endpointName returns an engine's id in the endpoint list, or "" if the engine is not in the table.
 func (s *Server) endpointName(id control.EndpointID) string {
 	e := s.endpoints.byID[id]
 	if e == nil {
@@ -58,8 +58,8 @@
 	return e.name
 }
 
-// clockedReusePolicy implements upstream.ReusePolicy for all connections. It adds the server's time
-// to each call of connreuse.Policy, which has no clock.
+// clockedReusePolicy implements upstream.ReusePolicy with connreuse.Policy, which gets the current time
+// with each call.
 type clockedReusePolicy struct{ server *Server }
 
 // MayReuse implements upstream.ReusePolicy.
--- a/internal/platform/endpointupdates.go
+++ b/internal/platform/endpointupdates.go
@@ -11,8 +11,8 @@
 // listRevision implements endpointListStore.
 func (s *Server) listRevision() uint64 { return s.membership.Revision() }
 
-// applyEndpointList implements endpointListStore. Unusable entries and lists are logged and have no
-// other effect.
+// applyEndpointList implements endpointListStore. Invalid entries, and lists that the membership view
+// rejects, are logged and ignored.
 func (s *Server) applyEndpointList(text []byte) error {
 	var message endpointListMessage
 	err := json.Unmarshal(text, &message)
@@ -27,26 +27,26 @@
 	if err != nil {
 		s.warn(warning{message: "endpoint list rejected"}, err)
 	}
-	s.notifyEndpoints(change)
+	s.applyListChange(change)
 	return nil
 }
 
-// expireEndpointList applies the changes of the endpoint list that are due by now.
-func (s *Server) expireEndpointList() { s.notifyEndpoints(s.membership.Poll(s.now())) }
+// pollEndpointList applies the delayed changes of the endpoint list that are due.
+func (s *Server) pollEndpointList() { s.applyListChange(s.membership.Poll(s.now())) }
 
-// notifyEndpoints applies a change of the endpoint list and schedules the list's next expiry.
-func (s *Server) notifyEndpoints(change membership.Change) {
+// applyListChange applies a change of the endpoint list and starts the timer for the next delayed one.
+func (s *Server) applyListChange(change membership.Change) {
 	if !change.IsEmpty() {
 		s.updateEndpoints(change.EndpointUpdate)
 	}
-	s.loop.StopTimer(&s.listExpiryTimer)
-	expiry, isSet := s.membership.NextDeadline()
+	s.loop.StopTimer(&s.listPollTimer)
+	deadline, isSet := s.membership.NextDeadline()
 	if isSet {
-		s.loop.StartTimer(&s.listExpiryTimer, expiry.Sub(s.now()))
+		s.loop.StartTimer(&s.listPollTimer, deadline.Sub(s.now()))
 	}
 }
 
-// updateEndpoints applies an update to the engines' connections and reports it to the decision module.
+// updateEndpoints applies an update to the endpoint table and passes it to the decision module.
 func (s *Server) updateEndpoints(update control.EndpointUpdate) {
 	for _, changed := range update.Endpoints {
 		member, isListed := s.membership.Get(changed.ID)
@@ -54,12 +54,12 @@
 			s.listEndpoint(member)
 		}
 	}
-	s.updateStates()
+	s.updateEndpointStates()
 	s.push(update)
 }
 
-// listEndpoint adds an engine to the table or updates it. The connections of an engine that has
-// restarted or moved lead to an ended process.
+// listEndpoint adds an engine to the table or updates it. If the engine has restarted or moved, it closes
+// the idle connections, which lead to the previous process.
 func (s *Server) listEndpoint(member membership.Endpoint) {
 	e := s.endpoints.byID[member.ID]
 	if e == nil {
@@ -75,9 +75,9 @@
 	e.Removed = false
 }
 
-// updateStates limits the sends to engines that are not ready, delists those that are no longer in
-// the endpoint list, and updates the engines that release KV state.
-func (s *Server) updateStates() {
+// updateEndpointStates bounds pending writes to engines that are not ready, delists the engines that have
+// left the endpoint list, and passes the engines that can release KV state to the scheduler.
+func (s *Server) updateEndpointStates() {
 	var ready, draining []control.EndpointID
 	for id, e := range s.endpoints.byID {
 		member, isListed := s.membership.Get(id)
@@ -92,7 +92,7 @@
 			e.delist()
 		}
 	}
-	if len(ready) == 0 { // a draining engine still serves what it has, and releases KV state too
+	if len(ready) == 0 { // a draining engine still answers release calls
 		ready = draining
 	}
 	s.kvReleases.scheduler.SetEndpoints(ready)
--- a/internal/platform/eventlog.go
+++ b/internal/platform/eventlog.go
@@ -9,28 +9,26 @@
 	"martenlock/control"
 )
 
-// eventLog writes the log lines from which an incident's timeline is put together: attempts that failed,
-// requests that were not served, connections that were closed, and KV releases. Lines about
-// requests and lines about connections have separate budgets, so that a flood of one kind does not
-// suppress the other.
+// eventLog writes log lines about single requests and connections: failed attempts, requests that were
+// not served, KV releases, and closed or rejected connections. Lines about requests and lines about
+// connections have separate rate limits, so that a flood of one kind does not suppress the other.
 type eventLog struct {
 	logger        zerolog.Logger
 	now           func() time.Duration
 	requestBudget *rate.Limiter
 	connBudget    *rate.Limiter
-	suppressed    uint64 // lines suppressed since the latest that was written
+	suppressed    uint64 // lines suppressed since the last line written
 }
 
 const (
-	// eventLinesPerSecond is the budget of one kind of line. It is enough to follow single requests
-	// through a fault.
+	// eventLinesPerSecond is the rate limit of one kind of line.
 	eventLinesPerSecond = 50
-	// eventLineBurst is the number of lines of one kind that may be logged at once. A fault begins for
-	// many requests in the same moment.
+	// eventLineBurst is the number of lines of one kind that may be logged at once. A fault may end many
+	// requests in the same moment.
 	eventLineBurst = 200
 )
 
-// newEventLog returns an event log. now is the loop's clock, since the wall clock may be stepped.
+// newEventLog returns an event log. now is the loop's clock, which is monotonic unlike the wall clock.
 func newEventLog(logger zerolog.Logger, now func() time.Duration) eventLog {
 	return eventLog{
 		logger:        logger,
@@ -40,14 +38,15 @@
 	}
 }
 
-// requestLine returns a line about a request. It is nil, which writes nothing, if the budget is exhausted.
+// requestLine starts a line about a request. It returns nil, on which all methods are no-ops, if the rate
+// limit is exceeded.
 func (l *eventLog) requestLine() *zerolog.Event { return l.line(l.requestBudget) }
 
-// connLine returns a line about a connection. It is nil, which writes nothing, if the budget is
-// exhausted.
+// connLine starts a line about a connection. It returns nil, on which all methods are no-ops, if the rate
+// limit is exceeded.
 func (l *eventLog) connLine() *zerolog.Event { return l.line(l.connBudget) }
 
-// line returns a line within a budget, with the number of lines that were suppressed before it.
+// line starts a line if budget allows. The line has the number of lines suppressed since the previous one.
 func (l *eventLog) line(budget *rate.Limiter) *zerolog.Event {
 	if !budget.AllowN(time.Unix(0, 0).Add(l.now()), 1) {
 		l.suppressed++
@@ -61,7 +60,7 @@
 	return line
 }
 
-// logEnd logs how an attempt ended, unless it was successful.
+// logEnd logs the result of the attempt unless it succeeded.
 func (a *attempt) logEnd(result control.Result) {
 	if result == control.OK || result == control.PrefillDone {
 		return
@@ -82,7 +81,7 @@
 		Msg("attempt ended")
 }
 
-// logRetry logs an attempt that follows one that failed. previous is that one's result.
+// logRetry logs the start of a retry. previous is the result of the attempt before.
 func (a *attempt) logRetry(previous control.Result) {
 	s := a.exchange.server
 	s.events.requestLine().
@@ -94,7 +93,7 @@
 		Msg("request retried")
 }
 
-// logOutcome logs how a request ended that was not served, and traces it.
+// logOutcome logs and traces the outcome of a request that was not served.
 func (e *exchange) logOutcome(outcome requestOutcome, reason string) {
 	e.server.events.requestLine().
 		Str("request_id", e.meta.callID).
@@ -106,7 +105,7 @@
 	e.traceRequest(outcome)
 }
 
-// logClose logs that this server closed a client's connection.
+// logClose logs that the server closed a client's connection.
 func (c *clientConn) logClose(reason string) {
 	c.server.events.connLine().
 		Stringer("state", c.conn.State()).
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -7,16 +7,17 @@
 	reloadMaxRetries = 50                     // 5 s in total
 )
 
-// Reload reads the configuration again and applies the address of discovery, the only part that may
-// change while the server runs. It returns at once and may be called from any goroutine. A file
-// that cannot be read is retried for reloadMaxRetries times reloadRetryDelay, then logged and
-// ignored. The latest call wins, even if an earlier one takes longer to read.
+// Reload reads the configuration again and applies the address of discovery. Other changes take effect
+// only after a restart. Reload returns at once and may be called from any goroutine. A configuration that
+// cannot be loaded is retried reloadMaxRetries times, then logged and ignored. If calls overlap, only the
+// latest one is applied.
 func (s *Server) Reload(getenv func(string) string) {
 	generation := s.reloadGeneration.Add(1)
 	go s.reload(getenv, generation, reloadMaxRetries)
 }
 
-// reload reads the configuration for one call of Reload. It runs on its own goroutine.
+// reload loads the configuration for one call of Reload and retries on an error. It does not run on the
+// loop.
 func (s *Server) reload(getenv func(string) string, generation uint64, retriesLeft int) {
 	config, err := LoadConfig(getenv)
 	if s.reloadGeneration.Load() != generation {
@@ -33,7 +34,7 @@
 	s.loop.Post(func() { s.applyReload(config, generation) })
 }
 
-// applyReload applies a configuration, unless Reload was called again. It runs on the loop.
+// applyReload applies a reloaded configuration unless Reload has been called again. It runs on the loop.
 func (s *Server) applyReload(config *Config, generation uint64) {
 	if s.reloadGeneration.Load() != generation {
 		return
--- a/internal/platform/requesttrace.go
+++ b/internal/platform/requesttrace.go
@@ -6,10 +6,11 @@
 	"martenlock/control"
 )
 
-// smoothAttempts is the number of attempts of a request without a fault: a prefill and a decode.
-const smoothAttempts = 2
+// attemptsWithoutRetry is the number of attempts of a request that needs no retry: a prefill and a decode.
+const attemptsWithoutRetry = 2
 
-// traceRequest logs a request that had a retry, was not served or missed its objective.
+// traceRequest logs a request that was retried, was not served or missed its objective for the time to the
+// first token, if the trace is on for requests.
 func (e *exchange) traceRequest(outcome requestOutcome) {
 	if !e.server.traceRequests {
 		return
@@ -17,7 +18,7 @@
 	request := &e.meta.request
 	class := &e.server.config.Settings.Control.Classes[request.Class]
 	isInTime := e.timeToFirstEvent <= class.FirstTokenObjective(request.PromptTokens)
-	if outcome == outcomeServed && e.attemptCount <= smoothAttempts && isInTime {
+	if outcome == outcomeServed && e.attemptCount <= attemptsWithoutRetry && isInTime {
 		return
 	}
 	e.server.log.Info().
@@ -32,12 +33,11 @@
 		Msg("request trace")
 }
 
-// endpointBitsDropped is the number of low bits of an endpoint's id that the request trace leaves
-// out. The other 16 bits tell engines apart.
-const endpointBitsDropped = 48
+// endpointIDShift shortens an endpoint's id in the request trace to its upper 16 bits.
+const endpointIDShift = 48
 
-// recordHistory adds the attempt to the trace of its request: the milliseconds from the request's start
-// to the attempt's start and to its end, the engine, and the result.
+// recordHistory adds the attempt to the trace of its request: its start and end in milliseconds since the
+// request's start, the engine, and the result.
 func (a *attempt) recordHistory(result control.Result) {
 	e := a.exchange
 	if !e.server.traceRequests {
@@ -45,5 +45,5 @@
 	}
 	start := float64((a.startedAt - e.startedAt).Milliseconds())
 	end := float64((e.server.loop.Now() - e.startedAt).Milliseconds())
-	e.attemptHistory += fmt.Sprintf(" %.0f-%.0f:%x:%s", start, end, uint64(a.endpointID)>>endpointBitsDropped, result)
+	e.attemptHistory += fmt.Sprintf(" %.0f-%.0f:%x:%s", start, end, uint64(a.endpointID)>>endpointIDShift, result)
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	logBufferLines  = 512                   // further lines are dropped, so that the loop never waits for the log
+	logBufferLines  = 512                   // further lines are dropped, so that the loop never blocks on the log
 	logPollInterval = 20 * time.Millisecond // between two writes of the buffered lines
 	signalBuffer    = 16                    // further signals are dropped
-	maxProcs        = 1                     // all work is on one loop; the collector and the log run while it waits
+	maxProcs        = 1                     // requests are handled on one goroutine, the event loop
 )
 
-// Serve runs a server with the platform's configuration until its shutdown by SIGTERM or SIGINT is
-// complete. Log lines go to stderr. Signals that arrive before the configuration is read are handled
-// after that. An error of the configuration is a *ConfigError.
+// Serve runs a server until its shutdown by SIGTERM or SIGINT is complete. Its configuration is read as
+// by LoadConfig. Log lines go to stderr. Signals that arrive while the server starts are handled once it
+// serves. An error in the configuration is a *ConfigError.
 func Serve(getenv func(string) string, stderr io.Writer) error {
 	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
@@ -49,11 +49,11 @@
 	go s.handleSignals(signals, getenv)
 	err = s.Run()
 	s.counters.appendTo(log.Info()).Msg("server stopped")
-	_ = logBuffer.Close() // writes the buffered lines; an error could not be logged any more
+	_ = logBuffer.Close() // flushes the buffered lines; an error can no longer be logged
 	return err
 }
 
-// handleSignals reloads the configuration on SIGHUP and shuts the server down on any other signal.
+// handleSignals reloads the configuration on SIGHUP and starts the shutdown on any other signal.
 func (s *Server) handleSignals(signals <-chan os.Signal, getenv func(string) string) {
 	for sig := range signals {
 		if sig == syscall.SIGHUP {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -1,7 +1,7 @@
-// Package platform is the server for the operators' platform. It implements the platform's protocol
-// for clients, engines and discovery on one event loop, with one decision module (control.Router).
-// The module makes all decisions: where a request is forwarded, when, how often, and what its answer
-// is.
+// Package platform implements the router's server on the operators' platform. It implements the
+// platform's protocol for clients, engines and discovery on one event loop. The decision module,
+// control.Router, decides to which engine and when each request is forwarded, whether it is retried, and
+// how it is answered.
 package platform
 
 import (
@@ -21,8 +21,8 @@
 	"martenlock/internal/timerwheel"
 )
 
-// Server is one running server. Its event loop owns all of its state. Only Run, Reload and Shutdown may
-// be called from other goroutines.
+// Server is a router's server. Its state belongs to the event loop. Only Run, Reload and Shutdown may be
+// called from other goroutines.
 type Server struct {
 	loop   *eventloop.Loop
 	config *Config
@@ -36,33 +36,33 @@
 	exchanges     exchangeTable
 	endpoints     endpointTable
 	kvReleases    kvReleases
-	bufferedBytes int // of request bodies, and of responses before their first event
+	bufferedBytes int // of request bodies, and of responses before their first event; at most limits.maxBufferedBytes
 
-	membership      membership.View
-	discovery       *discoveryClient
-	listExpiryTimer timerwheel.Timer // runs until the endpoint list's next deadline
-	warnings        warningLimiter
+	membership    membership.View
+	discovery     *discoveryClient
+	listPollTimer timerwheel.Timer // runs until membership.NextDeadline
+	warnings      warningLimiter
 
 	reloadGeneration atomic.Uint64 // of the latest call to Reload
 	shutdown         shutdown
 
 	counters      counters
 	tracing       *engineTracer // nil if the trace is off
-	traceRequests bool          // the trace has lines for requests too
+	traceRequests bool          // the trace includes requests
 }
 
-// errNotEndpointList means that the known endpoint list of the configuration cannot be decoded.
+// errNotEndpointList means that the endpoint list in the configuration cannot be decoded.
 var errNotEndpointList = errors.New("not an endpoint list")
 
-// Bounds of the output of one connection.
+// Options of the event loop.
 const (
-	highWaterMarkBytes = 32 << 10 // unsent bytes at which the source of the output is paused
-	maxUnsentBytes     = 1 << 20  // unsent bytes at which the connection closes: its source does not react to the pause
-	freeBufferShare    = 16       // maxBufferedBytes divided by this bounds the free buffers of each size
+	highWaterMarkBytes = 32 << 10 // unsent bytes of a connection at which the source of its output is paused
+	maxUnsentBytes     = 1 << 20  // unsent bytes at which a connection is closed, since its source ignores the pause
+	freeBufferDivisor  = 16       // the free buffers of each size take at most maxBufferedBytes divided by this
 )
 
-// New returns a server that listens. Call Run to serve. The error is a *ConfigError if a value of the
-// configuration is the cause.
+// New returns a server that listens. Call Run to serve. The error is a *ConfigError if the configuration
+// is the cause.
 func New(config *Config, log zerolog.Logger) (*Server, error) {
 	s := &Server{
 		config:    config,
@@ -74,7 +74,7 @@
 	s.loop, err = eventloop.New(eventloop.Options{
 		HighWaterMark:  highWaterMarkBytes,
 		MaxUnsentBytes: maxUnsentBytes,
-		MaxFreeBytes:   s.limits.maxBufferedBytes / freeBufferShare,
+		MaxFreeBytes:   s.limits.maxBufferedBytes / freeBufferDivisor,
 		OnPanic:        s.recordPanic,
 	})
 	if err != nil {
@@ -85,7 +85,7 @@
 	s.endpoints = newEndpointTable(s)
 	s.kvReleases = newKVReleases(s)
 	s.mailbox = newMailbox(s)
-	s.listExpiryTimer.Fire = s.expireEndpointList
+	s.listPollTimer.Fire = s.pollEndpointList
 	if len(config.Known) > 0 && s.applyEndpointList(config.Known) != nil {
 		return nil, configFileError(config.File, "known", errNotEndpointList)
 	}
@@ -93,7 +93,8 @@
 	if err != nil {
 		return nil, configFileError(config.File, "listen", err)
 	}
-	// Evicted connections keep their descriptors until the end of the iteration.
+	// The limit exceeds maxClientConns because evicted connections keep their descriptors until the end of
+	// the loop's iteration.
 	s.clients.Listener.MaxOpen = connlimit.AcceptLimit(s.limits.maxClientConns)
 	s.schedulePoll()
 	s.subscribe(config.Discovery)
@@ -103,25 +104,25 @@
 // Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.clients.Listener.Addr().String() }
 
-// Run serves until a shutdown is complete. Its error is that of the event loop.
+// Run serves until a shutdown is complete. It returns the error of the event loop.
 func (s *Server) Run() error { return s.loop.Run() }
 
-// recordPanic counts and logs a handler's panic. The event loop has closed the handler's connection.
+// recordPanic counts and logs a panic in a handler, whose connection the event loop has closed.
 func (s *Server) recordPanic(reason any) {
 	s.counters.panics++
 	s.log.Error().Str("panic", fmt.Sprint(reason)).Bytes("stack", debug.Stack()).Msg("handler panicked, connection closed")
 }
 
-// clockStart is the time on the decision module's clock when the loop starts, in microseconds. One day
-// gives an engine that started within the day before this server a start time above zero.
+// clockStart is the time on the decision module's clock at the start of the loop, in microseconds. It is
+// one day, so that engines that started up to a day before this server have start times above zero.
 const clockStart = control.Time(24 * 3600 * 1e6)
 
 // now returns the current time on the decision module's clock.
 func (s *Server) now() control.Time { return clockStart.Add(s.loop.Now()) }
 
 // controlTime converts a Unix time in milliseconds to the decision module's clock. It returns 0 for times
-// more than a day before the server's start, and the current time for times in the future. Other
-// times always give the same result. Otherwise an engine would look restarted each time it is listed.
+// more than a day before the server's start, and the current time for times in the future. For any other
+// time the result never changes, so that an engine that is listed again does not look restarted.
 func (s *Server) controlTime(unixMillis int64) control.Time {
 	at := int64(clockStart) + unixMillis*1000 - s.loop.Origin().UnixMicro()
 	if unixMillis <= 0 || at <= 0 {
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -10,44 +10,45 @@
 	"martenlock/internal/timerwheel"
 )
 
-// TraceVariable is the environment variable that switches the trace on. docs/platform.md describes its
-// values and the lines of the trace.
+// TraceVariable is the environment variable that enables the trace. docs/platform.md describes its values
+// and the lines of the trace.
 const TraceVariable = "MARTENLOCK_TRACE"
 
-// Values of TraceVariable. All others switch the trace off.
+// Values of TraceVariable. All others disable the trace.
 const (
-	// traceLevelEngines logs clients and engines at each interval.
+	// traceLevelEngines logs the client connections and each engine at each traceInterval.
 	traceLevelEngines = "1"
-	// traceLevelRequests also logs each request that did not go smoothly. It is too much for normal service.
+	// traceLevelRequests also logs each request that was retried, was not served or missed its objective.
+	// It is too verbose for production.
 	traceLevelRequests = "2"
 )
 
-// traceInterval is the time between two sets of trace lines. Engines' counts are those of one interval.
+// traceInterval is the time between two sets of trace lines.
 const traceInterval = time.Second
 
-// engineTracer logs for each engine, at each interval, the decision module's view of it beside what
-// has passed on its sockets.
+// engineTracer logs, at each traceInterval, the decision module's view of each engine with the counts of
+// its attempts in this interval.
 type engineTracer struct {
 	timer timerwheel.Timer
-	last  map[control.EndpointID]engineTraffic // as of the previous interval
+	last  map[control.EndpointID]engineStats // as of the previous interval
 }
 
-// engineTraffic counts what has passed on the sockets of one engine since the server's start.
-type engineTraffic struct {
-	attempts       uint64
-	firstEvents    uint64
-	firstEventWait time.Duration               // sum over all first events
-	longestWait    time.Duration               // for a first event, in this interval
-	results        [control.NotSent + 1]uint64 // of attempts, by control.Result
+// engineStats counts the attempts at one engine since the server's start.
+type engineStats struct {
+	attempts            uint64
+	firstEvents         uint64
+	totalFirstEventTime time.Duration               // sum of the times to all first events
+	maxFirstEventTime   time.Duration               // longest time to a first event in this interval
+	results             [control.NotSent + 1]uint64 // attempts ended, by control.Result
 }
 
-// startTrace switches the trace on if level, the value of TraceVariable, asks for it.
+// startTrace starts the trace if level, the value of TraceVariable, enables it.
 func (s *Server) startTrace(level string) {
 	if level != traceLevelEngines && level != traceLevelRequests {
 		return
 	}
 	s.traceRequests = level == traceLevelRequests
-	tracer := &engineTracer{last: map[control.EndpointID]engineTraffic{}}
+	tracer := &engineTracer{last: map[control.EndpointID]engineStats{}}
 	s.tracing = tracer
 	tracer.timer.Fire = func() {
 		s.traceClients()
@@ -57,7 +58,7 @@
 	s.loop.StartTimer(&tracer.timer, traceInterval)
 }
 
-// traceClients logs the clients' connections and the counters since the start.
+// traceClients logs the current client connections and the connection counters since the server's start.
 func (s *Server) traceClients() {
 	line := s.log.Info().
 		Int("client_sockets", s.clients.Listener.Open()).
@@ -73,20 +74,20 @@
 // traceEngines logs a line for each engine.
 func (s *Server) traceEngines() {
 	last := s.tracing.last
-	maps.DeleteFunc(last, func(id control.EndpointID, _ engineTraffic) bool { return s.endpoints.byID[id] == nil })
+	maps.DeleteFunc(last, func(id control.EndpointID, _ engineStats) bool { return s.endpoints.byID[id] == nil })
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints.byID)) {
 		engine := s.endpoints.byID[id]
 		previous := last[id]
-		last[id] = engine.traffic
+		last[id] = engine.stats
 		s.traceEngine(id, engine, previous)
-		engine.traffic.longestWait = 0
+		engine.stats.maxFirstEventTime = 0
 	}
 }
 
-// traceEngine logs the decision module's view of an engine beside its traffic since previous.
-func (s *Server) traceEngine(id control.EndpointID, engine *endpoint, previous engineTraffic) {
+// traceEngine logs the decision module's view of an engine with the counts of its attempts since previous.
+func (s *Server) traceEngine(id control.EndpointID, engine *endpoint, previous engineStats) {
 	view, isKnown := s.mailbox.Router.EndpointStatus(id)
-	traffic := &engine.traffic
+	stats := &engine.stats
 	line := s.log.Info().
 		Str("endpoint", strconv.FormatUint(uint64(id), 16)).
 		Str("address", engine.address).
@@ -103,15 +104,15 @@
 		Int("attempts_in_flight", len(engine.attempts)).
 		Int("connections", engine.Open()).
 		Int("idle_connections", engine.Idle()).
-		Uint64("attempts", traffic.attempts-previous.attempts).
-		Uint64("first_events", traffic.firstEvents-previous.firstEvents)
-	firstEvents := traffic.firstEvents - previous.firstEvents
+		Uint64("attempts", stats.attempts-previous.attempts).
+		Uint64("first_events", stats.firstEvents-previous.firstEvents)
+	firstEvents := stats.firstEvents - previous.firstEvents
 	if firstEvents > 0 {
-		meanWait := (traffic.firstEventWait - previous.firstEventWait) / time.Duration(firstEvents)
-		line = line.Dur("mean_first_event_ms", meanWait).Dur("max_first_event_ms", traffic.longestWait)
+		mean := (stats.totalFirstEventTime - previous.totalFirstEventTime) / time.Duration(firstEvents)
+		line = line.Dur("mean_first_event_ms", mean).Dur("max_first_event_ms", stats.maxFirstEventTime)
 	}
-	for result := range traffic.results {
-		count := traffic.results[result] - previous.results[result]
+	for result := range stats.results {
+		count := stats.results[result] - previous.results[result]
 		if count > 0 {
 			line = line.Uint64(control.Result(result).String(), count)
 		}
--- a/internal/platform/warninglimiter.go
+++ b/internal/platform/warninglimiter.go
@@ -3,27 +3,26 @@
 import "time"
 
 const (
-	// warningInterval is the shortest time between two warnings of one kind. A condition that lasts
-	// for hours must not fill the log.
+	// warningInterval is the shortest time between two log lines of one kind of warning.
 	warningInterval = 10 * time.Second
-	// maxWarningKinds bounds the kinds that are remembered, since a kind may have a status or a reason
-	// that the peer chooses. Further kinds are not logged.
+	// maxWarningKinds bounds the kinds of warnings that are remembered, since a peer's responses
+	// determine reason and status. Further kinds are not logged.
 	maxWarningKinds = 64
 )
 
-// warning is one kind of warning that may recur.
+// warning identifies a kind of warning, which is limited in rate.
 type warning struct {
-	message string // a constant
-	reason  string // empty if the message says all
-	status  int    // the HTTP status received; 0 if the warning is not about one
+	message string // constant text
+	reason  string // empty if there is none
+	status  int    // HTTP status received; 0 if there is none
 }
 
-// warningLimiter bounds how often each kind of warning is logged.
+// warningLimiter limits the rate of each kind of warning. The zero warningLimiter is ready for use.
 type warningLimiter struct {
-	lastLogged map[warning]time.Duration // by the loop's clock
+	lastLogged map[warning]time.Duration // on the loop's clock
 }
 
-// warn logs a warning that may recur, unless the limiter suppresses it. err may be nil.
+// warn logs a warning unless the limiter suppresses it. err may be nil.
 func (s *Server) warn(kind warning, err error) {
 	if !s.warnings.allow(s.loop.Now(), kind) {
 		return
@@ -38,7 +37,7 @@
 	line.Msg(kind.message)
 }
 
-// allow reports whether a warning may be logged now. If so, it counts the warning as logged.
+// allow reports whether a warning may be logged now. If so, it records the warning as logged.
 func (l *warningLimiter) allow(now time.Duration, kind warning) bool {
 	last, isKnown := l.lastLogged[kind]
 	if isKnown && now-last < warningInterval {
--- a/internal/platform/watchcall.go
+++ b/internal/platform/watchcall.go
@@ -13,22 +13,24 @@
 	"martenlock/internal/timerwheel"
 )
 
-// watchCall is one long poll of discovery. It becomes the client's watch with its first complete
-// message or heartbeat. It implements eventloop.Handler for its connection.
+// watchCall is a call to discovery, whose response streams the endpoint list and its changes. It becomes
+// the client's watch with its first complete message or heartbeat. It implements eventloop.Handler for its
+// connection.
 type watchCall struct {
 	client        *discoveryClient
 	conn          *eventloop.Conn
 	parser        *http1.Parser
 	messages      jsonStream
-	timeout       timerwheel.Timer // runs until the next complete message or heartbeat is overdue
-	establishedAt time.Duration    // set if the call is the watch
+	timeout       timerwheel.Timer // started with the response's head and restarted by recordProgress
+	establishedAt time.Duration    // on the loop's clock; set once the call is the watch
 	hasEnded      bool
 }
 
-// watchLimits bounds discovery's response. Its body does not end while the watch is established.
+// watchLimits bounds discovery's response. The body has no practical limit, since it lasts as long as the
+// watch.
 var watchLimits = http1.Limits{Line: 4096, Headers: 16 << 10, Fields: 64, Body: math.MaxInt64 / 2}
 
-// newWatchCall returns a call that is not yet connected.
+// newWatchCall returns a call. Call connect to start it.
 func newWatchCall(client *discoveryClient) *watchCall {
 	return &watchCall{
 		client:   client,
@@ -37,8 +39,8 @@
 	}
 }
 
-// connect starts to connect to discovery. An error means that this machine has no descriptor or port
-// left. A connection that discovery refuses ends the call later, by Closed.
+// connect starts to connect to discovery. An error means that no connection could be started, for example
+// for lack of a file descriptor. If discovery refuses the connection, the loop calls Closed later.
 func (w *watchCall) connect() error {
 	conn, err := w.client.loop.Dial(w.client.address, w)
 	if err != nil {
@@ -49,7 +51,7 @@
 	return nil
 }
 
-// sendRequest asks for what is newer than the current revision of the endpoint list.
+// sendRequest requests the changes since the current revision of the endpoint list.
 func (w *watchCall) sendRequest() {
 	revision := strconv.FormatUint(w.client.store.listRevision(), 10)
 	request := http1.AppendRequest(nil, http.MethodGet, "/v1/servers?follow=1&since="+revision)
@@ -58,7 +60,7 @@
 	w.conn.Write(request)
 }
 
-// cancel ends the call. What arrives later is ignored.
+// cancel ends the call and aborts its connection. Further calls have no effect.
 func (w *watchCall) cancel() {
 	if w.hasEnded {
 		return
@@ -69,7 +71,7 @@
 	w.client.remove(w)
 }
 
-// end cancels a call that discovery has ended and schedules the next one.
+// end cancels the call after discovery has ended it, and schedules the next one.
 func (w *watchCall) end() {
 	if w.hasEnded {
 		return
@@ -78,7 +80,7 @@
 	w.client.scheduleCall()
 }
 
-// fail cancels a call that has failed, logs the reason and schedules the next one.
+// fail cancels the call, logs the reason of its failure and schedules the next one.
 func (w *watchCall) fail(kind warning) {
 	if w.hasEnded {
 		return
@@ -88,7 +90,8 @@
 	w.client.scheduleCall()
 }
 
-// recordProgress records a complete message or a heartbeat. It makes the call the watch.
+// recordProgress restarts the time-out after a complete message or a heartbeat. The first one makes the
+// call the watch.
 func (w *watchCall) recordProgress() {
 	if w.client.watch != w {
 		w.establishedAt = w.client.loop.Now()
@@ -97,17 +100,17 @@
 	w.restartTimeout()
 }
 
-// restartTimeout bounds the time until the next complete message or heartbeat.
+// restartTimeout bounds the time until the next complete message or heartbeat by membership.WatchTimeout.
 func (w *watchCall) restartTimeout() {
 	w.timeout.Fire = func() { w.fail(warning{message: "discovery watch timed out"}) }
 	w.client.loop.StartTimer(&w.timeout, membership.WatchTimeout)
 }
 
-// Opened implements eventloop.Handler. The request is already written; the connection sends it when
-// it is established.
+// Opened implements eventloop.Handler. It does nothing: sendRequest has already written the request,
+// which the connection sends once it is established.
 func (w *watchCall) Opened(*eventloop.Conn) {}
 
-// Writable implements eventloop.Handler. Nothing follows the request.
+// Writable implements eventloop.Handler. It does nothing: there is no output after the request.
 func (w *watchCall) Writable(*eventloop.Conn) {}
 
 // EOF implements eventloop.Handler. It ends the call.
@@ -116,8 +119,8 @@
 // Closed implements eventloop.Handler. It ends the call.
 func (w *watchCall) Closed(*eventloop.Conn, error) { w.end() }
 
-// Data implements eventloop.Handler. It parses discovery's response and returns how many bytes it
-// has consumed.
+// Data implements eventloop.Handler. It parses discovery's response and returns the number of bytes
+// consumed.
 func (w *watchCall) Data(_ *eventloop.Conn, b []byte) int {
 	consumed := 0
 	for !w.hasEnded {
@@ -148,8 +151,8 @@
 	}
 }
 
-// handleHead processes the response's status. Discovery answers at once, with the list or with nothing
-// until something changes, so no further call is needed meanwhile.
+// handleHead checks the response's status. Discovery sends the head at once, even if it has no change to
+// send, so the next call is not started unless this one fails or times out.
 func (w *watchCall) handleHead(status int) {
 	if status != http.StatusOK {
 		w.fail(warning{message: "discovery returned an unexpected status", status: status})
@@ -159,7 +162,7 @@
 	w.client.cancelScheduledCall()
 }
 
-// handleContent splits a piece of the body into messages and heartbeats.
+// handleContent splits a piece of the body into messages and heartbeats, and processes them.
 func (w *watchCall) handleContent(content []byte) {
 	for len(content) > 0 && !w.hasEnded {
 		element := w.messages.next(content)
@@ -186,8 +189,8 @@
 	w.recordProgress()
 }
 
-// failMessage fails the call for a message that cannot be decoded. The next call asks for everything
-// newer than the current revision, so nothing is lost.
+// failMessage fails the call because of a message that cannot be decoded. The next call requests all
+// changes since the current revision, so none is lost.
 func (w *watchCall) failMessage(reason string) {
 	w.fail(warning{message: "discovery message malformed", reason: reason})
 }
