--- a/internal/platform/platformtest/client.go
+++ b/internal/platform/platformtest/client.go
@@ -6,16 +6,16 @@
 	"net/http"
 )
 
-// Answer is an answer as a client received it.
+// Answer is the answer that a client received.
 type Answer struct {
-	Code       int // 0 if the connection ended without an answer
+	Code       int // HTTP status; 0 if the connection ended before the head was complete
 	Header     http.Header
 	Body       string
-	IsComplete bool // to its last chunk
-	ConnEnded  bool // before the answer was complete
+	IsComplete bool // the body was received up to its last byte or chunk
+	ConnEnded  bool // the connection ended before the answer was complete
 }
 
-// ReadAnswer reads one answer.
+// ReadAnswer reads one answer. If it is incomplete, the result has the part that was received.
 func ReadAnswer(reader *bufio.Reader) Answer {
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return Answer{Code: response.StatusCode, Header: response.Header, Body: string(body), IsComplete: err == nil, ConnEnded: err != nil}
 }
 
-// IsCompleteStream reports whether the answer is a complete stream of Events.
+// IsCompleteStream reports whether the answer is 200 with the complete stream of Events.
 func (a Answer) IsCompleteStream() bool {
 	return a.Code == http.StatusOK && a.IsComplete && a.Body == Events
 }
--- a/internal/platform/platformtest/discovery.go
+++ b/internal/platform/platformtest/discovery.go
@@ -17,8 +17,8 @@
 // WatchHead begins the response to a watch.
 const WatchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// Discovery is the discovery service on a loopback port. It answers each call with a first message and keeps the
-// call open.
+// Discovery is a discovery service on a loopback port. It answers each call with the first message and keeps the call
+// open, unless a script answers it.
 type Discovery struct {
 	listener *enginetest.Listener
 
@@ -31,11 +31,11 @@
 // discoveryCall is a call that discovery received.
 type discoveryCall struct {
 	conn     net.Conn
-	head     string
-	hasEnded bool // the router has closed its connection
+	head     string // the exact bytes of the request
+	hasEnded bool   // the router has closed the connection
 }
 
-// StartDiscovery starts a discovery service that serves until the test ends, with the first message of each watch.
+// StartDiscovery starts a discovery service that runs until the test ends. Each call is answered with firstMessage.
 func StartDiscovery(t *testing.T, firstMessage string) *Discovery {
 	t.Helper()
 	d := &Discovery{firstMessage: firstMessage}
@@ -56,35 +56,35 @@
 	call.hasEnded = true
 }
 
-// answer records a call and answers it by the script, or with the first message.
+// answer records a call and answers it with the script, or else with the first message.
 func (d *Discovery) answer(conn net.Conn, head string) *discoveryCall {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	call := &discoveryCall{conn: conn, head: head}
 	d.calls = append(d.calls, call)
 	if d.script == nil || !d.script(conn, len(d.calls)) {
-		_, _ = io.WriteString(conn, WatchHead+Chunk(d.firstMessage+"\n")) // a router that is gone watches again
+		_, _ = io.WriteString(conn, WatchHead+Chunk(d.firstMessage+"\n")) // the router may have closed the call
 	}
 	return call
 }
 
-// SetFirstMessage sets the first message of the watches from now on.
+// SetFirstMessage sets the first message that later calls are answered with.
 func (d *Discovery) SetFirstMessage(message string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.firstMessage = message
 }
 
-// SetScript sets how calls are answered from now on. script gets a call's connection and its number, counted from 1, and
-// reports whether it answered. A call that it did not answer gets the first message.
+// SetScript sets the function that answers later calls. script gets a call's connection and its number, counted from 1,
+// and reports whether it has answered the call. A call that it has not answered gets the first message.
 func (d *Discovery) SetScript(script func(conn net.Conn, call int) (isAnswered bool)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.script = script
 }
 
-// Send sends bytes on the latest call that the router has not closed, as one chunk. While the router has several calls
-// open, it may read another one of them: see OpenCalls.
+// Send sends text as one chunk on the latest call that the router has not closed. While the router has several calls
+// open, another one may be its watch: wait until OpenCalls returns 1 first.
 func (d *Discovery) Send(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,8 +96,8 @@
 	}
 }
 
-// OpenCalls returns how many calls the router has not closed. A router that waits long for an answer calls again; once one
-// call is answered, it closes the others.
+// OpenCalls returns how many calls the router has not closed. The router makes further calls while none is answered, and
+// closes all others once one is answered.
 func (d *Discovery) OpenCalls() (count int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,14 +109,14 @@
 	return count
 }
 
-// SendOn sends bytes on the watch of this number, from 1, as one chunk.
+// SendOn sends text as one chunk on the call with this number, counted from 1.
 func (d *Discovery) SendOn(call int, text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, _ = io.WriteString(d.calls[call-1].conn, Chunk(text)) // the router may have abandoned this watch
+	_, _ = io.WriteString(d.calls[call-1].conn, Chunk(text)) // the router may have closed this call
 }
 
-// SendHeartbeats sends an empty line at this interval, until the test ends.
+// SendHeartbeats starts to send an empty line at this interval, until the test ends.
 func (d *Discovery) SendHeartbeats(t *testing.T, interval time.Duration) {
 	t.Helper()
 	ticker := time.NewTicker(interval)
@@ -144,7 +144,7 @@
 	return len(d.calls)
 }
 
-// RequestHeads returns the exact heads of the calls received.
+// RequestHeads returns the exact bytes of the requests received, in order of arrival.
 func (d *Discovery) RequestHeads() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,8 +155,8 @@
 	return heads
 }
 
-// Since returns the revision from which the call of this number, from 1, asks for changes, or "" if it
-// names none.
+// Since returns the query parameter since of the call with this number, counted from 1: the revision after which the
+// router requests changes. It returns "" if the call has none.
 func (d *Discovery) Since(call int) string {
 	request, err := http.ReadRequest(bufio.NewReader(strings.NewReader(d.RequestHeads()[call-1])))
 	if err != nil {
--- a/internal/platform/platformtest/engine.go
+++ b/internal/platform/platformtest/engine.go
@@ -16,10 +16,10 @@
 	*enginetest.Request
 	Engine     *Engine
 	ID         string
-	TimeBudget string // with its unit
+	TimeBudget string // the X-Budget field, with its unit
 }
 
-// AwaitClose returns once the router has ended the connection.
+// AwaitClose waits until the router has ended the connection, then calls the engine's onClose observer.
 func (r *Request) AwaitClose() {
 	r.Request.AwaitClose()
 	if _, onClose := r.Engine.observers(); onClose != nil {
@@ -30,19 +30,19 @@
 // Script answers one request and reports whether the engine keeps the connection open.
 type Script func(*Request) (keepOpen bool)
 
-// Engine is an engine of the platform on a loopback port.
+// Engine is a scripted engine on a loopback port.
 type Engine struct {
 	server     *enginetest.Engine
 	ID, Flavor string
-	// ListedAddress is the address in the endpoint list. If it is empty, the list has the engine's own.
+	// ListedAddress is the address in the endpoint list. If it is empty, Address is listed.
 	ListedAddress string
 
 	mu                 sync.Mutex
 	onRequest, onClose func(*Request)
 }
 
-// Observe sets functions that are called on the goroutine of a connection. onRequest is called for each request before its
-// script. onClose is called when Request.AwaitClose has seen the end of the connection. Either may be nil.
+// Observe sets functions that are called on the goroutine of a connection. onRequest is called for each request before the
+// script answers it. onClose is called when Request.AwaitClose has seen the end of the connection. Either may be nil.
 func (e *Engine) Observe(onRequest, onClose func(*Request)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,7 +55,7 @@
 	return e.onRequest, e.onClose
 }
 
-// StartEngines starts well-behaved engines of these flavors, named idPrefix and a number from 0.
+// StartEngines starts well-behaved engines of these flavors. Their ids are idPrefix-0, idPrefix-1 and so on.
 func StartEngines(t *testing.T, idPrefix string, flavors ...string) []*Engine {
 	t.Helper()
 	engines := make([]*Engine, len(flavors))
@@ -66,7 +66,7 @@
 	return engines
 }
 
-// serverScript adapts a script of the platform to the engine's server.
+// serverScript adapts a Script to enginetest.
 func (e *Engine) serverScript(script Script) enginetest.Script {
 	return func(received *enginetest.Request) bool {
 		request := &Request{Request: received, Engine: e, ID: received.Header.Get("X-Call-Id"), TimeBudget: received.Header.Get("X-Budget")}
@@ -77,7 +77,7 @@
 	}
 }
 
-// SetScript sets how requests are answered from now on.
+// SetScript sets the script that answers later requests.
 func (e *Engine) SetScript(script Script) { e.server.SetScript(e.serverScript(script)) }
 
 // Address returns the address on which the engine listens.
@@ -98,10 +98,10 @@
 	return requests[len(requests)-1]
 }
 
-// ForgetRequests drops the record of requests.
+// ForgetRequests discards the recorded requests.
 func (e *Engine) ForgetRequests() { e.server.ForgetRequests() }
 
-// Entry returns the engine's entry in the endpoint list, in service from the start.
+// Entry returns the engine's entry in the endpoint list. Its phase is InService.
 func (e *Engine) Entry() Entry {
 	return Entry{ID: e.ID, Address: cmp.Or(e.ListedAddress, e.Address()), Flavor: e.Flavor}
 }
@@ -117,7 +117,7 @@
 const (
 	Prefill   = "prefill"
 	Decode    = "decode"
-	Colocated = "mixed" // the word in the golden transcripts
+	Colocated = "mixed" // as the golden files spell it
 )
 
 var roleByFlavor = map[string]string{
@@ -142,7 +142,8 @@
 	return r.Write(Stream())
 }
 
-// ForAttempts answers attempts by a script. KV releases and health checks are answered as by a healthy engine.
+// ForAttempts returns a Script that answers attempts with script, and KV releases and health checks as a healthy engine
+// does.
 func ForAttempts(script Script) Script {
 	return func(r *Request) bool {
 		if r.Method != http.MethodPost {
@@ -152,12 +153,12 @@
 	}
 }
 
-// Respond answers each attempt with these bytes.
+// Respond returns a Script that answers each attempt with these bytes.
 func Respond(text string) Script {
 	return ForAttempts(func(r *Request) bool { return r.Write(text) })
 }
 
-// RespondAndClose answers each attempt with these bytes and closes the connection.
+// RespondAndClose returns a Script that answers each attempt with these bytes and closes the connection.
 func RespondAndClose(text string) Script {
 	return ForAttempts(func(r *Request) bool {
 		r.Write(text)
@@ -165,7 +166,8 @@
 	})
 }
 
-// RespondAndStall answers each attempt with these bytes and sends nothing more until the router ends the connection.
+// RespondAndStall returns a Script that answers each attempt with these bytes, then sends nothing more until the router
+// ends the connection.
 func RespondAndStall(text string) Script {
 	return ForAttempts(func(r *Request) bool {
 		r.Write(text)
@@ -174,7 +176,7 @@
 	})
 }
 
-// RespondAfter answers each attempt as a healthy engine does, once released is closed.
+// RespondAfter returns a Script that answers each attempt as a healthy engine does, once released is closed.
 func RespondAfter(released <-chan struct{}) Script {
 	return ForAttempts(func(r *Request) bool {
 		<-released
@@ -182,7 +184,7 @@
 	})
 }
 
-// ResetAttempts ends the connection of each attempt with a TCP reset and no response.
+// ResetAttempts is a Script that resets the TCP connection of each attempt instead of responding.
 func ResetAttempts(r *Request) bool {
 	return ForAttempts(func(r *Request) bool {
 		r.Reset()
@@ -190,7 +192,7 @@
 	})(r)
 }
 
-// AnswerByTest hands the connection of each attempt to the test, which answers on it.
+// AnswerByTest returns a Script that sends the connection of each attempt on conns. The test answers on it.
 func AnswerByTest(conns chan<- net.Conn) Script {
 	return ForAttempts(func(r *Request) bool {
 		conns <- r.Conn
--- a/internal/platform/platformtest/protocol.go
+++ b/internal/platform/platformtest/protocol.go
@@ -1,7 +1,7 @@
-// Package platformtest plays the platform's side of its protocol for tests: engines and discovery on loopback sockets that
-// answer by a script, and the bytes of requests, responses and endpoint lists.
+// Package platformtest implements the platform's side of the protocol for tests: scripted engines and a scripted discovery
+// service on loopback ports, and the bytes of requests, responses and endpoint lists.
 //
-// It uses nothing of package platform, so that a test of the platform server meets it on sockets only.
+// It does not import package platform, so that it shares no encoder or decoder with the server under test.
 package platformtest
 
 import (
@@ -17,20 +17,20 @@
 	StreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	// FirstEvent is the first event of a stream.
 	FirstEvent = `data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":null}]}` + "\n\n"
-	// LastToken is the event that finishes the text.
+	// LastToken is the event with the last token and the finish reason.
 	LastToken = `data: {"choices":[{"index":0,"delta":{"content":"x"},"finish_reason":"stop"}]}` + "\n\n"
-	// DoneEvent is the last event of a stream.
+	// DoneEvent is the event that ends a stream.
 	DoneEvent = "data: [DONE]\n\n"
-	// Events are the events of a complete stream.
+	// Events are all events of a complete stream.
 	Events = FirstEvent + LastToken + DoneEvent
-	// LastChunk ends a response in chunks.
+	// LastChunk ends a chunked response.
 	LastChunk = "0\r\n\r\n"
 )
 
-// RejectedHeader is the header field of a response that rejects the request without having executed it.
+// RejectedHeader is the header field by which an engine states that it has not executed the request.
 const RejectedHeader = "X-Rejected: 1\r\n"
 
-// PrefillResponse is the response of an engine that has completed a prefill and retains the KV state.
+// PrefillResponse is the response to a completed prefill whose KV state the engine retains.
 const PrefillResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":12}"
 
 // Chunk returns text as one chunk of a response.
@@ -44,7 +44,7 @@
 // TruncatedStream returns a streamed response up to its first event.
 func TruncatedStream() string { return StreamHead + Chunk(FirstEvent) }
 
-// Status returns a response without a body. Each of its header fields ends with a line break.
+// Status returns a response without a body. fields are header lines, each ended by CRLF.
 func Status(code int, fields string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: 0\r\n\r\n", code, fields)
 }
@@ -52,11 +52,12 @@
 // ChatRequest describes a client's request.
 type ChatRequest struct {
 	ID, Class  string
-	TimeBudget string // with its unit, as 4000m for 4 s
+	TimeBudget string // with its unit: 4000m is 4 s
 	Body       string
 }
 
-// Text returns the request's bytes. edits come in pairs: a text in the request, and what replaces its first occurrence.
+// Text returns the request's bytes. edits are pairs of old and new text. The first occurrence of each old text is
+// replaced; if there is none, the test fails.
 func (r ChatRequest) Text(tb testing.TB, edits ...string) string {
 	tb.Helper()
 	text := fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: api.internal\r\nContent-Type: application/json\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\n"+
@@ -64,7 +65,7 @@
 		r.ID, r.Class, r.TimeBudget, len(r.Body), r.Body)
 	for i := 0; i+1 < len(edits); i += 2 {
 		if !strings.Contains(text, edits[i]) {
-			tb.Fatalf("no %q in the request", edits[i])
+			tb.Fatalf("the request has no %q to replace", edits[i])
 		}
 		text = strings.Replace(text, edits[i], edits[i+1], 1)
 	}
@@ -86,16 +87,16 @@
 	UpSinceMillis       int64
 }
 
-// String returns the entry in the form of discovery's messages.
+// String returns the entry in JSON, as in a discovery message.
 func (e Entry) String() string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":%q,"cell":1,"phase":%q,"size":1.0,"up_since_ms":%d}`,
 		e.ID, e.Address, cmp.Or(e.Zone, "a"), e.Flavor, cmp.Or(e.Phase, InService), e.UpSinceMillis)
 }
 
-// CompleteList returns a message of discovery that lists all endpoints.
+// CompleteList returns a discovery message with the complete endpoint list.
 func CompleteList(revision int, entries ...Entry) string { return listMessage(revision, true, entries) }
 
-// IncrementalList returns a message of discovery that lists the endpoints that have changed.
+// IncrementalList returns a discovery message with changes to the endpoint list.
 func IncrementalList(revision int, entries ...Entry) string {
 	return listMessage(revision, false, entries)
 }
