--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -12,15 +12,16 @@
 	"github.com/rs/zerolog"
 )
 
-// TestConfigErrorNamesVariableFileAndKey holds for each source of a mistake.
+// TestConfigErrorNamesVariableFileAndKey: a ConfigError names the environment variable, file and key that are
+// invalid, and wraps the cause.
 func TestConfigErrorNamesVariableFileAndKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "router.json")
 	missing := path + ".missing"
 	for _, c := range []struct {
 		variables map[string]string
-		text      string
+		text      string      // of the file at path
 		want      ConfigError // without Err
-		reason    error       // that errors.Is finds, if any
+		reason    error       // wrapped by the error; nil for any
 	}{
 		{nil, "", ConfigError{Variable: "PROXY_CONFIG"}, ErrConfigNotSet},
 		{map[string]string{"PROXY_CONFIG": missing}, "", ConfigError{Variable: "PROXY_CONFIG"}, fs.ErrNotExist},
@@ -34,26 +35,26 @@
 		_, err := LoadConfig(func(name string) string { return c.variables[name] })
 		var configErr *ConfigError
 		if !errors.As(err, &configErr) {
-			t.Errorf("%s: %v", c.text, err)
+			t.Errorf("variables %v, file %q: error %v, want a *ConfigError", c.variables, c.text, err)
 			continue
 		}
 		if c.reason != nil && !errors.Is(err, c.reason) {
-			t.Errorf("%s: %v, want %v", c.text, err, c.reason)
+			t.Errorf("variables %v, file %q: error %v does not wrap %v", c.variables, c.text, err, c.reason)
 		}
 		got := *configErr
 		got.Err = nil
 		if got != c.want {
-			t.Errorf("%s: %+v, want %+v", c.text, got, c.want)
+			t.Errorf("variables %v, file %q: error %+v, want %+v", c.variables, c.text, got, c.want)
 		}
 	}
 }
 
-// TestStartErrorsNameFileAndKey: each mistake in the configuration is reported with the file and
-// the key.
+// TestStartErrorsNameFileAndKey: an invalid value in the configuration file, or an address in use, is reported
+// with the file and the key.
 func TestStartErrorsNameFileAndKey(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-		t.Error(err)
+		t.Errorf("without variables: error %v, want one that names PROXY_CONFIG", err)
 	}
 	for key, value := range map[string]any{
 		"listen":    "nowhere",
@@ -66,7 +67,7 @@
 		h.config[key] = value
 		h.saveConfig()
 		if _, err := LoadConfig(h.getenv); err == nil || !strings.Contains(err.Error(), key) || !strings.Contains(err.Error(), h.configPath) {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("invalid %s: error %v, want one that names the key and the file", key, err)
 		}
 		h.config[key] = valid
 	}
@@ -78,11 +79,12 @@
 	h.config["settings"] = map[string]any{"FamilyInfo": map[string]any{"KindRole": []string{"paint"}}}
 	h.saveConfig()
 	if _, err := LoadConfig(h.getenv); err == nil || !strings.Contains(err.Error(), "KindRole") {
-		t.Error(err)
+		t.Errorf("unknown role: error %v, want one that names KindRole", err)
 	}
 }
 
-// expectAddressInUse fails the test unless a second server can't start, with an error that names the file and the key listen.
+// expectAddressInUse fails the test unless starting a server on an address in use returns an error that names the file
+// and the key listen.
 func (h *harness) expectAddressInUse() {
 	h.Helper()
 	cfg, err := LoadConfig(h.getenv)
@@ -92,10 +94,10 @@
 	}
 	_, err = New(cfg, zerolog.Nop())
 	if err == nil || !strings.Contains(err.Error(), "listen") || !strings.Contains(err.Error(), h.configPath) {
-		h.Error(err)
+		h.Errorf("address in use: error %v, want one that names listen and the file", err)
 	}
 	var configErr *ConfigError
 	if !errors.As(err, &configErr) || configErr.File != h.configPath || configErr.Key != "listen" || !errors.Is(err, syscall.EADDRINUSE) {
-		h.Errorf("%#v", err)
+		h.Errorf("address in use: error %#v, want a *ConfigError that wraps EADDRINUSE", err)
 	}
 }
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -17,15 +17,15 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestEndpointChangesApplyInTheIterationOfTheirArrival: changes apply in the iteration in which
-// they arrive, however they are cut; outdated lists change nothing; malformed messages and the end of a watch lead to a
-// new watch from the last revision.
-func TestEndpointChangesApplyInTheIterationOfTheirArrival(t *testing.T) {
+// TestEndpointUpdatesAndNewWatches: a message is applied once its last piece has arrived. A list of an earlier revision
+// and invalid entries change nothing else. After a malformed message or the end of the watch, a new watch requests the
+// changes since the latest revision.
+func TestEndpointUpdatesAndNewWatches(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
 	draining, other := h.engines[1], h.engines[2]
 	callsBefore := h.discovery.Calls()
 
-	// An engine drains by a message in two pieces.
+	// A message in two pieces makes an engine drain.
 	h.revision = 5
 	message := platformtest.IncrementalList(h.revision, draining.EntryInPhase(platformtest.Terminating)) + "\n\n"
 	h.discovery.Send(message[:40])
@@ -33,41 +33,40 @@
 	h.waitOnLoop("the engine to drain", func() bool { return h.stateOf(draining) == control.Draining })
 	for range 8 {
 		if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
-			t.Fatal(answer)
+			t.Fatalf("answer %+v, want 200", answer)
 		}
 	}
 	if n := draining.Attempts(); n != 0 {
-		t.Errorf("%d attempts at a draining engine", n)
+		t.Errorf("%d attempts at a draining engine, want none", n)
 	}
 
-	// An outdated list changes nothing, and unusable entries leave the others alone.
+	// A list of an earlier revision and invalid entries change nothing.
 	h.discovery.Send(strings.Replace(h.completeList(), `"revision":5`, `"revision":2`, 1) + "\n")
 	h.revision = 6
 	h.discovery.Send(`{"revision":6,"complete":false,"members":[{"id":"s-9","host_port":"nowhere","flavor":"w1","phase":"in_service"},{"id":"s-8","host_port":"127.0.0.1:1","flavor":"odd","phase":"in_service"}]}` + "\n")
 	h.waitUntilListApplied()
-	h.waitOnLoop("the engine still to drain", func() bool { return h.stateOf(draining) == control.Draining })
-	h.waitOnLoop("three engines", func() bool { return h.server.membership.Len() == 3 })
+	h.waitOnLoop("the engine to be draining still", func() bool { return h.stateOf(draining) == control.Draining })
+	h.waitOnLoop("the list to have three engines", func() bool { return h.server.membership.Len() == 3 })
 
-	// A malformed message, and the end of a watch, lead to a new one from the last revision.
+	// A malformed message and the end of a watch each lead to a new call since the latest revision.
 	h.discovery.Send("%%% no JSON\n")
-	h.waitFor("a new watch", func() bool { return h.discovery.Calls() == callsBefore+1 })
+	h.waitFor("a call after the malformed message", func() bool { return h.discovery.Calls() == callsBefore+1 })
 	if since := h.discovery.Since(callsBefore + 1); since != "6" {
-		t.Errorf("watch from revision %s", since)
+		t.Errorf("changes requested since revision %q, want 6", since)
 	}
 	h.discovery.CloseCalls()
-	h.waitFor("another watch", func() bool { return h.discovery.Calls() == callsBefore+2 })
+	h.waitFor("a call after the end of the watch", func() bool { return h.discovery.Calls() == callsBefore+2 })
 
-	// Engines leave the list, and one returns.
+	// Two engines leave the list, and one of them is listed again after a restart.
 	h.notifyChange(draining.EntryInPhase(platformtest.Terminated), other.EntryInPhase(platformtest.Terminated))
-	h.waitOnLoop("the engines to be gone", func() bool { return h.server.membership.Len() == 1 && len(h.server.endpoints.byID) == 1 })
+	h.waitOnLoop("the engines to be removed", func() bool { return h.server.membership.Len() == 1 && len(h.server.endpoints.byID) == 1 })
 	restarted := other.Entry()
 	restarted.UpSinceMillis = time.Now().UnixMilli()
 	h.notifyChange(restarted)
-	h.waitOnLoop("an engine to be back", func() bool { return h.stateOf(other) == control.Ready })
+	h.waitOnLoop("the restarted engine to be ready", func() bool { return h.stateOf(other) == control.Ready })
 }
 
-// TestWatchReadsIndentedListInPieces: a list over many lines, in pieces, is applied, and
-// the watch goes on.
+// TestWatchReadsIndentedListInPieces: a list that extends over many lines and chunks is applied, and the watch continues.
 func TestWatchReadsIndentedListInPieces(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	callsBefore := h.discovery.Calls()
@@ -87,12 +86,12 @@
 	h.discovery.Send(h.completeList() + "\n")
 	h.waitUntilListApplied()
 	if n := h.discovery.Calls(); n != callsBefore {
-		t.Errorf("%d calls, %d before the lists", n, callsBefore)
+		t.Errorf("%d calls to discovery, want %d as before the lists", n, callsBefore)
 	}
 }
 
-// TestRepeatedListKeepsIdleConnections: a repeated list does not make engines look
-// restarted.
+// TestRepeatedListKeepsIdleConnections: a list that is sent again does not make engines look restarted, which would close
+// their idle connections.
 func TestRepeatedListKeepsIdleConnections(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	entries := []platformtest.Entry{h.engines[0].Entry(), h.engines[1].Entry()}
@@ -106,7 +105,7 @@
 	}
 	sendList()
 	if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
-		t.Fatal(answer)
+		t.Fatalf("answer %+v, want 200", answer)
 	}
 
 	var startedBefore map[control.EndpointID]control.Time
@@ -118,11 +117,11 @@
 			for id, e := range h.server.endpoints.byID {
 				startedAt[id] = e.startedAt
 				if e.Idle() != 1 {
-					t.Errorf("%d idle connections after list %d", e.Idle(), i)
+					t.Errorf("%d idle connections to an engine after list %d, want 1", e.Idle(), i)
 				}
 			}
 			if startedBefore != nil && fmt.Sprint(startedAt) != fmt.Sprint(startedBefore) {
-				t.Errorf("started at %v, then at %v", startedBefore, startedAt)
+				t.Errorf("start times %v after list %d, want %v as before", startedAt, i, startedBefore)
 			}
 			startedBefore = startedAt
 		})
@@ -135,15 +134,15 @@
 // callScript answers a call of discovery.
 type callScript func(net.Conn)
 
-// The ways in which a call of discovery fails.
+// Faults of a call to discovery.
 var (
-	neverAnswers   callScript = func(net.Conn) {}
-	onlyAnswerHead callScript = func(conn net.Conn) { io.WriteString(conn, platformtest.WatchHead) }
-	answersError   callScript = func(conn net.Conn) {
+	neverAnswers callScript = func(net.Conn) {}
+	answersHead  callScript = func(conn net.Conn) { io.WriteString(conn, platformtest.WatchHead) }
+	answersError callScript = func(conn net.Conn) {
 		io.WriteString(conn, platformtest.Status(http.StatusInternalServerError, ""))
 	}
 	closesConn callScript = func(conn net.Conn) { conn.Close() }
-	// endlessMessage sends half a message, a byte at a time for ever.
+	// endlessMessage sends a message that never ends, in small chunks.
 	endlessMessage callScript = func(conn net.Conn) {
 		io.WriteString(conn, platformtest.WatchHead)
 		go func() {
@@ -157,22 +156,21 @@
 	}
 )
 
-// TestEndpointUpdateArrivesInTimeThoughCallsHang: an update arrives in time although the watch becomes
-// unresponsive, or half a message arrives a byte at a time for ever, and the next
-// calls hang before or after their heads.
+// TestEndpointUpdateArrivesInTimeThoughCallsHang: the watch becomes unresponsive, and the calls after it fail or hang. The
+// next update is still applied within the platform's limit.
 func TestEndpointUpdateArrivesInTimeThoughCallsHang(t *testing.T) {
-	const notifiedWithin = 6 * time.Second
+	const platformLimit = 6 * time.Second
 	const oneCallMore = membership.WatchTimeout + 2*time.Second
 	for name, test := range map[string]struct {
-		calls  []callScript // that follow the watch; then calls are answered
+		calls  []callScript // of the calls after the watch; all later ones are answered
 		within time.Duration
 	}{
-		"at once": {within: oneCallMore},
-		"hang":    {[]callScript{neverAnswers, neverAnswers, neverAnswers, neverAnswers, neverAnswers, neverAnswers}, oneCallMore},
-		"head":    {[]callScript{onlyAnswerHead}, notifiedWithin},
-		"half":    {[]callScript{endlessMessage}, notifiedWithin},
-		"mixed":   {[]callScript{answersError, closesConn, neverAnswers, onlyAnswerHead}, notifiedWithin},
-		"ends":    {[]callScript{closesConn, answersError, closesConn, answersError, closesConn}, oneCallMore},
+		"next call answered":   {within: oneCallMore},
+		"no response":          {[]callScript{neverAnswers, neverAnswers, neverAnswers, neverAnswers, neverAnswers, neverAnswers}, oneCallMore},
+		"head only":            {[]callScript{answersHead}, platformLimit},
+		"endless message":      {[]callScript{endlessMessage}, platformLimit},
+		"different faults":     {[]callScript{answersError, closesConn, neverAnswers, answersHead}, platformLimit},
+		"connections that end": {[]callScript{closesConn, answersError, closesConn, answersError, closesConn}, oneCallMore},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -188,20 +186,20 @@
 				test.calls[i](conn)
 				return true
 			})
-			since := time.Now()
+			start := time.Now()
 
 			h.waitUntilListApplied()
 
-			if took := time.Since(since); took > min(notifiedWithin, test.within) {
-				t.Errorf("the update arrived after %v", took)
+			if took, limit := time.Since(start), min(platformLimit, test.within); took > limit {
+				t.Errorf("the update was applied after %v, limit %v", took, limit)
 			}
 			h.expectOnlyLatestWatchIsRead()
 		})
 	}
 }
 
-// expectOnlyLatestWatchIsRead fails the test unless the server applies what the latest watch brings and nothing that an
-// abandoned one brings later.
+// expectOnlyLatestWatchIsRead fails the test unless the server applies a message on the latest call and ignores one on the
+// first call, which it has abandoned.
 func (h *harness) expectOnlyLatestWatchIsRead() {
 	h.Helper()
 	const abandonedRevision, latestRevision = 9, 3
@@ -212,13 +210,13 @@
 	h.waitUntilListApplied()
 	h.runOnLoop(func() {
 		if len(h.server.discovery.pending) != 0 || h.server.discovery.watch == nil {
-			h.Error("more than one watch")
+			h.Errorf("%d pending calls beside the watch, or no watch; want a watch alone", len(h.server.discovery.pending))
 		}
 	})
 }
 
-// TestServesConfiguredEndpointsWithoutDiscovery: a server is ready with the endpoint list in its
-// configuration, and serves, while discovery is unresponsive.
+// TestServesConfiguredEndpointsWithoutDiscovery: while discovery is unreachable, a server passes health checks and serves
+// with the endpoint list in its configuration.
 func TestServesConfiguredEndpointsWithoutDiscovery(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	h.config["discovery"] = enginetest.UnreachableAddress(t).String()
@@ -236,20 +234,20 @@
 	withoutDiscovery := &harness{T: t, server: server, discovery: h.discovery, requestCount: 100}
 
 	if answer := withoutDiscovery.roundTrip(healthCheck); answer.Code != http.StatusOK {
-		t.Error(answer)
+		t.Errorf("health check: answer %+v, want 200", answer)
 	}
 	calls := map[*watchCall]bool{}
-	withoutDiscovery.waitOnLoop("calls to make way for later ones", func() bool {
+	withoutDiscovery.waitOnLoop("calls to be replaced by later ones", func() bool {
 		for _, call := range server.discovery.pending {
 			calls[call] = true
 		}
 		if n := len(server.discovery.pending); n > membership.MaxConcurrentCalls {
-			t.Errorf("%d calls at once", n) // on the loop, which a Fatalf would end
+			t.Errorf("%d concurrent calls, limit %d", n, membership.MaxConcurrentCalls) // Fatalf would end the loop's goroutine
 		}
 		return len(calls) > membership.MaxConcurrentCalls+2
 	})
 	if answer := withoutDiscovery.roundTrip(withoutDiscovery.chat("note")); answer.Code != http.StatusOK {
-		t.Error(answer)
+		t.Errorf("request: answer %+v, want 200", answer)
 	}
 
 	server.Shutdown()
@@ -258,8 +256,9 @@
 	}
 }
 
-// TestEngineDrainsThoughRestOfEntryIsUnusable: the end of an engine counts by itself.
-func TestEngineDrainsThoughRestOfEntryIsUnusable(t *testing.T) {
+// TestEngineDrainsDespiteInvalidAddressAndKind: an engine whose entry is terminating drains even if the entry's address and
+// kind are invalid. It keeps its previous address and kind.
+func TestEngineDrainsDespiteInvalidAddressAndKind(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
 	engine := h.engines[1]
 
--- a/internal/platform/endpointlist_test.go
+++ b/internal/platform/endpointlist_test.go
@@ -8,9 +8,9 @@
 	"martenlock/internal/platformsettings"
 )
 
-// TestUnusableEntriesAreReportedAndOthersHold: an entry that is left out is reported with its
-// field, and the others apply.
-func TestUnusableEntriesAreReportedAndOthersHold(t *testing.T) {
+// TestInvalidEntriesAreReportedAndOthersApply: an invalid entry is left out and reported with its field, and the
+// other entries apply.
+func TestInvalidEntriesAreReportedAndOthersApply(t *testing.T) {
 	settings := &platformsettings.Settings{KindNames: []string{"w1"}, ZoneNames: []string{"a"}}
 	noStart := func(int64) control.Time { return 0 }
 	good := endpointEntry{ID: "good", HostPort: "127.0.0.1:9", Kind: "w1", Zone: "elsewhere", Phase: "in_service"}
@@ -26,14 +26,14 @@
 		update, err := message.update(settings, noStart)
 
 		if len(update.Endpoints) != 1 || update.Endpoints[0].ID != good.endpointID() || update.Endpoints[0].Zone != 1 || update.Revision != 3 || !update.Complete {
-			t.Errorf("%+v: %+v", c, update)
+			t.Errorf("invalid entry %+v: update %+v, want the valid entry alone", c, update)
 		}
 		var entryErr *endpointEntryError
 		switch {
 		case c.field == "" && !errors.Is(err, errEntryWithoutID):
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("invalid entry %+v: error %v, want %v", c, err, errEntryWithoutID)
 		case c.field != "" && (!errors.As(err, &entryErr) || entryErr.Field != c.field || entryErr.ID != c.id):
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("invalid entry %+v: error %v, want one with the id and field", c, err)
 		}
 	}
 }
--- a/internal/platform/engineprocess_test.go
+++ b/internal/platform/engineprocess_test.go
@@ -20,20 +20,20 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// The behaviors of an engine process.
+// Behaviors of an engine process.
 const (
 	prefillBehavior      = "prefill"
 	decodeBehavior       = "decode"
 	prefillThenReset     = "prefill, then reset"      // retains the KV state and resets the connection instead of answering
 	decodeWithoutAnswer  = "decode without answer"    // receives the request and never answers
-	decodeKVStateMissing = "decode, KV state missing" // rejects: it can't fetch the KV state
-	prefillOnce          = "prefill once"             // never answers from the second prefill on
+	decodeKVStateMissing = "decode, KV state missing" // rejects the request because it can't fetch the KV state
+	prefillOnce          = "prefill once"             // answers only the first prefill
 )
 
-// engineEventKind is what an engine process did for a request.
+// engineEventKind is the kind of an engineEvent.
 type engineEventKind string
 
-// What engine processes report.
+// Kinds of events that engine processes report.
 const (
 	kvRetained      engineEventKind = "retained"  // a prefill has ended and left KV state
 	kvFetched       engineEventKind = "fetched"   // a decode attempt has arrived completely
@@ -41,15 +41,15 @@
 	prefillReceived engineEventKind = "prefilled" // a prefill attempt has arrived completely
 )
 
-// engineEvent is a line that an engine process writes to its standard output.
+// engineEvent is an event at an engine process, which writes it as a line to its standard output.
 type engineEvent struct {
 	Kind      engineEventKind
 	RequestID string
 	At        time.Time
-	engine    string // its name
+	engine    string // name of the engine; set by the reader
 }
 
-// runEngineProcess is the life of an engine process: it prints its address, then its events.
+// runEngineProcess runs an engine process. It prints the engine's address, then its events.
 func runEngineProcess(behavior string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,7 +69,7 @@
 	events   *json.Encoder
 }
 
-// report writes an event.
+// report writes an event to standard output.
 func (s *engineServer) report(kind engineEventKind, requestID string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +111,7 @@
 		s.report(kvFetched, requestID)
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, platformtest.FirstEvent)
-		_ = http.NewResponseController(w).Flush() // the client's end shows at the next write
+		_ = http.NewResponseController(w).Flush() // if the client has left, the next write fails
 		_, _ = io.WriteString(w, platformtest.LastToken+platformtest.DoneEvent)
 	case decodeWithoutAnswer:
 		s.report(kvFetched, requestID)
@@ -127,20 +127,21 @@
 	command *exec.Cmd
 	name    string
 	flavor  string
-	address string // where it listens
-	proxy   *silentProxy
+	address string       // listening address
+	proxy   *silentProxy // nil if the engine is listed with its own address
 }
 
-// stop stops the process: its connections stay open, and new ones are established. It returns once the process has stopped.
+// stop suspends the process with SIGSTOP and waits until it is suspended. Its connections stay open, and the kernel still
+// establishes new ones.
 func (e *engineProcess) stop(t *testing.T) {
 	t.Helper()
 	if err := e.command.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the process to stop", func() bool { return isStopped(t, e.command.Process.Pid) })
+	waitFor(t, "the engine process to be suspended", func() bool { return isStopped(t, e.command.Process.Pid) })
 }
 
-// resume continues a stopped process.
+// resume continues the suspended process.
 func (e *engineProcess) resume(t *testing.T) {
 	t.Helper()
 	if err := e.command.Process.Signal(syscall.SIGCONT); err != nil {
@@ -148,17 +149,17 @@
 	}
 }
 
-// isStopped reports whether all threads of a process are stopped (proc(5)).
+// isStopped reports whether all threads of a process are in state T, stopped, as in proc_pid_stat(5).
 func isStopped(t *testing.T, pid int) bool {
 	t.Helper()
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	if err != nil || len(threads) == 0 {
-		t.Fatal("no threads of ", pid, err)
+		t.Fatalf("no threads of process %d found: %v", pid, err)
 	}
 	for _, path := range threads {
 		stat, err := os.ReadFile(path)
 		if err != nil {
-			return false // the thread has ended meanwhile
+			return false // the thread has ended since Glob
 		}
 		_, afterName, _ := strings.Cut(string(stat), ") ")
 		if !strings.HasPrefix(afterName, "T") {
@@ -168,7 +169,7 @@
 	return true
 }
 
-// listed returns the engine's entry in the endpoint list.
+// listed returns the engine's entry in the endpoint list, with the proxy's address if there is one.
 func (e *engineProcess) listed() platformtest.Entry {
 	address := e.address
 	if e.proxy != nil {
--- a/internal/platform/eventlog_test.go
+++ b/internal/platform/eventlog_test.go
@@ -11,7 +11,7 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// expectLogged fails the test unless a line of this message has these fields.
+// expectLogged fails the test unless a line with this message has these fields.
 func (h *harness) expectLogged(message string, want map[string]any) {
 	h.Helper()
 	lines := h.log.lines(message)
@@ -24,11 +24,11 @@
 			return
 		}
 	}
-	h.Errorf("no line %q with %v among %v", message, want, lines)
+	h.Errorf("no line %q has the fields %v; lines with this message: %v", message, want, lines)
 }
 
-// TestTimelineOfAFailedRequestIsLogged: the log names the request, its attempts with engines and
-// results, why there was no retry, and what became of the KV state that it left.
+// TestTimelineOfAFailedRequestIsLogged: the log has the failed attempt with its engine and result, the request's
+// outcome with the reason why there was no retry, and the release of its KV state.
 func TestTimelineOfAFailedRequestIsLogged(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	h.engines[1].SetScript(platformtest.RespondAndClose(""))
@@ -48,7 +48,8 @@
 	h.expectLogged("KV released", map[string]any{"request_id": "c1"})
 }
 
-// TestTimelineOfARetryIsLogged: a retry names the attempt before it, and a rejection its reason.
+// TestTimelineOfARetryIsLogged: the line about a retry has the result of the attempt before, and the line about a
+// rejected request has the reason.
 func TestTimelineOfARetryIsLogged(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
 	for _, e := range h.engines[1:] {
@@ -65,23 +66,23 @@
 	h.expectLogged("request ended", map[string]any{"request_id": "c1", "outcome": "rejected", "reason": "out_of_attempts"})
 }
 
-// TestReasonOfACloseIsLogged: a connection that the server closes has a line with the reason.
+// TestReasonOfACloseIsLogged: the log has the reason why the server closed a client's connection.
 func TestReasonOfACloseIsLogged(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 
 	answer := h.roundTrip("GET / HTTP/3.7\r\n\r\n")
 
 	if answer.Code < 400 {
-		t.Errorf("answered %d", answer.Code)
+		t.Errorf("answered %d, want 400 or above", answer.Code)
 	}
 	lines := h.log.lines("client connection closed")
 	if len(lines) != 1 || lines[0]["reason"] == "" {
-		t.Errorf("logged %v", lines)
+		t.Errorf("lines about closed connections: %v, want one with a reason", lines)
 	}
 }
 
-// TestEventLogIsBounded: a flood of one kind gets the burst and then the rate, reports how many lines were suppressed, and
-// leaves the other kind its lines.
+// TestEventLogIsBounded: a flood of one kind of line is limited to the burst and then to the rate, the number of suppressed
+// lines is reported, and lines of the other kind are not suppressed.
 func TestEventLogIsBounded(t *testing.T) {
 	var written logBuffer
 	now := time.Second
@@ -91,13 +92,13 @@
 		events.requestLine().Msg("request")
 	}
 	if n := len(written.lines("request")); n != eventLineBurst {
-		t.Errorf("%d lines at once, want %d", n, eventLineBurst)
+		t.Errorf("%d lines logged at once, want %d", n, eventLineBurst)
 	}
 
 	events.connLine().Msg("connection")
 	lines := written.lines("connection")
 	if len(lines) != 1 || lines[0]["lines_suppressed"] != float64(9*eventLineBurst) {
-		t.Errorf("the other kind: %v", lines)
+		t.Errorf("lines of the other kind: %v, want one with %d lines_suppressed", lines, 9*eventLineBurst)
 	}
 
 	const seconds = 10
@@ -107,6 +108,6 @@
 		events.requestLine().Msg("request")
 	}
 	if n := len(written.lines("request")) - before; n < seconds*eventLinesPerSecond-1 || n > seconds*eventLinesPerSecond+1 {
-		t.Errorf("%d lines in %d s of a flood", n, seconds)
+		t.Errorf("%d lines logged in %d s of a flood, want %d", n, seconds, seconds*eventLinesPerSecond)
 	}
 }
--- a/internal/platform/golden_sites_test.go
+++ b/internal/platform/golden_sites_test.go
@@ -12,14 +12,14 @@
 	"martenlock/internal/platformsettings"
 )
 
-// TestGoldenSites pins what a router parses of each deployment's settings, and the health check
-// and one exchange of each class of a router that runs with them.
+// TestGoldenSites compares, for each deployment in deploy/sites, the parsed configuration of a router, and the bytes of
+// a health check and of one exchange per request class, with golden files.
 func TestGoldenSites(t *testing.T) {
 	t.Parallel()
 	wire, protocol := readJSON[wireNames](t, "wire.json"), readJSON[httpNames](t, "real.json")
 	files, err := filepath.Glob(filepath.Join(sitesDir, "*.toml"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no sites: %v", err)
+		t.Fatalf("no site files in %s: %v", sitesDir, err)
 	}
 	for _, path := range files {
 		file := filepath.Base(path)
@@ -45,76 +45,76 @@
 }
 
 var (
-	goldenRoles   = map[control.Role]string{control.RolePrefill: "prefill", control.RoleDecode: "decode", control.RoleColocated: "both"}
-	goldenEffects = map[control.Idempotency]string{control.Idempotent: "idempotent", control.IdempotentWithKey: "deduplicated", control.NotIdempotent: "at most once"}
+	goldenRoles         = map[control.Role]string{control.RolePrefill: "prefill", control.RoleDecode: "decode", control.RoleColocated: "both"}
+	goldenIdempotencies = map[control.Idempotency]string{control.Idempotent: "idempotent", control.IdempotentWithKey: "deduplicated", control.NotIdempotent: "at most once"}
 )
 
-// goldenClass is a request class in the dump of settings.
+// goldenClass is a request class in a golden file.
 type goldenClass struct {
-	Name      string  `json:"name"`
-	Aim       string  `json:"first_token_target"`
-	PromptAim string  `json:"first_token_target_per_1000_prompt_tokens"`
-	TokenAim  string  `json:"token_interval_target"`
-	Deadline  string  `json:"deadline"`
-	Worth     float64 `json:"worth"`
-	LateWorth float64 `json:"late_worth"`
-	Effect    string  `json:"effect"`
-	Attempts  int     `json:"max_attempts"`
+	Name              string  `json:"name"`
+	TTFTObjective     string  `json:"first_token_target"`
+	TTFTPer1000Tokens string  `json:"first_token_target_per_1000_prompt_tokens"`
+	ITLObjective      string  `json:"token_interval_target"`
+	Deadline          string  `json:"deadline"`
+	PriorityWeight    float64 `json:"worth"`
+	LateWeightShare   float64 `json:"late_worth"`
+	Idempotency       string  `json:"effect"`
+	MaxAttempts       int     `json:"max_attempts"`
 }
 
-// goldenKind is a kind of engine in the dump of settings.
+// goldenKind is a kind of engine in a golden file.
 type goldenKind struct {
-	Name   string  `json:"name"`
-	Role   string  `json:"role"`
-	Memory float64 `json:"memory_tokens"`
+	Name         string  `json:"name"`
+	Role         string  `json:"role"`
+	MemoryTokens float64 `json:"memory_tokens"`
 }
 
-// goldenConfig is the dump of a configuration, with names that don't follow the program's.
+// goldenConfig is a configuration in a golden file. Its JSON names are independent of the code's names.
 type goldenConfig struct {
-	Seed           string        `json:"seed"`
-	Name           string        `json:"router_name"`
-	Cores          float64       `json:"cores"`
-	MemoryMB       float64       `json:"memory_mb"`
-	Sockets        int           `json:"sockets"`
-	Routers        int           `json:"routers"`
-	Rank           int           `json:"rank"`
-	Zone           uint16        `json:"zone"`
-	Zones          []string      `json:"zones"`
-	Classes        []goldenClass `json:"classes"`
-	Kinds          []goldenKind  `json:"engine_kinds"`
-	ReportFields   int           `json:"load_report_fields"`
-	Tenants        int           `json:"tenants"`
-	Probes         bool          `json:"probes"`
-	Cancel         bool          `json:"cancel"`
-	AskFleet       bool          `json:"engine_list_is_asked_for"`
-	DecodePrefills bool          `json:"decode_engines_prefill"`
-	Resume         bool          `json:"resume"`
-	MaxAttempts    int           `json:"max_attempts"`
-	MaxHeld        int           `json:"max_held_requests"`
-	MaxRetryAfter  string        `json:"max_retry_after"`
-	ConnectTimeout string        `json:"connect_timeout"`
-	ConnIdle       string        `json:"connection_idle"`
-	PinLimit       string        `json:"held_state_limit"`
-	DrainGrace     string        `json:"drain_grace"`
-	AnswerGrace    string        `json:"answer_grace"`
-	ColdFrom       float64       `json:"cold_start_share"`
-	ColdFor        string        `json:"cold_start_time"`
-	FallMultiple   float64       `json:"overload_multiple"`
-	FallAfter      string        `json:"overload_time"`
+	Seed              string        `json:"seed"`
+	Name              string        `json:"router_name"`
+	Cores             float64       `json:"cores"`
+	MemoryMB          float64       `json:"memory_mb"`
+	Sockets           int           `json:"sockets"`
+	Routers           int           `json:"routers"`
+	Rank              int           `json:"rank"`
+	Zone              uint16        `json:"zone"`
+	Zones             []string      `json:"zones"`
+	Classes           []goldenClass `json:"classes"`
+	Kinds             []goldenKind  `json:"engine_kinds"`
+	ReportFields      int           `json:"load_report_fields"`
+	Tenants           int           `json:"tenants"`
+	CanHealthCheck    bool          `json:"probes"`
+	CanCancel         bool          `json:"cancel"`
+	MustSubscribe     bool          `json:"engine_list_is_asked_for"`
+	DecodeCanPrefill  bool          `json:"decode_engines_prefill"`
+	ResumesStreams    bool          `json:"resume"`
+	MaxAttempts       int           `json:"max_attempts"`
+	MaxRequests       int           `json:"max_held_requests"`
+	MaxRetryAfter     string        `json:"max_retry_after"`
+	ConnectTimeout    string        `json:"connect_timeout"`
+	EngineIdleTimeout string        `json:"connection_idle"`
+	KVRetentionLimit  string        `json:"held_state_limit"`
+	DrainGrace        string        `json:"drain_grace"`
+	AnswerGrace       string        `json:"answer_grace"`
+	InitialShare      float64       `json:"cold_start_share"`
+	SlowStartDuration string        `json:"cold_start_time"`
+	OverloadMultiple  float64       `json:"overload_multiple"`
+	OverloadDuration  string        `json:"overload_time"`
 }
 
-// dumpConfig shows all that was parsed of a configuration.
+// dumpConfig returns the parsed configuration in the form of the golden files.
 func dumpConfig(t *testing.T, cfg *Config) string {
 	t.Helper()
-	set, ctl := &cfg.Settings, &cfg.Settings.Control
+	settings, ctl := &cfg.Settings, &cfg.Settings.Control
 	out := goldenConfig{
 		Seed: fmt.Sprintf("%016x", ctl.Identity.Seed), Name: cfg.Name, Cores: cfg.Limits.Cores, MemoryMB: cfg.Limits.MemoryMB, Sockets: cfg.Limits.Sockets,
-		Routers: ctl.Identity.Routers, Rank: ctl.Identity.Rank, Zone: ctl.Identity.Zone, Zones: set.ZoneNames, Classes: dumpClasses(set), Kinds: dumpKinds(set),
-		ReportFields: len(ctl.Engines.ReportFields), Tenants: len(ctl.Tenants), Probes: ctl.Caller.CanHealthCheck, Cancel: ctl.Caller.CanCancel, AskFleet: ctl.Caller.MustSubscribe,
-		DecodePrefills: ctl.Engines.DecodeCanPrefill, Resume: set.ResumesStreams, MaxAttempts: ctl.Limits.MaxAttempts, MaxHeld: set.MaxRequests,
-		MaxRetryAfter: ctl.Limits.MaxRetryAfter.String(), ConnectTimeout: ctl.Limits.ConnectTimeout.String(), ConnIdle: set.EngineIdleTimeout.String(),
-		PinLimit: ctl.Limits.KVRetentionLimit.String(), DrainGrace: ctl.Limits.DrainGrace.String(), AnswerGrace: ctl.Limits.AnswerGrace.String(),
-		ColdFrom: ctl.SlowStart.InitialShare, ColdFor: ctl.SlowStart.Duration.String(), FallMultiple: ctl.SlowStart.OverloadMultiple, FallAfter: ctl.SlowStart.OverloadDuration.String(),
+		Routers: ctl.Identity.Routers, Rank: ctl.Identity.Rank, Zone: ctl.Identity.Zone, Zones: settings.ZoneNames, Classes: dumpClasses(settings), Kinds: dumpKinds(settings),
+		ReportFields: len(ctl.Engines.ReportFields), Tenants: len(ctl.Tenants), CanHealthCheck: ctl.Caller.CanHealthCheck, CanCancel: ctl.Caller.CanCancel, MustSubscribe: ctl.Caller.MustSubscribe,
+		DecodeCanPrefill: ctl.Engines.DecodeCanPrefill, ResumesStreams: settings.ResumesStreams, MaxAttempts: ctl.Limits.MaxAttempts, MaxRequests: settings.MaxRequests,
+		MaxRetryAfter: ctl.Limits.MaxRetryAfter.String(), ConnectTimeout: ctl.Limits.ConnectTimeout.String(), EngineIdleTimeout: settings.EngineIdleTimeout.String(),
+		KVRetentionLimit: ctl.Limits.KVRetentionLimit.String(), DrainGrace: ctl.Limits.DrainGrace.String(), AnswerGrace: ctl.Limits.AnswerGrace.String(),
+		InitialShare: ctl.SlowStart.InitialShare, SlowStartDuration: ctl.SlowStart.Duration.String(), OverloadMultiple: ctl.SlowStart.OverloadMultiple, OverloadDuration: ctl.SlowStart.OverloadDuration.String(),
 	}
 	text, err := json.MarshalIndent(out, "", "  ")
 	if err != nil {
@@ -123,19 +123,19 @@
 	return string(text) + "\n"
 }
 
-func dumpClasses(set *platformsettings.Settings) (out []goldenClass) {
-	for i, class := range set.Control.Classes {
+func dumpClasses(settings *platformsettings.Settings) (out []goldenClass) {
+	for i, class := range settings.Control.Classes {
 		out = append(out, goldenClass{
-			Name: set.ClassNames[i], Aim: class.TTFTObjective.String(), PromptAim: class.TTFTPer1000Tokens.String(), TokenAim: class.ITLObjective.String(),
-			Deadline: class.Deadline.String(), Worth: class.PriorityWeight, LateWorth: class.LateWeightShare, Effect: goldenEffects[class.Idempotency], Attempts: class.MaxAttempts,
+			Name: settings.ClassNames[i], TTFTObjective: class.TTFTObjective.String(), TTFTPer1000Tokens: class.TTFTPer1000Tokens.String(), ITLObjective: class.ITLObjective.String(),
+			Deadline: class.Deadline.String(), PriorityWeight: class.PriorityWeight, LateWeightShare: class.LateWeightShare, Idempotency: goldenIdempotencies[class.Idempotency], MaxAttempts: class.MaxAttempts,
 		})
 	}
 	return out
 }
 
-func dumpKinds(set *platformsettings.Settings) (out []goldenKind) {
-	for i, kind := range set.Control.Engines.Kinds {
-		out = append(out, goldenKind{Name: set.KindNames[i], Role: goldenRoles[kind.Role], Memory: float64(kind.MemoryTokens)})
+func dumpKinds(settings *platformsettings.Settings) (out []goldenKind) {
+	for i, kind := range settings.Control.Engines.Kinds {
+		out = append(out, goldenKind{Name: settings.KindNames[i], Role: goldenRoles[kind.Role], MemoryTokens: float64(kind.MemoryTokens)})
 	}
 	return out
 }
--- a/internal/platform/limits_test.go
+++ b/internal/platform/limits_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestIdleConnectionFloodIsEvicted: silent connections beyond the clients' share of descriptors
-// are closed, and others are served.
+// TestIdleConnectionFloodIsEvicted: idle client connections beyond maxClientConns are closed, and a new client is still
+// served.
 func TestIdleConnectionFloodIsEvicted(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	for range h.server.limits.maxClientConns + 40 {
@@ -16,19 +16,18 @@
 	}
 
 	if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
-		t.Fatal(answer)
+		t.Fatalf("answer %+v, want 200", answer)
 	}
 
-	h.waitOnLoop("the connections to be within their limit", func() bool {
+	h.waitOnLoop("the client connections to be within their limit", func() bool {
 		listener, limits := h.server.clients.Listener, h.server.limits
 		return listener.Open() <= limits.maxClientConns && listener.MaxOpen < h.server.config.Limits.Sockets-limits.maxEngineConns
 	})
 	h.waitOnLoop("the idle connections to be closed", func() bool { return h.server.clients.Len() == 0 })
 }
 
-// TestIdleConnectionFloodLeavesDescriptorsForOthers: idle clients fill their share of the
-// descriptors while discovery is down: engines, the watch and a reload still get theirs, and new
-// clients are served.
+// TestIdleConnectionFloodLeavesDescriptorsForOthers: while idle clients use all descriptors for clients and discovery is
+// down, a new client is served and a reload reaches another discovery service.
 func TestIdleConnectionFloodLeavesDescriptorsForOthers(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	other := startHarness(t, "r1")
@@ -39,16 +38,16 @@
 	}
 
 	if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
-		t.Fatal(answer)
+		t.Fatalf("answer %+v, want 200", answer)
 	}
 	h.runOnLoop(func() {
-		const ownDescriptors = 19 // package connlimit lists them
+		const ownDescriptors = 19 // listed at reservedDescriptors in package connlimit
 		listener, limit := h.server.clients.Listener, h.server.config.Limits.Sockets
-		if inUse := listener.MaxOpen + h.server.limits.maxEngineConns + ownDescriptors; inUse > limit || listener.Open() > listener.MaxOpen {
-			t.Errorf("%d descriptors of %d; %d clients, %d at most", inUse, limit, listener.Open(), listener.MaxOpen)
+		if required := listener.MaxOpen + h.server.limits.maxEngineConns + ownDescriptors; required > limit || listener.Open() > listener.MaxOpen {
+			t.Errorf("%d descriptors required, limit %d; %d client connections, limit %d", required, limit, listener.Open(), listener.MaxOpen)
 		}
 		if n := len(h.server.discovery.pending); n > 4 {
-			t.Errorf("%d calls at discovery", n)
+			t.Errorf("%d concurrent calls to discovery, limit 4", n)
 		}
 	})
 
@@ -60,8 +59,8 @@
 	h.waitUntilListApplied()
 }
 
-// TestLargeIncompleteUploadsAreEvicted: clients that send most of a large body and then nothing
-// more don't take the memory for bodies from small requests, and are closed in time.
+// TestLargeIncompleteUploadsAreEvicted: if clients fill the memory for bodies with large bodies that they don't complete,
+// other requests are still served, and the incomplete ones are closed.
 func TestLargeIncompleteUploadsAreEvicted(t *testing.T) {
 	const uploadBytes = 200 << 10
 	h := startHarness(t, "r1", "w1")
@@ -71,12 +70,12 @@
 		text := h.chat("ask", "Content-Length: ", "Content-Length: 2620")
 		go io.WriteString(client, text+strings.Repeat("x", uploadBytes))
 	}
-	h.waitOnLoop("the memory for bodies to be in use", func() bool { return h.server.bufferedBytes > capacity-300<<10 })
+	h.waitOnLoop("the uploads to fill the memory for bodies", func() bool { return h.server.bufferedBytes > capacity-300<<10 })
 
 	h.messageContent = strings.Repeat("a", 150<<10)
 	for range 20 {
 		if answer := h.roundTrip(h.chat("ask")); answer.Code != http.StatusOK {
-			t.Fatal(answer)
+			t.Fatalf("answer %+v, want 200", answer)
 		}
 	}
 
--- a/internal/platform/memory_test.go
+++ b/internal/platform/memory_test.go
@@ -11,10 +11,10 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestHeapStaysConstantOverManyRequests: ten thousand request ids on ever new connections, and a
-// hundred thousand engines, leave the live heap as it was.
+// TestHeapStaysConstantOverManyRequests: requests, client connections and engines that have ended leave no data on the
+// heap, apart from recent sessions.
 func TestHeapStaysConstantOverManyRequests(t *testing.T) {
-	const maxGrowth = 4 << 20 // sessions of the last minute are kept by design: some 200 bytes each
+	const maxGrowth = 4 << 20 // sessions of the last minute are kept, with about 200 bytes each
 	h := startHarness(t, "r1", "w1")
 	h.sendManyRequests(2000)
 	h.listManyEngines(0, 5000)
@@ -23,15 +23,15 @@
 	h.sendManyRequests(8000)
 	h.listManyEngines(5000, 95_000)
 
-	h.waitOnLoop("all of it to end", func() bool {
+	h.waitOnLoop("all requests, engines and connections to be removed", func() bool {
 		return len(h.server.exchanges.ByID) == 0 && len(h.server.endpoints.byID) == 2 && h.server.membership.Len() == 2 && h.server.clients.Len() == 0
 	})
 	if after := h.liveHeap(); after > before+maxGrowth {
-		t.Errorf("%d KB live after, %d KB before", after>>10, before>>10)
+		t.Errorf("live heap grew from %d KiB to %d KiB, want growth of at most %d KiB", before>>10, after>>10, maxGrowth>>10)
 	}
 }
 
-// sendManyRequests sends requests of one session each, on new connections of 50 requests, one after another.
+// sendManyRequests sends requests one after another, each in a session of its own and 50 on each connection.
 func (h *harness) sendManyRequests(count int) {
 	h.Helper()
 	const perConnection = 50
@@ -41,14 +41,14 @@
 		for range perConnection {
 			io.WriteString(client, h.chat("ask", "7f3a9c21e0b4d655", fmt.Sprintf("%016x", h.requestCount+1)))
 			if answer := platformtest.ReadAnswer(reader); answer.Code != http.StatusOK {
-				h.Fatal(answer)
+				h.Fatalf("answer %+v, want 200", answer)
 			}
 		}
 		client.Close()
 	}
 }
 
-// listManyEngines has engines come and go, numbered from a first one.
+// listManyEngines adds engines to the endpoint list and removes each at once. They are numbered from first.
 func (h *harness) listManyEngines(first, count int) {
 	h.Helper()
 	const perIteration = 1000
@@ -68,7 +68,7 @@
 	}
 }
 
-// liveHeap returns the bytes of live objects, without what the harness has recorded.
+// liveHeap discards the requests that the harness has recorded and returns the bytes of live objects.
 func (h *harness) liveHeap() uint64 {
 	for _, e := range h.engines {
 		e.ForgetRequests()
--- a/internal/platform/processes_test.go
+++ b/internal/platform/processes_test.go
@@ -21,13 +21,13 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// Environment variables that make a process of the test binary a router or an engine.
+// Environment variables that make a process of the test binary run as a router or an engine.
 const (
-	routerProcessVariable = "MARTENLOCK_TEST_SERVE"
+	routerProcessVariable = "MARTENLOCK_TEST_SERVE"  // any value
 	engineProcessVariable = "MARTENLOCK_TEST_ENGINE" // the engine's behavior
 )
 
-// cluster is routers and engines in processes of their own, and discovery in the test's.
+// cluster is a set of routers and engines, each in its own process. Discovery runs in the test's process.
 type cluster struct {
 	*testing.T
 	engines      []*engineProcess
@@ -41,10 +41,10 @@
 // routerProcess is a router in a process of its own.
 type routerProcess struct {
 	command *exec.Cmd
-	address string
+	address string // listening address
 }
 
-// signal sends the first router a signal.
+// signal sends a signal to the first router.
 func (c *cluster) signal(signal syscall.Signal) {
 	c.Helper()
 	if err := c.routers[0].command.Process.Signal(signal); err != nil {
@@ -55,10 +55,10 @@
 // engineSpec describes an engine process to start.
 type engineSpec struct {
 	behavior string
-	proxied  bool
+	proxied  bool // connections go through a silentProxy
 }
 
-// startCluster starts engines, and one router that knows them.
+// startCluster starts engines, and one router that has them in its endpoint list.
 func startCluster(t *testing.T, specs ...engineSpec) *cluster {
 	t.Helper()
 	c := &cluster{T: t}
@@ -69,8 +69,8 @@
 	return c
 }
 
-// startProcess starts the test binary as a router or an engine, and returns its standard output and error. The process is
-// killed when the test ends.
+// startProcess starts the test binary as a router or an engine, depending on variables. It returns the command with
+// readers of its standard output and error. The process is killed when the test ends.
 func (c *cluster) startProcess(variables ...string) (command *exec.Cmd, stdout, stderr *bufio.Reader) {
 	c.Helper()
 	executable, err := os.Executable()
@@ -79,11 +79,11 @@
 	}
 	command = exec.Command(executable)
 	command.Env = append(os.Environ(), variables...)
-	output, err := command.StdoutPipe()
+	stdoutPipe, err := command.StdoutPipe()
 	if err != nil {
 		c.Fatal(err)
 	}
-	errors, err := command.StderrPipe()
+	stderrPipe, err := command.StderrPipe()
 	if err != nil {
 		c.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 		_ = command.Process.Kill()
 		_ = command.Wait()
 	})
-	return command, bufio.NewReader(output), bufio.NewReader(errors)
+	return command, bufio.NewReader(stdoutPipe), bufio.NewReader(stderrPipe)
 }
 
 // startEngine starts an engine process.
@@ -116,7 +116,7 @@
 	go c.recordEvents(name, stdout)
 }
 
-// recordEvents records what an engine reports.
+// recordEvents records the events that an engine writes to stdout, until the process ends.
 func (c *cluster) recordEvents(engineName string, stdout *bufio.Reader) {
 	decoder := json.NewDecoder(stdout)
 	for {
@@ -130,7 +130,7 @@
 	}
 }
 
-// completeList returns the complete endpoint list.
+// completeList returns a complete endpoint list of all engines.
 func (c *cluster) completeList() string {
 	var entries []platformtest.Entry
 	for _, e := range c.engines {
@@ -139,7 +139,7 @@
 	return platformtest.CompleteList(1, entries...)
 }
 
-// startRouter starts a router process, and waits until it serves.
+// startRouter starts a router process and waits until it serves.
 func (c *cluster) startRouter() {
 	c.Helper()
 	discovery := platformtest.StartDiscovery(c.T, c.completeList())
@@ -161,7 +161,7 @@
 	for line.Message != "serving" {
 		text, err := log.ReadBytes('\n')
 		if err != nil {
-			c.Fatal("the router does not serve: ", err)
+			c.Fatal("the log ended before the router was serving: ", err)
 		}
 		_ = json.Unmarshal(text, &line)
 	}
@@ -169,7 +169,7 @@
 	go c.copyLog(log)
 }
 
-// copyLog reads the router's log to its end, and shows it where the tests are verbose.
+// copyLog reads the router's log to its end, and prints it if the tests are verbose.
 func (c *cluster) copyLog(log *bufio.Reader) {
 	for {
 		text, err := log.ReadString('\n')
@@ -182,14 +182,14 @@
 	}
 }
 
-// sentRequest is a client's request on its way.
+// sentRequest is a client's request that has been sent.
 type sentRequest struct {
 	id       string
 	conn     net.Conn
-	answered <-chan platformtest.Answer // has the answer once the client has received it
+	answered <-chan platformtest.Answer // gets the answer once it has ended
 }
 
-// send sends a request of a class to the routers in turn, on a new connection.
+// send sends a request of a class on a new connection. The routers take turns.
 func (c *cluster) send(class string, edits ...string) sentRequest {
 	c.Helper()
 	c.requestCount++
@@ -209,18 +209,18 @@
 	return sentRequest{id: fmt.Sprintf("c%d", c.requestCount), conn: conn, answered: answered}
 }
 
-// warmUp has this many requests served, one after another.
+// warmUp sends this many requests, one after another, and fails the test if one is not served.
 func (c *cluster) warmUp(class string, count int) {
 	c.Helper()
 	for range count {
 		request := c.send(class)
 		if answer := <-request.answered; answer.Code != http.StatusOK {
-			c.Fatalf("warming up: %d", answer.Code)
+			c.Fatalf("warm-up request answered %d, want 200", answer.Code)
 		}
 	}
 }
 
-// eventsOf returns what engines reported of a request, in order of time.
+// eventsOf returns the engines' events about a request, in order of time.
 func (c *cluster) eventsOf(requestID string) (events []engineEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,8 +233,8 @@
 	return events
 }
 
-// retainedFor returns how long the KV state of a request's latest prefill was neither fetched nor
-// released, up to now where it still is.
+// retainedFor returns the time from the end of a request's latest prefill until its KV state was fetched or
+// released, or until now if it was neither. It returns 0 if no prefill has ended.
 func (c *cluster) retainedFor(requestID string) time.Duration {
 	var since, until time.Time
 	for _, event := range c.eventsOf(requestID) {
--- a/internal/platform/randomfaults_test.go
+++ b/internal/platform/randomfaults_test.go
@@ -14,26 +14,26 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// fault is what goes wrong with an attempt.
+// fault is a fault that an engine injects into an attempt.
 type fault string
 
 const (
 	noFault          fault = "none"
 	errorStatus      fault = "error"
 	rejectedByEngine fault = "rejected"
-	kvStateMissing   fault = "KV state missing" // at decode engines; others serve
+	kvStateMissing   fault = "KV state missing" // at decode engines; prefill engines have no fault
 	connectionReset  fault = "reset"
 	malformedEvent   fault = "malformed event"
 	malformedHead    fault = "malformed head"
-	truncatedStream  fault = "truncated stream" // at decode engines; others serve
+	truncatedStream  fault = "truncated stream" // at decode engines; prefill engines have no fault
 	interimResponse  fault = "interim response"
 	secondResponse   fault = "second response"
-	enormousChunk    fault = "enormous chunk" // at decode engines; others serve
+	enormousChunk    fault = "enormous chunk" // at decode engines; prefill engines have no fault
 	slowResponse     fault = "slow"
 )
 
 const (
-	faultsPerHundred  = 12 // of attempts
+	faultsPerHundred  = 12 // percent of attempts with a fault
 	slowResponseDelay = 30 * time.Millisecond
 )
 
@@ -42,47 +42,49 @@
 	truncatedStream, interimResponse, secondResponse, enormousChunk, slowResponse,
 }
 
-// attemptJudge records the attempts that engines see, and which rules they break.
-type attemptJudge struct {
+// attemptChecker records the attempts that engines receive, and violations of the rules: one attempt of a request at a
+// time, and at most one execution of a request that is not idempotent.
+type attemptChecker struct {
 	mu         sync.Mutex
-	inFlight   map[string]int // attempts by request
-	executions map[string]int // at decode engines, by request
+	inFlight   map[string]int // attempts, by request id
+	executions map[string]int // at decode engines, by request id
 	violations []string
 }
 
-// begin records the begin of an attempt, which a decode engine executes unless the fault is a rejection.
-func (j *attemptJudge) begin(r *platformtest.Request, f fault) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.inFlight[r.ID]++; j.inFlight[r.ID] > 1 {
-		j.violations = append(j.violations, "two attempts of "+r.ID+" at once")
+// begin records the start of an attempt. A decode engine executes it unless the fault is a rejection.
+func (c *attemptChecker) begin(r *platformtest.Request, f fault) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.inFlight[r.ID]++; c.inFlight[r.ID] > 1 {
+		c.violations = append(c.violations, r.ID+" had two concurrent attempts")
 	}
 	if r.Engine.Role() != platformtest.Decode || f == rejectedByEngine || f == kvStateMissing {
 		return
 	}
-	if j.executions[r.ID]++; j.executions[r.ID] > 1 && strings.HasPrefix(r.ID, "note") {
-		j.violations = append(j.violations, r.ID+" was executed twice")
+	if c.executions[r.ID]++; c.executions[r.ID] > 1 && strings.HasPrefix(r.ID, "note") {
+		c.violations = append(c.violations, r.ID+" was executed twice")
 	}
 }
 
-// end records that the next bytes of the engine end the attempt.
-func (j *attemptJudge) end(r *platformtest.Request) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.inFlight[r.ID]--
+// end records the end of an attempt. It is called before the engine sends the response.
+func (c *attemptChecker) end(r *platformtest.Request) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.inFlight[r.ID]--
 }
 
-// rejected records that a client's request was rejected.
-func (j *attemptJudge) rejected(requestID string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if strings.HasPrefix(requestID, "note") && j.executions[requestID] > 0 {
-		j.violations = append(j.violations, requestID+" was rejected after its execution")
+// rejected records that a client's request was rejected. A request that is not idempotent must not have been executed
+// then.
+func (c *attemptChecker) rejected(requestID string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if strings.HasPrefix(requestID, "note") && c.executions[requestID] > 0 {
+		c.violations = append(c.violations, requestID+" was rejected after its execution")
 	}
 }
 
-// faultyScript answers attempts with faults at random.
-func faultyScript(rng *rand.Rand, judge *attemptJudge) platformtest.Script {
+// faultyScript returns a script that injects random faults into faultsPerHundred percent of the attempts.
+func faultyScript(rng *rand.Rand, checker *attemptChecker) platformtest.Script {
 	var mu sync.Mutex // guards rng
 	return platformtest.ForAttempts(func(r *platformtest.Request) bool {
 		f := noFault
@@ -91,16 +93,16 @@
 			f = allFaults[rng.IntN(len(allFaults))]
 		}
 		mu.Unlock()
-		judge.begin(r, f)
+		checker.begin(r, f)
 		if f == slowResponse {
 			time.Sleep(slowResponseDelay)
 		}
-		judge.end(r) // what follows ends the attempt as soon as it arrives
+		checker.end(r) // the router may retry as soon as it receives the response
 		return respondWithFault(r, f)
 	})
 }
 
-// respondWithFault answers an attempt with a fault, and reports whether the connection stays open.
+// respondWithFault answers an attempt with this fault, and reports whether the engine keeps the connection open.
 func respondWithFault(r *platformtest.Request, f fault) (keepOpen bool) {
 	isDecode := r.Engine.Role() == platformtest.Decode
 	switch f {
@@ -150,16 +152,16 @@
 	clientMalformed    clientOutcome = "malformed"
 )
 
-// randomClient sends requests, leaves some of them and garbles some.
+// randomClient sends requests. It abandons some of them at random, and some are malformed.
 type randomClient struct {
 	*testing.T
 	address string
 	number  int
 	rng     *rand.Rand
-	judge   *attemptJudge
+	checker *attemptChecker
 }
 
-// sendRequest sends the client's request of this number on a new connection, and returns how it ended.
+// sendRequest sends the client's request with this number on a new connection and returns its outcome.
 func (c *randomClient) sendRequest(number int) clientOutcome {
 	c.Helper()
 	class := []string{"ask", "ask", "note"}[c.rng.IntN(3)]
@@ -182,16 +184,16 @@
 	case 1:
 		io.WriteString(conn, strings.Replace(text, "X-Budget: ", "X-Budget: \x00", 1))
 		if answer := readAnswer(conn); answer.Code < 400 && !answer.ConnEnded {
-			c.Errorf("a malformed request got %d", answer.Code)
+			c.Errorf("%s: malformed request answered %d, want 400 or above or a closed connection", requestID, answer.Code)
 		}
 		return clientMalformed
 	}
 	io.WriteString(conn, text)
-	return c.judgeAnswer(requestID, readAnswer(conn))
+	return c.classifyAnswer(requestID, readAnswer(conn))
 }
 
-// judgeAnswer returns what an answer means, and fails the test if it is no valid one.
-func (c *randomClient) judgeAnswer(requestID string, answer platformtest.Answer) clientOutcome {
+// classifyAnswer returns the outcome that an answer means, and fails the test if the answer is invalid.
+func (c *randomClient) classifyAnswer(requestID string, answer platformtest.Answer) clientOutcome {
 	c.Helper()
 	switch {
 	case answer.IsCompleteStream():
@@ -199,25 +201,25 @@
 	case answer.Code == http.StatusOK && !answer.IsComplete && strings.HasPrefix(platformtest.Events, answer.Body):
 		return clientGotTruncated
 	case answer.Code == http.StatusServiceUnavailable:
-		c.judge.rejected(requestID)
+		c.checker.rejected(requestID)
 		return clientRejected
 	case answer.Code == http.StatusBadGateway || answer.Code == http.StatusGatewayTimeout:
 		return clientFailed
 	}
-	c.Errorf("%s: %+v", requestID, answer)
+	c.Errorf("%s: invalid answer %+v", requestID, answer)
 	return clientFailed
 }
 
-// TestInvariantsHoldUnderRandomFaults: engines that fail in every way at random, clients of both
-// classes, some of whom leave, and malformed requests beside them; judged by what the engines and clients saw
-// on their sockets.
+// TestInvariantsHoldUnderRandomFaults: with random faults of engines, clients that leave and malformed requests, no
+// request has concurrent attempts, none that is not idempotent is executed twice or rejected after its execution, every
+// answer is valid, and nothing stays open.
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	const clientCount, requestsPerClient, minServed = 12, 40, 150
-	const firstSeed = 51 // of the engines: its faults truncate more streams and reject more requests than those of seed 0
+	const firstSeed = 51 // of the engines' faults
 	h := startHarness(t, "r1", "r1", "r1", "w1", "w1", "w1", "w1")
-	judge := &attemptJudge{inFlight: map[string]int{}, executions: map[string]int{}}
+	checker := &attemptChecker{inFlight: map[string]int{}, executions: map[string]int{}}
 	for i, e := range h.engines {
-		e.SetScript(faultyScript(rand.New(rand.NewPCG(7, uint64(firstSeed+i))), judge))
+		e.SetScript(faultyScript(rand.New(rand.NewPCG(7, uint64(firstSeed+i))), checker))
 	}
 
 	var clients sync.WaitGroup
@@ -225,7 +227,7 @@
 	outcomes := map[clientOutcome]int{}
 	for number := range clientCount {
 		clients.Go(func() {
-			client := &randomClient{T: t, address: h.server.Addr(), number: number, rng: rand.New(rand.NewPCG(3, uint64(number))), judge: judge}
+			client := &randomClient{T: t, address: h.server.Addr(), number: number, rng: rand.New(rand.NewPCG(3, uint64(number))), checker: checker}
 			for request := range requestsPerClient {
 				outcome := client.sendRequest(request)
 				mu.Lock()
@@ -237,13 +239,13 @@
 	clients.Wait()
 
 	h.waitUntilNothingOpen()
-	judge.mu.Lock()
-	defer judge.mu.Unlock()
-	if n := len(judge.violations); n > 0 {
-		t.Errorf("%d rules broken: %v", n, judge.violations[:min(n, 10)])
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if n := len(checker.violations); n > 0 {
+		t.Errorf("%d violations, the first of them: %v", n, checker.violations[:min(n, 10)])
 	}
 	if outcomes[clientServed] < minServed || outcomes[clientGotTruncated]+outcomes[clientFailed] == 0 {
-		t.Errorf("the faults had another effect than intended: %v", outcomes)
+		t.Errorf("outcomes %v, want at least %d served and any truncated or failed", outcomes, minServed)
 	}
 	t.Log(outcomes)
 }
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -9,15 +9,15 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestReloadRetriesTornFile: a torn file changes nothing and is read again. The complete one moves
-// discovery, and open requests go on.
-func TestReloadRetriesTornFile(t *testing.T) {
+// TestReloadRetriesIncompleteFile: a configuration file that is incomplete changes nothing and is read again. Once it is
+// complete, the server subscribes to the new discovery address, and open requests continue.
+func TestReloadRetriesIncompleteFile(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	released := make(chan struct{})
 	h.engines[1].SetScript(platformtest.RespondAfter(released))
 	client := h.send(h.chat("ask"))
 	h.waitForAttempts(1, h.engines[1])
-	next := startHarness(t, "r1").discovery // of another harness
+	next := startHarness(t, "r1").discovery
 	next.SetFirstMessage(h.completeList())
 	callsBefore, ownCallsBefore := next.Calls(), h.discovery.Calls()
 	text, err := os.ReadFile(h.configPath)
@@ -31,18 +31,18 @@
 	h.server.Reload(h.getenv)
 	time.Sleep(3 * reloadRetryDelay / 2)
 	if next.Calls() != callsBefore || h.discovery.Calls() != ownCallsBefore {
-		t.Error("a torn file was applied")
+		t.Error("an incomplete file was applied: discovery received a new call")
 	}
 	h.config["discovery"] = next.Address()
 	h.saveConfig()
-	h.waitFor("discovery to move", func() bool { return next.Calls() > callsBefore })
+	h.waitFor("a call to the new discovery address", func() bool { return next.Calls() > callsBefore })
 
 	close(released)
 	h.expectServed(readAnswer(client))
 }
 
-// TestLatestReloadWins: of two reloads the later one wins, though the earlier one reads its file
-// for longer.
+// TestLatestReloadWins: of two concurrent reloads the later one is applied, even if the earlier one finishes reading its
+// file after it.
 func TestLatestReloadWins(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	firstDiscovery, secondDiscovery := startHarness(t, "r1").discovery, startHarness(t, "r1").discovery
@@ -62,19 +62,19 @@
 
 	h.server.Reload(func(string) string { return secondPath })
 	want := secondDiscovery.Address()
-	h.waitOnLoop("the later reload", func() bool { return h.server.discovery.address.String() == want })
+	h.waitOnLoop("the later reload to be applied", func() bool { return h.server.discovery.address.String() == want })
 	close(proceed)
 	<-firstDone
 
 	h.runOnLoop(func() {})
 	h.runOnLoop(func() {
 		if got := h.server.discovery.address.String(); got != want {
-			t.Errorf("discovery at %s, of the earlier reload", got)
+			t.Errorf("discovery address %s, want %s of the later reload", got, want)
 		}
 	})
 }
 
-// saveConfigWith writes the configuration with another discovery to a file of its own, and returns its path.
+// saveConfigWith writes the configuration with this discovery service to a new file and returns its path.
 func (h *harness) saveConfigWith(discovery *platformtest.Discovery) (path string) {
 	h.Helper()
 	path = filepath.Join(h.TempDir(), "config.json")
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -12,7 +12,7 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// endAcceptWindow ends the accept window of a shutdown in progress.
+// endAcceptWindow makes the accept window of a shutdown in progress end now.
 func (h *harness) endAcceptWindow() {
 	h.Helper()
 	h.runOnLoop(func() {
@@ -21,8 +21,8 @@
 	})
 }
 
-// TestShutdownAnswersRequestsOfTheAcceptWindow: requests accepted before SIGTERM and in the
-// accept window are answered, then Run returns.
+// TestShutdownAnswersRequestsOfTheAcceptWindow: requests accepted before the shutdown and in its accept window are
+// answered, while health checks fail. Then Run returns.
 func TestShutdownAnswersRequestsOfTheAcceptWindow(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	released := make(chan struct{})
@@ -33,7 +33,7 @@
 	h.shutDown()
 	late := h.send(h.chat("note"))
 	if answer := h.roundTrip(healthCheck); answer.Code != http.StatusServiceUnavailable {
-		t.Error(answer)
+		t.Errorf("health check: answer %+v, want 503", answer)
 	}
 	h.waitForAttempts(2, h.engines[1])
 	close(released)
@@ -44,8 +44,8 @@
 	h.expectFinished()
 }
 
-// TestBacklogIsAnsweredAtShutdown: connections in the kernel's backlog when the listener closes
-// get an answer, and none of their requests is forwarded.
+// TestBacklogIsAnsweredAtShutdown: requests on connections that are in the kernel's accept queue when the listener closes
+// are answered 503 and not forwarded.
 func TestBacklogIsAnsweredAtShutdown(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	h.shutDown()
@@ -63,18 +63,18 @@
 
 	for i, client := range clients {
 		if answer := readAnswer(client); answer.Code != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" {
-			t.Errorf("client %d: %+v", i, answer)
+			t.Errorf("client %d: answer %+v, want 503 with Retry-After", i, answer)
 		}
 	}
 	h.expectAttempts(0, 0)
 	h.expectFinished()
 }
 
-// TestShutdownFinishesStreamsAndRejectsLateRequests: at SIGTERM a stream is forwarded to its
-// end, and a request pipelined behind it is rejected unsent; one that is half received is served
-// where the rest arrives within the accept window, and rejected unsent where it arrives later.
+// TestShutdownFinishesStreamsAndRejectsLateRequests: a stream in progress at a shutdown is forwarded to its end. A request
+// pipelined after it is rejected without an attempt. An incomplete request is served if it becomes complete in the accept
+// window, and rejected without an attempt if it does later.
 func TestShutdownFinishesStreamsAndRejectsLateRequests(t *testing.T) {
-	const restBytes = 10
+	const restBytes = 10 // of an incomplete request, sent later
 	h := startHarness(t, "r1", "w1")
 	released := make(chan struct{})
 	h.engines[1].SetScript(platformtest.ForAttempts(func(r *platformtest.Request) bool {
@@ -94,25 +94,26 @@
 	h.shutDown()
 	io.WriteString(early, earlyText[len(earlyText)-restBytes:])
 	if answer := readAnswer(early); answer.Code != http.StatusOK {
-		t.Errorf("in the accept window: %d %s", answer.Code, answer.Body)
+		t.Errorf("request completed in the accept window: answered %d %q, want 200", answer.Code, answer.Body)
 	}
 	h.endAcceptWindow()
 	io.WriteString(late, lateText[len(lateText)-restBytes:])
 	if answer := readAnswer(late); answer.Code != http.StatusServiceUnavailable {
-		t.Errorf("after the accept window: %d %s", answer.Code, answer.Body)
+		t.Errorf("request completed after the accept window: answered %d %q, want 503", answer.Code, answer.Body)
 	}
 	close(released)
 
 	reader := bufio.NewReader(streaming)
 	h.expectServed(platformtest.ReadAnswer(reader))
-	if answer := platformtest.ReadAnswer(reader); answer.Code != http.StatusServiceUnavailable { // the stream's head promised that the connection stays open
-		t.Errorf("the request behind the stream: %+v", answer)
+	// The head of the stream was sent before the shutdown, without Connection: close, so the next request needs an answer.
+	if answer := platformtest.ReadAnswer(reader); answer.Code != http.StatusServiceUnavailable {
+		t.Errorf("request pipelined after the stream: answer %+v, want 503", answer)
 	}
 	h.expectAttempts(2, 2)
 	h.expectFinished()
 }
 
-// busyClientConns returns how many client connections have begun a request. It runs on the loop.
+// busyClientConns returns how many client connections are not idle. It runs on the loop.
 func (h *harness) busyClientConns() (count int) {
 	for c := range h.server.clients.All() {
 		if c.State() != httpserver.Idle {
@@ -122,9 +123,8 @@
 	return count
 }
 
-// TestParkedRequestIsAnsweredAtShutdown: a request that waits for capacity at a shutdown gets
-// its answer.
-func TestParkedRequestIsAnsweredAtShutdown(t *testing.T) {
+// TestQueuedRequestIsAnsweredAtShutdown: a request that waits for capacity when a shutdown starts is answered.
+func TestQueuedRequestIsAnsweredAtShutdown(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	released := make(chan struct{})
 	h.engines[1].SetScript(func(r *platformtest.Request) bool {
@@ -136,10 +136,10 @@
 	h.limitDecodeMemory(700) // tokens: capacity for one request
 	served := h.send(h.chat("note"))
 	h.waitForAttempts(1, h.engines[1])
-	parked := h.send(h.chat("note"))
+	queued := h.send(h.chat("note"))
 	h.waitOnLoop("both requests to be open", func() bool { return len(h.server.exchanges.ByID) == 2 })
 	if n := h.engines[0].Attempts(); n != 1 {
-		t.Fatalf("%d prefill attempts: the second request is not parked", n)
+		t.Fatalf("%d prefill attempts, want 1: the second request must wait", n)
 	}
 
 	h.shutDown()
@@ -147,15 +147,15 @@
 	close(released)
 
 	if answer := readAnswer(served); answer.Code != http.StatusOK {
-		t.Errorf("the request in decode: %d %s", answer.Code, answer.Body)
+		t.Errorf("request in decode: answered %d %q, want 200", answer.Code, answer.Body)
 	}
-	if answer := readAnswer(parked); answer.Code != http.StatusOK && answer.Code != http.StatusServiceUnavailable {
-		t.Errorf("the parked request: %+v", answer)
+	if answer := readAnswer(queued); answer.Code != http.StatusOK && answer.Code != http.StatusServiceUnavailable {
+		t.Errorf("queued request: answer %+v, want 200 or 503", answer)
 	}
 	h.expectFinished()
 }
 
-// limitDecodeMemory replaces the decision module by one whose decode engines have this memory, in tokens.
+// limitDecodeMemory replaces the decision module by a new one that assumes this much memory at each decode engine.
 func (h *harness) limitDecodeMemory(tokens control.Tokens) {
 	h.Helper()
 	h.runOnLoop(func() {
--- a/internal/platform/signals_test.go
+++ b/internal/platform/signals_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestMain makes the process a router or an engine if a test has started it as one.
+// TestMain runs the process as a router or an engine if a test has started it as one, and else runs the tests.
 func TestMain(m *testing.M) {
 	if behavior := os.Getenv(engineProcessVariable); behavior != "" {
 		runEngineProcess(behavior)
@@ -26,10 +26,8 @@
 	os.Exit(0)
 }
 
-// TestSignalsAlwaysEndWithExitCodeZero: the process ends with 0 on SIGTERM, also if that
-// arrives before the server is ready, twice, or with SIGHUP, and while the configuration is slow to read.
-// The configuration is a pipe: opening it for writing waits until the server reads it, and the server
-// waits for what is written.
+// TestSignalsAlwaysEndWithExitCodeZero: the process exits with 0 after SIGTERM, even if signals arrive while it reads its
+// configuration. The configuration is a named pipe, so the test controls how long the process reads it.
 func TestSignalsAlwaysEndWithExitCodeZero(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"once": {syscall.SIGTERM}, "twice": {syscall.SIGTERM, syscall.SIGTERM},
@@ -51,7 +49,7 @@
 			ended := make(chan error, 1)
 			go func() { ended <- command.Wait() }()
 
-			f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // the server reads its file: it has registered for signals
+			f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the process reads its configuration, after signal.Notify
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -68,17 +66,17 @@
 			select {
 			case err := <-ended:
 				if err != nil {
-					t.Errorf("%v: %s", err, log.String())
+					t.Errorf("exit: %v, want code 0; log: %s", err, log.String())
 				}
 			case <-time.After(15 * time.Second):
 				_ = command.Process.Kill()
-				t.Errorf("it does not end: %s", log.String())
+				t.Errorf("the process did not exit within 15 s; log: %s", log.String())
 			}
 		})
 	}
 }
 
-// startServeProcess starts a process that serves with the configuration at a path, and logs to log.
+// startServeProcess starts a router process with the configuration at configPath. Its standard error goes to log.
 func startServeProcess(t *testing.T, configPath string, log io.Writer) *exec.Cmd {
 	t.Helper()
 	executable, err := os.Executable()
--- a/internal/platform/silentproxy_test.go
+++ b/internal/platform/silentproxy_test.go
@@ -8,11 +8,11 @@
 	"martenlock/internal/enginetest"
 )
 
-// silentProxy forwards connections to an engine until it is cut. Then it accepts all bytes and
-// forwards none, and no connection ends.
+// silentProxy is a TCP proxy in front of an engine that can simulate a network outage. While it is cut, it keeps
+// connections open, reads all bytes and forwards none.
 type silentProxy struct {
 	listener *enginetest.Listener
-	target   string
+	target   string // address of the engine
 
 	mu       sync.Mutex
 	clients  []*net.TCPConn
@@ -21,7 +21,7 @@
 	isClosed bool
 }
 
-// startSilentProxy starts a proxy in front of an engine's address.
+// startSilentProxy starts a proxy in front of the engine at target. It runs until the test ends.
 func startSilentProxy(t *testing.T, target string) *silentProxy {
 	t.Helper()
 	p := &silentProxy{target: target}
@@ -49,7 +49,7 @@
 	directions.Wait()
 }
 
-// forward forwards one direction.
+// forward copies bytes in one direction until from ends, and discards them while the proxy is cut.
 func (p *silentProxy) forward(from, to net.Conn) {
 	buffer := make([]byte, 64<<10)
 	for {
@@ -58,7 +58,7 @@
 		isCut := p.isCut
 		p.mu.Unlock()
 		if !isCut && n > 0 {
-			_, _ = to.Write(buffer[:n]) // its end shows in the other direction
+			_, _ = to.Write(buffer[:n]) // an error ends the other direction, which reads from this connection
 		}
 		if err != nil {
 			if !isCut {
@@ -69,14 +69,14 @@
 	}
 }
 
-// setCut sets whether the proxy forwards nothing of what arrives from now on.
+// setCut sets whether the proxy is cut.
 func (p *silentProxy) setCut(isCut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.isCut = isCut
 }
 
-// reset resets the connections that clients have made so far.
+// reset resets all client connections accepted so far.
 func (p *silentProxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/platform/sitefile_test.go
+++ b/internal/platform/sitefile_test.go
@@ -14,12 +14,13 @@
 
 const sitesDir = "../../deploy/sites"
 
-// span is the bounds of a number that differs from day to day; the tests take the lower one.
-type span [2]float64
+// valueRange has the lower and upper bound of a number. The tests use the lower one.
+type valueRange [2]float64
 
-// siteFile is what a site's file says of the settings that its routers get.
+// siteFile is the part of a site's TOML file that determines its routers' settings. Fields without a tag are decoded
+// from keys of the same name in any case.
 type siteFile struct {
-	Scale   struct{ Balancers span }
+	Scale   struct{ Balancers valueRange }
 	Net     struct{ Zones []string }
 	Clients struct {
 		MaxRetryAfter float64 `json:"max_retry_after_ms"`
@@ -45,8 +46,8 @@
 		}
 		Kind []struct {
 			Name     string
-			ColdFrom span `json:"cold_from"`
-			ColdFor  span `json:"cold_s"`
+			ColdFrom valueRange `json:"cold_from"`
+			ColdFor  valueRange `json:"cold_s"`
 		}
 	}
 	Class []struct {
@@ -64,7 +65,7 @@
 		Resume      bool
 		Release     float64 `json:"release_ms"`
 		Engine      []struct {
-			Memory span `json:"memory_k"`
+			Memory valueRange `json:"memory_k"`
 		}
 		Class []struct {
 			TokenAim   float64 `json:"token_ms"`
@@ -73,7 +74,8 @@
 	}
 }
 
-// wireNames is what wire.json says of the names in the settings' object.
+// wireNames is the part of wire.json that determines the names in the settings object. Golden files contain its JSON
+// form, with the field names.
 type wireNames struct {
 	Init struct {
 		UnitSuffix string `json:"unit_suffix"`
@@ -82,7 +84,7 @@
 	}
 }
 
-// key returns a setting's name in the object.
+// key returns a setting's key in the settings object.
 func (w *wireNames) key(name string) string {
 	if other := w.Init.Rename[name]; other != "" {
 		name = other
@@ -94,10 +96,10 @@
 	return out.String()
 }
 
-// timeKey returns the name of a setting that is a time.
+// timeKey returns the key of a setting that is a duration.
 func (w *wireNames) timeKey(name string) string { return w.key(name) + w.Init.UnitSuffix }
 
-// value returns a setting's value in the object's spelling.
+// value returns a setting's value as the settings object spells it.
 func (w *wireNames) value(configured string) string {
 	if other := w.Init.Words[configured]; other != "" {
 		return other
@@ -105,7 +107,8 @@
 	return configured
 }
 
-// httpNames is what real.json says of the protocol on sockets.
+// httpNames is the part of real.json that determines the names in HTTP messages. Golden files contain its JSON form, with
+// the field names.
 type httpNames struct {
 	Slack  float64 `json:"slack_ms"`
 	Header struct {
@@ -118,10 +121,9 @@
 	States struct{ Ready string }
 }
 
-// readJSON reads a file of names. The deployment's own file is a link that leads nowhere in a
-// plain clone, so what the tests need of it is kept in testdata; where the link holds, the two
-// must agree.
-func readJSON[T any](t *testing.T, name string) (kept T) {
+// readJSON reads a file of names from its copy in testdata. The original in sitesDir is a symbolic link, whose target may be
+// missing. If it can be read, the copy must agree with it.
+func readJSON[T any](t *testing.T, name string) (names T) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(sitesDir, name))
 	switch {
@@ -136,21 +138,21 @@
 		}
 		compareGolden(t, "names-"+name, string(object)+"\n")
 	case errors.Is(err, fs.ErrNotExist):
-		t.Logf("%s isn't here: not compared with the names in testdata", name)
+		t.Logf("%s can't be read in %s: its copy in testdata is not compared with it", name, sitesDir)
 	default:
 		t.Fatal(err)
 	}
 	if text, err = os.ReadFile(filepath.Join("testdata", "names-"+name+".golden")); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(text, &kept); err != nil {
+	if err := json.Unmarshal(text, &names); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	return kept
+	return names
 }
 
-// readSite reads a site's TOML file. The sites' files use tables, arrays of tables, and values
-// on one line whose form is JSON's too; anything else is an error.
+// readSite reads a site's TOML file. It supports tables, arrays of tables, and values on one line that are also valid
+// JSON. Anything else fails the test.
 func readSite(t *testing.T, name string) (site siteFile) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(sitesDir, name))
@@ -170,7 +172,7 @@
 		default:
 			key, value, _ := strings.Cut(line, "=")
 			if !json.Valid([]byte(value)) {
-				t.Fatalf("%s:%d: a value of an unknown form", name, number+1)
+				t.Fatalf("%s:%d: the value is not valid JSON", name, number+1)
 			}
 			table[strings.TrimSpace(key)] = json.RawMessage(value)
 		}
@@ -185,14 +187,15 @@
 	return site
 }
 
-// openTable returns the table of a dotted name; of an array of tables it is the last element.
-func openTable(t *testing.T, root map[string]any, name string, element bool) map[string]any {
+// openTable returns the table with a dotted name, and creates it if needed. For an array of tables it returns the last
+// element; isElement appends a new one first.
+func openTable(t *testing.T, root map[string]any, name string, isElement bool) map[string]any {
 	t.Helper()
 	table := root
 	parts := strings.Split(name, ".")
 	for i, part := range parts {
 		elements, isArray := table[part].([]map[string]any)
-		if element && i == len(parts)-1 {
+		if isElement && i == len(parts)-1 {
 			elements, isArray = append(elements, map[string]any{}), true
 			table[part] = elements
 		}
@@ -205,7 +208,7 @@
 		}
 		inner, isTable := table[part].(map[string]any)
 		if !isTable {
-			t.Fatalf("[%s]: %s is no table", name, part)
+			t.Fatalf("[%s]: %s is not a table", name, part)
 		}
 		table = inner
 	}
@@ -219,10 +222,10 @@
 	tokensPerK      = 1e3
 )
 
-// mostHeldRequests is the bound of one router; the sites' files don't give it.
-const mostHeldRequests = 1000
+// maxOpenRequests is the limit of open requests per router, which site files don't contain.
+const maxOpenRequests = 1000
 
-// siteSettings is the settings' object of a site's first router.
+// siteSettings returns the settings object of a site's first router.
 func siteSettings(t *testing.T, site *siteFile, wire *wireNames, protocol *httpNames) string {
 	t.Helper()
 	tier := site.Tier[0]
@@ -255,7 +258,7 @@
 			wire.timeKey("token_aim"): tokenAims, "AimUsPer1000PromptTokens": promptAims,
 		},
 		wire.key("limits"): map[string]any{
-			wire.key("max_attempts"): site.Allow.MaxAttempts, wire.key("max_open"): mostHeldRequests, wire.key("cancel"): site.Allow.Cancel,
+			wire.key("max_attempts"): site.Allow.MaxAttempts, wire.key("max_open"): maxOpenRequests, wire.key("cancel"): site.Allow.Cancel,
 			wire.key("probes"): site.Allow.Probes, wire.key("retry_after"): site.Allow.RetryAfter, wire.key("second_copies"): site.Allow.SecondCopies,
 			wire.timeKey("max_retry_after"): site.Clients.MaxRetryAfter * microsPerMilli,
 			wire.timeKey("conn_idle"):       tier.Conn.Idle * microsPerSecond,
@@ -273,7 +276,7 @@
 	return string(object)
 }
 
-// siteEdits rewrite a request in the words of real.json.
+// siteEdits returns edits that replace a test request's header names and deadline by those of a site.
 func siteEdits(protocol *httpNames, deadline time.Duration) []string {
 	header := &protocol.Header
 	return []string{
@@ -282,7 +285,7 @@
 	}
 }
 
-// siteList rewrites discovery's list in the words of real.json.
+// siteList replaces the names in a discovery message by those of a site.
 func siteList(list string, protocol *httpNames) string {
 	member := &protocol.Member
 	return strings.NewReplacer(`"revision"`, quoted(member.Version), `"complete"`, quoted(member.Full), `"members"`, quoted(member.List),
--- a/internal/platform/warninglimiter_test.go
+++ b/internal/platform/warninglimiter_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRecurringWarningIsLimitedAndLoggedAgain: a condition that lasts is logged once in
-// warningInterval, also after very many kinds of warnings.
+// TestRecurringWarningIsLimitedAndLoggedAgain: the number of remembered kinds is bounded, and a known kind is logged again
+// after warningInterval even if the bound is reached.
 func TestRecurringWarningIsLimitedAndLoggedAgain(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	h.runOnLoop(func() {
@@ -17,7 +17,7 @@
 
 		lastLogged := h.server.warnings.lastLogged
 		if n := len(lastLogged); n != maxWarningKinds {
-			t.Errorf("%d kinds are remembered", n)
+			t.Errorf("%d kinds of warnings remembered, want %d", n, maxWarningKinds)
 		}
 
 		kind := warning{message: "kind 0"}
@@ -25,12 +25,12 @@
 		lastLogged[kind] = longAgo
 		h.server.warn(kind, nil)
 		if lastLogged[kind] == longAgo {
-			t.Error("a known kind is not logged again")
+			t.Error("a known kind was not logged again after its interval")
 		}
 	})
 }
 
-// TestWarningLimiterSeparatesKinds: one kind within its interval does not hide another.
+// TestWarningLimiterSeparatesKinds: a kind that was logged within its interval does not suppress another kind.
 func TestWarningLimiterSeparatesKinds(t *testing.T) {
 	var limiter warningLimiter
 	unavailable := warning{message: "status", status: 503}
@@ -48,7 +48,7 @@
 		{2*warningInterval - 1, notFound, true},
 	} {
 		if got := limiter.allow(step.at, step.kind); got != step.want {
-			t.Errorf("status %d at %v: %v, want %v", step.kind.status, step.at, got, step.want)
+			t.Errorf("warning with status %d at %v: allowed %v, want %v", step.kind.status, step.at, got, step.want)
 		}
 	}
 }
