--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -45,7 +45,7 @@
 // Limits bounds the resources that all processes of a router use together.
 type Limits struct {
 	Cores    float64 `json:"cores"`     // CPU seconds per second
-	MemoryMB float64 `json:"memory_mb"` // in units of bytesPerMB
+	MemoryMB float64 `json:"memory_mb"` // in units of 2^20 bytes
 	Sockets  int     `json:"sockets"`   // open file descriptors
 }
 
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -17,7 +17,7 @@
 	logBufferLines  = 512                   // further lines are dropped, so that the loop never blocks on the log
 	logPollInterval = 20 * time.Millisecond // between two writes of the buffered lines
 	signalBuffer    = 16                    // further signals are dropped
-	maxProcs        = 1                     // requests are handled on one goroutine, the event loop
+	maxProcs        = 1                     // one goroutine, the event loop, handles all requests
 )
 
 // Serve runs a server until its shutdown by SIGTERM or SIGINT is complete. Its configuration is read as
