--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -32,14 +32,14 @@
 
 // Config is a router's configuration on the platform.
 type Config struct {
-	File      string // path of the configuration file
-	Name      string
-	Listen    netip.AddrPort
-	Discovery netip.AddrPort
-	Seed      uint64
-	Limits    Limits
-	Known     []byte // initial endpoint list in the form of a discovery message; may be empty
-	Settings  platformsettings.Settings
+	File           string // path of the configuration file
+	Name           string
+	Listen         netip.AddrPort
+	Discovery      netip.AddrPort
+	Seed           uint64
+	Limits         Limits
+	KnownEndpoints []byte // initial endpoint list in the form of a discovery message; may be empty
+	Settings       platformsettings.Settings
 }
 
 // Limits bounds the resources that all processes of a router use together.
@@ -111,10 +111,10 @@
 		return nil, configFileError(path, "", err)
 	}
 	config := &Config{
-		File:   path,
-		Name:   cmp.Or(file.Name, getenv(variableName)),
-		Limits: file.Limits,
-		Known:  file.Known,
+		File:           path,
+		Name:           cmp.Or(file.Name, getenv(variableName)),
+		Limits:         file.Limits,
+		KnownEndpoints: file.Known,
 	}
 	err = config.parseAddresses(&file, getenv)
 	if err != nil {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -86,7 +86,7 @@
 	s.kvReleases = newKVReleases(s)
 	s.mailbox = newMailbox(s)
 	s.listPollTimer.Fire = s.pollEndpointList
-	if len(config.Known) > 0 && s.applyEndpointList(config.Known) != nil {
+	if len(config.KnownEndpoints) > 0 && s.applyEndpointList(config.KnownEndpoints) != nil {
 		return nil, configFileError(config.File, "known", errNotEndpointList)
 	}
 	s.clients.Listener, err = s.loop.Listen(config.Listen, s.accept)
