--- a/internal/fakeengine/completion.go
+++ b/internal/fakeengine/completion.go
@@ -7,10 +7,10 @@
 	"martenlock/internal/openai"
 )
 
-// tokenText returns the text of a token, given its index in the answer.
+// tokenText returns the text of the token at an index of the answer.
 func tokenText(index int) string { return vocabulary[index%len(vocabulary)] + " " }
 
-// streamEvent returns the data of one event of a stream. finishReason is raw JSON.
+// streamEvent returns the data of a server-sent event. finishReason is raw JSON.
 func (j *job) streamEvent(text, finishReason string) []byte {
 	if j.request.API == openai.Completions {
 		return fmt.Appendf(nil, `{"id":%q,"object":"text_completion","created":1,"model":%q,"choices":[{"index":0,"text":%q,"finish_reason":%s}]}`,
@@ -23,7 +23,7 @@
 // completion returns the body of a response that is not streamed.
 func (j *job) completion() []byte {
 	var text strings.Builder
-	for i := range j.tokensSent {
+	for i := range j.tokensGenerated {
 		text.WriteString(tokenText(i))
 	}
 	object := "chat.completion"
@@ -36,8 +36,8 @@
 		j.requestID, object, j.request.Model, choice, j.usage())
 }
 
-// prefillResponse returns the body of the response to a prefill: one token, and where to fetch the KV
-// state.
+// prefillResponse returns the body of the response to a prefill request: one token, and the parameters
+// for fetching the KV state.
 func (j *job) prefillResponse(state []byte) []byte {
 	prompt := int(j.request.PromptTokens)
 	return fmt.Appendf(nil, `{"id":%q,"object":"chat.completion","created":1,"model":%q,"choices":[{"index":0,"message":{"role":"assistant","content":"x"},"finish_reason":"length"}],`+
@@ -45,8 +45,8 @@
 		j.requestID, j.request.Model, prompt, prompt+1, kvTransferParams(j, state))
 }
 
-// usage returns the usage of a response as raw JSON.
+// usage returns the token counts of a response as raw JSON.
 func (j *job) usage() string {
 	prompt := int(j.request.PromptTokens)
-	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}`, prompt, j.tokensSent, prompt+j.tokensSent)
+	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}`, prompt, j.tokensGenerated, prompt+j.tokensGenerated)
 }
--- a/internal/fakeengine/conn.go
+++ b/internal/fakeengine/conn.go
@@ -12,7 +12,7 @@
 	"martenlock/internal/openai"
 )
 
-// httpLimits bound requests and responses. They are far above what demo and tests send.
+// httpLimits bound requests and responses. Requests of the demo and the tests stay far below them.
 var httpLimits = http1.Limits{Line: 8 << 10, Headers: 64 << 10, Fields: 200, Body: 64 << 20}
 
 // conn is a connection to an engine. It implements eventloop.Handler.
@@ -24,13 +24,12 @@
 	// The current request.
 	method    string
 	path      string
-	requestID string // the router's id
-	recordID  string // the client's id, by which events are recorded
+	requestID string // id that the router assigned
+	recordID  string // request id in recorded events; see recordID
 	body      []byte
 	job       *job // nil before and after execution
 
-	// unreadID is the recordID of a request that has arrived and is not read because the engine hangs.
-	// It is "" for none.
+	// unreadID is the recordID of a request that arrived while the engine hangs and waits to be read, or "".
 	unreadID string
 }
 
@@ -41,7 +40,7 @@
 	return c
 }
 
-// Opened implements eventloop.Handler. It is not called: the connection was accepted.
+// Opened implements eventloop.Handler. It is not called for accepted connections.
 func (c *conn) Opened(*eventloop.Conn) {}
 
 // Data implements eventloop.Handler. It reads up to the end of a request and then pauses the connection
@@ -75,7 +74,7 @@
 	return total
 }
 
-// EOF implements eventloop.Handler. The peer cancels its request, which even a hung engine notices.
+// EOF implements eventloop.Handler. It cancels the current request, also while the engine hangs.
 func (c *conn) EOF(socket *eventloop.Conn) {
 	c.detach()
 	socket.Close()
@@ -84,7 +83,7 @@
 // Closed implements eventloop.Handler. It cancels the current request.
 func (c *conn) Closed(*eventloop.Conn, error) { c.detach() }
 
-// Writable implements eventloop.Handler. It continues a stream that waited for a slow peer.
+// Writable implements eventloop.Handler. It resumes a response that was paused because the peer read slowly.
 func (c *conn) Writable(*eventloop.Conn) {
 	if c.job != nil && c.job.isOutputFull {
 		c.job.isOutputFull = false
@@ -92,7 +91,7 @@
 	}
 }
 
-// beginRequest starts a request with its head.
+// beginRequest stores the head of a new request.
 func (c *conn) beginRequest(head *http1.Head) {
 	c.body = nil
 	c.method = string(head.Method)
@@ -101,7 +100,8 @@
 	c.recordID = recordID(head)
 }
 
-// recordID returns the id by which events of a request are recorded. A shard has an id of its own.
+// recordID returns the id of a request in recorded events. It is the client's id, followed by the shard's
+// number if the request is a shard.
 func recordID(head *http1.Head) string {
 	id := string(head.Get("x-client-request-id"))
 	part := string(head.Get("x-request-part"))
@@ -111,8 +111,8 @@
 	return id
 }
 
-// recordUnread records the attempt of a request that has arrived at a hung engine. For the router it is
-// an attempt like any other.
+// recordUnread records the start of an attempt whose request arrived at a hung engine. The engine doesn't
+// read the request, but the router has sent it.
 func (c *conn) recordUnread(data []byte) {
 	if c.unreadID != "" {
 		return
@@ -148,7 +148,7 @@
 	}
 }
 
-// abortRequests cancels the requests that the body lists, in the form of vLLM's abort_requests.
+// abortRequests cancels the requests that the body lists, like vLLM's /abort_requests.
 func (c *conn) abortRequests() {
 	for _, id := range gjson.GetBytes(c.body, "request_ids").Array() {
 		c.engine.abort(id.Str)
@@ -168,7 +168,7 @@
 	c.socket.Reset()
 }
 
-// detach removes the connection from its engine and cancels its request. It may be called again.
+// detach removes the connection from its engine and cancels its request. Further calls have no effect.
 func (c *conn) detach() {
 	delete(c.engine.conns, c)
 	if c.job != nil {
--- a/internal/fakeengine/counters.go
+++ b/internal/fakeengine/counters.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// counters count what an engine has done. They are kept over restarts.
+// counters count what an engine has done, including before a restart.
 type counters struct {
 	served       int
 	fetchedBytes int // of KV states
@@ -10,11 +10,11 @@
 
 // Stats are the counters of an engine and its current state.
 type Stats struct {
-	Served         int // requests served (of a prefill engine: KV states fetched by others)
+	Served         int // requests served; for a prefill engine, KV states that decode engines fetched
 	FetchedKVBytes int // bytes of KV states that this engine fetched
-	RetainedStates int // KV states
+	RetainedStates int // KV states held for decode engines
 	Running        int // requests with a decode slot
-	Waiting        int // requests in prefill or waiting for it or for a slot
+	Waiting        int // requests in prefill, or waiting for prefill or a decode slot
 	Conns          int // open connections
 }
 
@@ -33,7 +33,7 @@
 	return stats
 }
 
-// loadReport returns an ORCA load report in TEXT format.
+// loadReport returns an ORCA load report in the TEXT format.
 func (e *Engine) loadReport() string {
 	running := e.scheduler.running + e.scheduler.prefilling
 	kvUsage := float64(e.scheduler.running+len(e.kvStore.states)) / float64(max(e.Spec.DecodeSlots, 1))
--- a/internal/fakeengine/embeddings.go
+++ b/internal/fakeengine/embeddings.go
@@ -11,8 +11,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// embeddings returns the body of the response to an embeddings request. The vectors depend on their
-// input only and have a length of about 1. They are malformed if the engine's fault says so.
+// embeddings returns the body of the response to an embeddings request. A vector depends only on its input
+// and has a Euclidean norm of at most 1. The engine's EmbeddingDefect is applied.
 func (j *job) embeddings() []byte {
 	inputs := embeddingInputs(j.body)
 	defect := j.engine.fault.EmbeddingDefect
@@ -43,7 +43,7 @@
 	return fmt.Appendf(out, `],"model":%q,"usage":{"prompt_tokens":%d,"total_tokens":%d}}`, j.request.Model, prompt, prompt)
 }
 
-// embeddingInputs returns the inputs of a request. A list of tokens is one input.
+// embeddingInputs returns the inputs of a request. A list of token ids is one input.
 func embeddingInputs(body []byte) []gjson.Result {
 	input := gjson.GetBytes(body, "input")
 	if !input.IsArray() {
@@ -56,7 +56,7 @@
 	return input.Array()
 }
 
-// dimensions returns the number of dimensions of the embeddings, which a request may set.
+// dimensions returns the number of dimensions that the request sets, or that of the engine.
 func (j *job) dimensions() int {
 	requested := int(gjson.GetBytes(j.body, "dimensions").Int())
 	if requested > 0 {
@@ -65,11 +65,11 @@
 	return max(j.engine.Spec.Dimensions, 1)
 }
 
-// embedding returns the vector of an input. It has length elements, scaled for a vector with the given
-// number of dimensions.
+// embedding returns a pseudorandom vector for an input. It has length elements, each between -1 and 1
+// divided by the square root of dimensions.
 func embedding(input string, dimensions, length int) []float32 {
 	const (
-		// The parameters of Knuth's MMIX generator.
+		// Parameters of the linear congruential generator in Knuth's MMIX.
 		multiplier = 6364136223846793005
 		increment  = 1442695040888963407
 	)
@@ -97,7 +97,7 @@
 	return append(out, ']')
 }
 
-// appendBase64 appends a vector as a JSON string: base64 of its little-endian floats.
+// appendBase64 appends a vector as a JSON string, the base64 encoding of its little-endian float32 elements.
 func appendBase64(out []byte, vector []float32, defect EmbeddingDefect) []byte {
 	if defect == EmbeddingInvalidBase64 {
 		return append(out, `"a*b"`...)
--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -9,21 +9,21 @@
 	"martenlock/internal/invariant"
 )
 
-// Engine is one emulated engine. Its methods may be called from any goroutine. All fields except Spec
-// belong to the event loop.
+// Engine is an emulated engine. Its exported methods may be called from any goroutine. All fields except
+// Spec are accessed only on the event loop.
 type Engine struct {
 	Spec     Spec
 	cluster  *Cluster
-	listener *eventloop.Listener // nil while its process is dead
+	listener *eventloop.Listener // nil while the process is not running
 	conns    map[*conn]struct{}
 	fault    Fault
 
-	// accumulatedFailures is the sum of the fault's error rate over the requests, less the requests
-	// that have failed by it. Each request that raises it to 1 fails.
-	accumulatedFailures float64
+	// errorCredit grows by the fault's error rate with each request. A request that raises it to 1 or more
+	// fails and reduces it by 1. Thus failures are spread evenly over the requests.
+	errorCredit float64
 
-	startedAt          time.Duration // start of its process, in time of the event loop
-	startedInSlowStart bool          // its process started in slow start
+	startedAt          time.Duration // start of the process, on the event loop's clock
+	startedInSlowStart bool
 
 	scheduler scheduler
 	kvStore   kvStore
@@ -64,20 +64,20 @@
 // if the process is not running.
 func (e *Engine) Kill() { e.cluster.do(e.kill) }
 
-// kill ends the engine's process, on the event loop.
+// kill is Kill on the event loop.
 func (e *Engine) kill() {
 	if e.listener == nil {
 		return
 	}
 	e.listener.Close()
 	e.listener = nil
-	e.scheduler.dropQueue()
+	e.scheduler.clearDecodeQueue()
 	for c := range e.conns {
 		c.reset()
 	}
 	e.observe(invariant.EngineDied, "", 0)
 	e.conns = nil
-	e.kvStore.lose()
+	e.kvStore.discardAll()
 }
 
 // Restart starts the engine's process again, at the same address, in slow start and without a fault.
@@ -95,7 +95,7 @@
 	return err
 }
 
-// abort releases the KV state of a request and ends its job on this engine.
+// abort releases the KV state of a request, cancels its job and closes the job's connection.
 func (e *Engine) abort(requestID string) {
 	e.kvStore.release(requestID)
 	for c := range e.conns {
@@ -106,11 +106,11 @@
 	}
 }
 
-// recordIDSeparator separates the ids of the requests of a batch in a record id.
+// recordIDSeparator separates the requests of a batch in a recordID.
 const recordIDSeparator = ", "
 
-// observe records an event of a request, or of the engine if recordID is "". An event of a batch is
-// recorded for each of its requests, with an equal share of the work.
+// observe records an event of a request, or of the engine if recordID is "". If recordID names several
+// requests, the event is recorded for each, and work is divided equally among them.
 func (e *Engine) observe(kind invariant.Kind, recordID string, work float64) {
 	if e.cluster.recording == nil {
 		return
--- a/internal/fakeengine/engine_test.go
+++ b/internal/fakeengine/engine_test.go
@@ -16,13 +16,13 @@
 	engine.Kill()
 
 	events := c.recording.Events()
-	var seen []string
+	var kinds []string
 	for _, event := range events {
-		seen = append(seen, event.Kind.String())
+		kinds = append(kinds, event.Kind.String())
 	}
 	const want = "attempt began, KV state retained, attempt ended, KV state released, engine died"
-	if got := strings.Join(seen, ", "); got != want {
-		t.Errorf("recorded %q, want %q", got, want)
+	if got := strings.Join(kinds, ", "); got != want {
+		t.Errorf("recorded events %q, want %q", got, want)
 	}
 }
 
@@ -33,19 +33,19 @@
 	request := chatBody(`,"kv_transfer_params":{"do_remote_decode":true}`)
 	post(engine, chatPath, request)
 	engine.Kill()
-	dead := post(engine, chatPath, request)
-	if dead.err == nil {
-		t.Errorf("a dead engine answered: %+v", dead)
+	afterKill := post(engine, chatPath, request)
+	if afterKill.err == nil {
+		t.Errorf("after Kill: response %+v, want a connection error", afterKill)
 	}
 	err := engine.Restart()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if engine.Addr() != address || engine.Stats().RetainedStates != 0 {
-		t.Errorf("restarted at %v with %+v, want %v and no KV state", engine.Addr(), engine.Stats(), address)
+		t.Errorf("after Restart: address %v, stats %+v; want address %v and no KV state", engine.Addr(), engine.Stats(), address)
 	}
-	revived := post(engine, chatPath, request)
-	if revived.status != http.StatusOK {
-		t.Errorf("after the restart: %+v", revived)
+	afterRestart := post(engine, chatPath, request)
+	if afterRestart.status != http.StatusOK {
+		t.Errorf("after Restart: response %+v, want status 200", afterRestart)
 	}
 }
--- a/internal/fakeengine/fault_test.go
+++ b/internal/fakeengine/fault_test.go
@@ -19,13 +19,13 @@
 	const inBase64 = `{"model":"m","input":["a","b"],"encoding_format":"base64"}`
 	stream := chatBody(`,"stream":true`)
 	for _, test := range []struct {
-		name   string
-		fault  Fault
-		path   string
-		body   string
-		status int    // 0 if the connection ends before the response
-		breaks bool   // the connection ends before the end of the response
-		says   string // a substring of the response
+		name     string
+		fault    Fault
+		path     string
+		body     string
+		status   int    // 0 if the connection ends before the response
+		isBroken bool   // the connection ends before the end of the response
+		contains string // a substring of the response
 	}{
 		{"none", Fault{}, chatPath, stream, http.StatusOK, false, "data: [DONE]"},
 		{"errors", Fault{ErrorRate: 1}, chatPath, stream, http.StatusInternalServerError, false, "made to fail"},
@@ -41,8 +41,8 @@
 			engine.SetFault(test.fault)
 			got := post(engine, test.path, test.body)
 			isBroken := got.err != nil
-			if got.status != test.status || isBroken != test.breaks || !strings.Contains(got.body, test.says) {
-				t.Errorf("%+v", got)
+			if got.status != test.status || isBroken != test.isBroken || !strings.Contains(got.body, test.contains) {
+				t.Errorf("response %+v; want status %d, broken connection %v, body with %q", got, test.status, test.isBroken, test.contains)
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 	for _, test := range []struct {
 		defect     EmbeddingDefect
 		embeddings int
-		dimensions int // of the last
+		dimensions int // of the last embedding
 	}{
 		{EmbeddingIntact, 2, 3},
 		{EmbeddingMissing, 1, 3},
@@ -64,7 +64,7 @@
 		got := post(engine, embeddingsPath, `{"model":"m","input":["a","b"]}`)
 		embeddings := gjson.Get(got.body, "data.#.embedding").Array()
 		if len(embeddings) != test.embeddings || len(embeddings[len(embeddings)-1].Array()) != test.dimensions {
-			t.Errorf("%v: %+v; want %d embeddings, the last with %d dimensions", test.defect, got, test.embeddings, test.dimensions)
+			t.Errorf("defect %v: response %+v; want %d embeddings, the last with %d dimensions", test.defect, got, test.embeddings, test.dimensions)
 		}
 	}
 }
--- a/internal/fakeengine/generation.go
+++ b/internal/fakeengine/generation.go
@@ -12,15 +12,15 @@
 	"martenlock/internal/openai"
 )
 
-// unpacedBurstTokens is the number of tokens that an engine with a TokenInterval of 0 sends before other
-// connections are served.
+// unpacedBurstTokens is the number of tokens that an engine with a TokenInterval of 0 generates before it
+// yields to other connections.
 const unpacedBurstTokens = 64
 
-// vocabulary is the text of every response, repeated as needed. Each word is a token.
+// vocabulary contains the words of every response, which repeats them as needed. Each word is a token.
 var vocabulary = strings.Fields("snow on the roof and ice in the pipe keep the boiler warm until the crew has come over the hill")
 
 // completePrefill ends a job's prefill and continues with its next stage. Embeddings and rerank requests
-// have no other stage and are answered.
+// have no further stage, so it sends their responses.
 func (j *job) completePrefill() {
 	if j.engine.fault.Hang {
 		j.waitWhileHung(j.completePrefill)
@@ -34,14 +34,14 @@
 	case j.request.API == openai.Rerank:
 		j.observe(invariant.Executed)
 		j.respond(j.rerank())
-	case j.stage == control.RolePrefill:
+	case j.stages == control.RolePrefill:
 		j.respondWithKVState()
 	default:
 		j.engine.scheduler.addDecode(j)
 	}
 }
 
-// respondWithKVState retains the KV state of a prefill and responds with where to fetch it.
+// respondWithKVState retains the KV state of a prefill and responds with the parameters for fetching it.
 func (j *job) respondWithKVState() {
 	state := newKVState(j)
 	j.engine.kvStore.retain(j, state)
@@ -51,41 +51,41 @@
 	j.respond(j.prefillResponse(state))
 }
 
-// startDecode starts the decode of a job that has a slot. If another engine has the KV state, it is
-// fetched first.
+// startDecode starts the decode of a job that has a slot. A decode without a prefill on this engine fetches
+// its KV state first.
 func (j *job) startDecode() {
-	if j.stage == control.RoleDecode {
+	if j.stages == control.RoleDecode {
 		j.startKVFetch()
 		return
 	}
 	j.decode()
 }
 
-// decode makes the first token. From here on the request counts as executed.
+// decode starts to generate tokens. From here on the request counts as executed.
 func (j *job) decode() {
 	j.observe(invariant.Executed)
 	j.decodeToken()
 }
 
-// decodeToken makes the next token and schedules the one after it, or ends the response.
+// decodeToken generates the next token, then schedules another one or ends the response.
 func (j *job) decodeToken() {
 	fault := &j.engine.fault
 	switch {
 	case fault.Hang:
 		j.waitWhileHung(j.decodeToken)
 		return
-	case fault.resetsAfter(j.tokensSent):
+	case fault.resetsAfter(j.tokensGenerated):
 		j.conn.reset()
 		return
-	case fault.stallsAfter(j.tokensSent):
+	case fault.stallsAfter(j.tokensGenerated):
 		return
 	}
 	if j.request.Stream {
 		j.streamToken()
 	}
-	j.tokensSent++
+	j.tokensGenerated++
 	switch {
-	case j.tokensSent < j.tokensWanted:
+	case j.tokensGenerated < j.answerTokens:
 		j.awaitNextToken()
 	case j.request.Stream:
 		j.endStream()
@@ -94,14 +94,15 @@
 	}
 }
 
-// awaitNextToken schedules the next token for when it is due and the connection is writable.
+// awaitNextToken schedules the next token. If the connection's output buffer is full, the token waits until
+// the connection is writable.
 func (j *job) awaitNextToken() {
 	spec := &j.engine.Spec
 	isOutputFull := j.conn.socket.AboveHighWaterMark()
 	switch {
 	case isOutputFull:
 		j.isOutputFull = true
-	case spec.TokenInterval == 0 && j.tokensSent%unpacedBurstTokens != 0:
+	case spec.TokenInterval == 0 && j.tokensGenerated%unpacedBurstTokens != 0:
 		j.decodeToken()
 	default:
 		j.timer.Fire = j.decodeToken
@@ -109,14 +110,14 @@
 	}
 }
 
-// streamToken sends the current token. The first is preceded by the head of the response.
+// streamToken sends the current token, after the head of the response if it is the first.
 func (j *job) streamToken() {
 	if !j.streamStarted {
 		j.streamStarted = true
 		head := j.conn.appendHead(nil, http.StatusOK, contentTypeEvents)
 		j.conn.socket.Write(append(head, "Transfer-Encoding: chunked\r\n\r\n"...))
 	}
-	j.sendEvent(j.streamEvent(tokenText(j.tokensSent), "null"))
+	j.sendEvent(j.streamEvent(tokenText(j.tokensGenerated), "null"))
 }
 
 // endStream sends the last events of a stream and finishes the job.
--- a/internal/fakeengine/harness_test.go
+++ b/internal/fakeengine/harness_test.go
@@ -14,14 +14,14 @@
 	"martenlock/internal/invariant"
 )
 
-// testCluster is the engines of a test and the recording of what they do.
+// testCluster is a cluster of engines and the recording of their events.
 type testCluster struct {
 	t         *testing.T
 	cluster   *Cluster
 	recording *invariant.Recording
 }
 
-// newTestCluster starts a cluster without engines, which is closed when the test ends.
+// newTestCluster starts a cluster without engines and closes it when the test ends.
 func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
 	started := time.Now()
@@ -39,7 +39,7 @@
 	return &testCluster{t: t, cluster: cluster, recording: recording}
 }
 
-// start starts an engine that computes at once and responds with five tokens.
+// start starts an engine that computes without noticeable delay and responds with five tokens.
 func (c *testCluster) start(name string, role control.Role) *Engine {
 	c.t.Helper()
 	spec := Spec{
@@ -59,11 +59,11 @@
 	return engine
 }
 
-// reply is what a client gets from an engine.
+// reply is the response of an engine as a client receives it.
 type reply struct {
 	status int
 	body   string
-	err    error // the connection ended before the end of the response
+	err    error // not nil if the connection ended before the end of the response
 }
 
 // post sends a request to an engine and reads the response to its end.
@@ -87,7 +87,7 @@
 
 const chatPath = "/v1/chat/completions"
 
-// chatBody returns a chat request with further members, which begin with a comma.
+// chatBody returns the body of a chat request. fields are further JSON fields, starting with a comma.
 func chatBody(fields string) string {
 	return `{"model":"m","messages":[{"role":"user","content":"is the pipe warm"}]` + fields + `}`
 }
--- a/internal/fakeengine/job.go
+++ b/internal/fakeengine/job.go
@@ -25,22 +25,22 @@
 type job struct {
 	conn      *conn
 	engine    *Engine
-	requestID string // the router's id
-	recordID  string // by which events are recorded
+	requestID string // id that the router assigned
+	recordID  string // request id in recorded events
 	request   *openai.Request
 	body      []byte
-	stage     control.Role // the stages to compute
+	stages    control.Role // prefill, decode or both
 	timer     timerwheel.Timer
 
 	isPrefilling bool     // in prefill, or waiting for it
-	hasSlot      bool     // for decode
-	fetch        *kvFetch // of its KV state; nil if none is in progress
-
-	tokensWanted  int
-	tokensSent    int
-	wantsUsage    bool // at the end of a stream
-	streamStarted bool
-	isOutputFull  bool // waits until the connection is writable
+	hasSlot      bool     // has a decode slot
+	fetch        *kvFetch // fetch of the KV state; nil if none is in progress
+
+	answerTokens    int
+	tokensGenerated int
+	wantsUsage      bool // token counts at the end of a stream
+	streamStarted   bool
+	isOutputFull    bool // paused until the connection is writable
 }
 
 // startJob starts the execution of the current request, or responds with an error.
@@ -57,7 +57,7 @@
 		j.observe(invariant.AttemptBegan)
 	}
 	c.unreadID = ""
-	if j.applyFault() || j.rejectIfOverloaded() {
+	if j.applyFault() || j.rejectIfUnservable() {
 		return
 	}
 	c.engine.scheduler.add(j)
@@ -72,14 +72,14 @@
 		recordID:     cmp.Or(c.recordID, c.requestID),
 		request:      request,
 		body:         c.body,
-		stage:        requestedStage(c.body),
-		tokensWanted: min(max(c.engine.Spec.AnswerTokens, 1), request.MaxTokens),
+		stages:       requestedStages(c.body),
+		answerTokens: min(max(c.engine.Spec.AnswerTokens, 1), request.MaxTokens),
 		wantsUsage:   gjson.GetBytes(c.body, "stream_options.include_usage").Bool(),
 	}
 }
 
-// requestedStage returns the stages that the KV transfer parameters of a request ask for.
-func requestedStage(body []byte) control.Role {
+// requestedStages returns the stages that the kv_transfer_params of a request ask for.
+func requestedStages(body []byte) control.Role {
 	transfer := gjson.GetBytes(body, kvTransferField)
 	switch {
 	case transfer.Get("do_remote_decode").Bool():
@@ -90,7 +90,8 @@
 	return control.RoleColocated
 }
 
-// applyFault applies the faults that precede execution. It reports whether one has ended the job.
+// applyFault applies the markers in the request and the faults that precede execution. It reports whether
+// one of them ended the job.
 func (j *job) applyFault() bool {
 	switch {
 	case bytes.Contains(j.body, []byte(CrashMarker)):
@@ -103,21 +104,21 @@
 		j.conn.reset()
 		return true
 	}
-	isFailure := j.engine.countFailure()
+	isFailure := j.engine.failsByErrorRate()
 	if isFailure {
 		j.fail(http.StatusInternalServerError, "internal_error", "made to fail")
 	}
 	return isFailure
 }
 
-// rejectIfOverloaded rejects a job if the engine has no capacity for it, or can't execute it without a
-// KV state. It reports whether it did.
-func (j *job) rejectIfOverloaded() bool {
+// rejectIfUnservable rejects a job if the engine has no capacity for it, or if a decode engine gets a request
+// without KV state. It reports whether it rejected the job.
+func (j *job) rejectIfUnservable() bool {
 	e := j.engine
 	switch {
 	case e.fault.RejectAll || e.scheduler.isFull() || e.kvStore.isFull():
 		j.fail(http.StatusServiceUnavailable, "overloaded", "no place in the queue")
-	case e.Spec.Role == control.RoleDecode && j.stage == control.RoleColocated:
+	case e.Spec.Role == control.RoleDecode && j.stages == control.RoleColocated:
 		j.failKVMissing("a decode engine needs a KV state")
 	default:
 		return false
@@ -134,15 +135,16 @@
 	j.engine.observe(kind, j.recordID, work)
 }
 
-// work returns the share of the engine's capacity that the job takes, in seconds at full speed.
+// work returns the time that the job takes of the engine at full speed, in seconds. A decode slot counts
+// as its share of the engine.
 func (j *job) work() float64 {
 	spec := &j.engine.Spec
 	work := 0.0
-	if j.stage != control.RoleDecode {
+	if j.stages != control.RoleDecode {
 		work = j.prefillTokens() / spec.PrefillTokensPerSecond
 	}
-	if j.stage != control.RolePrefill && spec.TokenInterval > 0 {
-		work += float64(j.tokensWanted) * spec.TokenInterval.Seconds() / float64(max(spec.DecodeSlots, 1))
+	if j.stages != control.RolePrefill && spec.TokenInterval > 0 {
+		work += float64(j.answerTokens) * spec.TokenInterval.Seconds() / float64(max(spec.DecodeSlots, 1))
 	}
 	return work
 }
@@ -163,14 +165,14 @@
 	j.conn.fail(status, code, message)
 }
 
-// finish ends the job, whether or not it was completed. It releases timer, queue entries and slot.
+// finish ends a completed or cancelled job. It releases the job's timer, KV fetch, queue entries and slot.
 func (j *job) finish() {
 	j.engine.cluster.loop.StopTimer(&j.timer)
 	if j.fetch != nil {
 		j.fetch.socket.Abort()
 		j.fetch = nil
 	}
-	j.engine.scheduler.withdraw(j)
+	j.engine.scheduler.remove(j)
 	j.observe(invariant.AttemptEnded)
 	if j.hasSlot {
 		j.engine.scheduler.releaseSlot(j)
--- a/internal/fakeengine/kvfetch.go
+++ b/internal/fakeengine/kvfetch.go
@@ -12,14 +12,14 @@
 	"martenlock/internal/http1"
 )
 
-// kvFetchTimeout bounds the fetch of a KV state, including the connection. On the loopback interface
+// kvFetchTimeout bounds the fetch of a KV state, including the connection setup. On the loopback interface
 // only a hung engine takes longer.
 const kvFetchTimeout = 300 * time.Millisecond
 
-// kvFetchFailed is the message of the error response if a KV state could not be fetched.
+// kvFetchFailed is the message of the error response to a request whose KV state could not be fetched.
 const kvFetchFailed = "the KV state can't be fetched"
 
-// kvFetch is the fetch of a KV state from a prefill engine, on a connection of its own. It implements
+// kvFetch fetches a KV state from a prefill engine on a separate connection. It implements
 // eventloop.Handler.
 type kvFetch struct {
 	job    *job
@@ -55,7 +55,7 @@
 	j.engine.cluster.loop.StartTimer(&j.timer, kvFetchTimeout)
 }
 
-// Opened implements eventloop.Handler. The request was written before.
+// Opened implements eventloop.Handler. It does nothing, since startKVFetch has written the request.
 func (f *kvFetch) Opened(*eventloop.Conn) {}
 
 // Data implements eventloop.Handler. It parses the response.
@@ -83,16 +83,16 @@
 	}
 }
 
-// EOF implements eventloop.Handler. The response is incomplete.
+// EOF implements eventloop.Handler. The fetch fails if the response is incomplete.
 func (f *kvFetch) EOF(*eventloop.Conn) { f.fail() }
 
-// Closed implements eventloop.Handler. The response is incomplete.
+// Closed implements eventloop.Handler. The fetch fails if the response is incomplete.
 func (f *kvFetch) Closed(*eventloop.Conn, error) { f.fail() }
 
-// Writable implements eventloop.Handler. There is no more output.
+// Writable implements eventloop.Handler. It does nothing, since the whole request was written at once.
 func (f *kvFetch) Writable(*eventloop.Conn) {}
 
-// end closes the connection. It reports whether the job was still waiting for the fetch.
+// end closes the connection. It returns false if the fetch had ended before.
 func (f *kvFetch) end() bool {
 	if f.job.fetch != f {
 		return false
@@ -102,7 +102,7 @@
 	return true
 }
 
-// fail ends the fetch without a KV state, and with it the job.
+// fail ends the fetch and fails the job.
 func (f *kvFetch) fail() {
 	wasAwaited := f.end()
 	if wasAwaited {
@@ -110,7 +110,7 @@
 	}
 }
 
-// complete checks the response and starts to decode.
+// complete verifies the KV state and starts the decode.
 func (f *kvFetch) complete() {
 	if f.status != http.StatusOK || f.hash != kvHash(f.state) {
 		f.fail()
--- a/internal/fakeengine/kvstore.go
+++ b/internal/fakeengine/kvstore.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	kvPath          = "/kv/" // followed by a request id: where a KV state is fetched
+	kvPath          = "/kv/" // path of a KV state, without the request id that follows
 	kvHashHeader    = "x-state-hash"
-	kvTransferField = "kv_transfer_params" // vLLM's member of requests and responses
+	kvTransferField = "kv_transfer_params" // field of requests and responses in vLLM
 
 	kvBytesPerToken  = 64
 	kvTokensPerBlock = 16
-	maxKVBytes       = 256 << 10 // of one state; takes several reads of a socket
-	maxKVStates      = 10000     // of one engine
+	maxKVBytes       = 256 << 10 // size of a KV state; more than one read of a socket returns
+	maxKVStates      = 10000     // number of KV states of an engine
 
-	// kvOrphanLimit is the age at which a KV state is released that was neither fetched nor released.
-	kvOrphanLimit = 5 * time.Second
+	// kvOrphanTimeout is the time after which an engine releases a KV state that nobody fetched or released.
+	kvOrphanTimeout = 5 * time.Second
 )
 
-// kvStore contains the KV states that a prefill engine retains for decode engines.
+// kvStore holds the KV states that a prefill engine retains for decode engines.
 type kvStore struct {
 	engine *Engine
-	states map[string]kvState // by the router's request id
+	states map[string]kvState // by the request id that the router assigned
 }
 
 // kvState is the KV state of one request.
 type kvState struct {
 	bytes    []byte
-	recordID string // of its request
+	recordID string // request id in recorded events
 }
 
-// reset makes an empty store for a new process.
+// reset makes the store empty for a new process.
 func (s *kvStore) reset() { s.states = map[string]kvState{} }
 
-// lose discards all KV states when the process ends. That is not recorded as a release.
-func (s *kvStore) lose() { s.states = nil }
+// discardAll discards all KV states when the process ends. Unlike release, it records no event.
+func (s *kvStore) discardAll() { s.states = nil }
 
 // isFull reports whether the store has no capacity for another KV state.
 func (s *kvStore) isFull() bool { return len(s.states) >= maxKVStates }
 
-// retain stores the KV state of a job until it is fetched or released, or for kvOrphanLimit.
+// retain stores the KV state of a job until it is fetched or released, at most for kvOrphanTimeout.
 func (s *kvStore) retain(j *job, state []byte) {
 	id := j.requestID
 	s.states[id] = kvState{bytes: state, recordID: j.recordID}
 	s.engine.observe(invariant.KVRetained, j.recordID, 0)
 	orphanTimer := &timerwheel.Timer{Fire: func() { s.release(id) }}
-	s.engine.cluster.loop.StartTimer(orphanTimer, kvOrphanLimit)
+	s.engine.cluster.loop.StartTimer(orphanTimer, kvOrphanTimeout)
 }
 
 // release discards the KV state of a request. It does nothing if there is none.
@@ -85,14 +85,14 @@
 	store.release(requestID)
 }
 
-// kvHash returns the hash by which a decode engine checks a KV state, in hexadecimal.
+// kvHash returns the hash by which a decode engine verifies a KV state, in hexadecimal.
 func kvHash(state []byte) string { return strconv.FormatUint(xxhash.Sum64(state), 16) }
 
-// newKVState returns a made-up KV state, which depends on the whole request.
+// newKVState returns made-up bytes that depend on the whole request body.
 func newKVState(j *job) []byte {
 	const (
 		wordBytes  = 8
-		multiplier = 0x9e3779b97f4a7c15 // bits of the golden ratio, so that consecutive words differ much
+		multiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio, so that consecutive words differ in many bits
 	)
 	state := make([]byte, min(int(j.request.PromptTokens+1)*kvBytesPerToken, maxKVBytes))
 	word := xxhash.Sum64(j.body)
@@ -103,7 +103,8 @@
 	return state
 }
 
-// kvTransferParams returns what a decode engine needs to fetch the KV state of a job, as raw JSON.
+// kvTransferParams returns the parameters with which a decode engine fetches the KV state of a job, as raw
+// JSON.
 func kvTransferParams(j *job, state []byte) string {
 	const format = `{"do_remote_prefill":true,"do_remote_decode":false,"remote_engine_id":%q,"remote_block_ids":[0,%d],"remote_host":%q,"remote_port":%d,"remote_request_id":%q}`
 	spec := &j.engine.Spec
--- a/internal/fakeengine/rerank.go
+++ b/internal/fakeengine/rerank.go
@@ -55,9 +55,9 @@
 	return documents
 }
 
-// relevance returns the score of a document: about the share of the query's words that it contains.
+// relevance returns the score of a document, which is about the share of the query's words that it contains.
 func relevance(queryWords []string, text string) float64 {
-	const offset = 0.1 // above 0 and below 1, so that scores are too
+	const offset = 0.1 // keeps scores above 0 and below 1
 	text = strings.ToLower(text)
 	hits := 0
 	for _, queryWord := range queryWords {
--- a/internal/fakeengine/response.go
+++ b/internal/fakeengine/response.go
@@ -15,14 +15,14 @@
 	contentTypeEvents = "text/event-stream; charset=utf-8"
 )
 
-// loadReportHeader is the header field of every response that holds the ORCA load report.
+// loadReportHeader is the header field with the ORCA load report, which every response has.
 const loadReportHeader = "endpoint-load-metrics"
 
 // response is a response that is not streamed.
 type response struct {
 	status      int
 	contentType string
-	header      string // further header fields, each with its line end
+	header      string // further header fields, each followed by CRLF
 	body        []byte
 }
 
@@ -31,7 +31,7 @@
 	notFound    = response{status: http.StatusNotFound, contentType: contentTypeText}
 )
 
-// respond writes a response.
+// respond sends a response.
 func (c *conn) respond(r response) {
 	head := c.appendHead(nil, r.status, r.contentType)
 	head = append(head, r.header...)
@@ -39,14 +39,14 @@
 	c.socket.WriteRef(r.body)
 }
 
-// appendHead appends the status line and the header fields that every response has.
+// appendHead appends the status line and the header fields that all responses have.
 func (c *conn) appendHead(head []byte, status int, contentType string) []byte {
 	head = http1.AppendStatus(head, status)
 	head = http1.AppendField(head, "Content-Type", contentType)
 	return http1.AppendField(head, loadReportHeader, c.engine.loadReport())
 }
 
-// fail responds with an error in OpenAI's form and finishes the request.
+// fail responds with an error in OpenAI's format and finishes the request.
 func (c *conn) fail(status int, code, message string) {
 	failure := openai.Error{Status: status, Message: message, Type: "server_error", Code: code}
 	r := response{status: status, contentType: contentTypeJSON, body: failure.AppendJSON(nil)}
--- a/internal/fakeengine/scheduler.go
+++ b/internal/fakeengine/scheduler.go
@@ -7,20 +7,20 @@
 	"martenlock/control"
 )
 
-// prefillOverheadTokens is added to the prompt of each prefill, as the cost of a short one.
+// prefillOverheadTokens is the fixed cost of a prefill, in tokens.
 const prefillOverheadTokens = 100
 
 // scheduler decides which jobs an engine computes. Prefills, embeddings and rerank requests run one
-// after another. Decodes run at once, up to the number of slots.
+// after another. Decodes run concurrently, up to the number of slots.
 type scheduler struct {
 	engine      *Engine
-	prefills    []*job // the first is being computed
-	prefilling  int    // jobs whose prefill is not complete, including those that a fault delays
-	running     int    // jobs with a slot
-	decodeQueue []*job // jobs that wait for a slot
+	prefills    []*job // prefills that are not computed; the first one is in progress
+	prefilling  int    // number of incomplete prefills, including computed ones that a fault delays
+	running     int    // number of jobs with a decode slot
+	decodeQueue []*job // jobs that wait for a decode slot
 }
 
-// reset removes the jobs of an earlier process.
+// reset removes the jobs of the previous process.
 func (s *scheduler) reset() {
 	s.prefills = nil
 	s.prefilling = 0
@@ -28,19 +28,19 @@
 	s.decodeQueue = nil
 }
 
-// dropQueue removes the jobs that wait for a slot. When the process ends, none must start as others
-// release their slots.
-func (s *scheduler) dropQueue() { s.decodeQueue = nil }
+// clearDecodeQueue removes the jobs that wait for a slot. Without it, the end of the process would start
+// them as running jobs release their slots.
+func (s *scheduler) clearDecodeQueue() { s.decodeQueue = nil }
 
-// waiting returns the number of jobs in prefill or waiting for it or for a slot.
+// waiting returns the number of jobs in prefill, or waiting for prefill or a decode slot.
 func (s *scheduler) waiting() int { return s.prefilling + len(s.decodeQueue) }
 
-// isFull reports whether no further job may wait.
+// isFull reports whether MaxWaiting is reached.
 func (s *scheduler) isFull() bool { return s.waiting() >= s.engine.Spec.MaxWaiting }
 
 // add schedules a job.
 func (s *scheduler) add(j *job) {
-	if j.stage == control.RoleDecode {
+	if j.stages == control.RoleDecode {
 		s.addDecode(j)
 		return
 	}
@@ -52,7 +52,7 @@
 	}
 }
 
-// startPrefill starts the first prefill, if there is one.
+// startPrefill starts the first prefill of the queue, if there is one.
 func (s *scheduler) startPrefill() {
 	if len(s.prefills) == 0 {
 		return
@@ -63,8 +63,8 @@
 	s.engine.cluster.loop.StartTimer(&j.timer, time.Duration(seconds*float64(time.Second)))
 }
 
-// prefillComputed starts the next prefill. It completes the current one, after the delay of a fault if
-// there is one.
+// prefillComputed starts the next prefill and completes the current one. A fault's PrefillDelay postpones
+// the completion.
 func (s *scheduler) prefillComputed(j *job) {
 	s.prefills = s.prefills[1:]
 	s.startPrefill()
@@ -77,7 +77,7 @@
 	j.completePrefill()
 }
 
-// endPrefill removes a job from those in prefill.
+// endPrefill stops counting a job as in prefill.
 func (s *scheduler) endPrefill(j *job) {
 	j.isPrefilling = false
 	s.prefilling--
@@ -92,7 +92,7 @@
 	s.startDecode(j)
 }
 
-// startDecode gives a job a free slot.
+// startDecode gives a job a free slot and starts its decode.
 func (s *scheduler) startDecode(j *job) {
 	j.hasSlot = true
 	s.running++
@@ -111,11 +111,11 @@
 	s.startDecode(next)
 }
 
-// withdraw removes a job from prefills and queue. It does nothing if the job is in neither.
-func (s *scheduler) withdraw(j *job) {
+// remove removes a job from the prefills and the decode queue. It does nothing if the job is in neither.
+func (s *scheduler) remove(j *job) {
 	if j.isPrefilling {
 		s.endPrefill(j)
-		s.withdrawPrefill(j)
+		s.removePrefill(j)
 	}
 	index := slices.Index(s.decodeQueue, j)
 	if index >= 0 {
@@ -123,8 +123,8 @@
 	}
 }
 
-// withdrawPrefill removes a job from the prefills. If it was being computed, the next one starts.
-func (s *scheduler) withdrawPrefill(j *job) {
+// removePrefill removes a job from the prefills. If its prefill was in progress, the next one starts.
+func (s *scheduler) removePrefill(j *job) {
 	index := slices.Index(s.prefills, j)
 	if index < 0 {
 		return
