--- a/internal/invariant/drain.go
+++ b/internal/invariant/drain.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// drainRule checks that a draining engine gets no attempts after the grace period.
+// drainRule checks that an engine gets no attempts once its grace period after a drain notice is over.
 type drainRule struct {
-	verdict  *Verdict
-	grace    time.Duration            // including the skew
-	drainsAt map[string]time.Duration // time of the drain notice, by draining engine
+	verdict     *Verdict
+	grace       time.Duration            // including the skew
+	announcedAt map[string]time.Duration // time of the first drain notice, by draining engine
 }
 
-// drainAnnounced records that the endpoint list shows an engine as draining or gone. Only the first notice counts.
+// drainAnnounced records that the endpoint list shows an engine as draining or gone. Repeated notices don't extend the
+// grace period.
 func (r *drainRule) drainAnnounced(event Event) {
-	_, isDraining := r.drainsAt[event.Engine]
+	_, isDraining := r.announcedAt[event.Engine]
 	if isDraining {
 		return
 	}
-	r.drainsAt[event.Engine] = event.At
+	r.announcedAt[event.Engine] = event.At
 	r.verdict.Checked++
 }
 
 // readyAnnounced records that the endpoint list shows an engine as ready.
-func (r *drainRule) readyAnnounced(event Event) { delete(r.drainsAt, event.Engine) }
+func (r *drainRule) readyAnnounced(event Event) { delete(r.announcedAt, event.Engine) }
 
-// attemptBegan checks the engine of an attempt.
+// attemptBegan checks whether the engine of an attempt may still get attempts.
 func (r *drainRule) attemptBegan(event Event) {
-	drainedAt, isDraining := r.drainsAt[event.Engine]
-	if isDraining && event.At > drainedAt+r.grace {
+	announcedAt, isDraining := r.announcedAt[event.Engine]
+	if isDraining && event.At > announcedAt+r.grace {
 		r.verdict.addViolation(event.At, "%s: sent to %s %v after its drain was announced",
-			event.Request, event.Engine, (event.At - drainedAt).Round(time.Millisecond))
+			event.Request, event.Engine, (event.At - announcedAt).Round(time.Millisecond))
 	}
 }
--- a/internal/invariant/event.go
+++ b/internal/invariant/event.go
@@ -4,15 +4,15 @@
 
 //go:generate go tool stringer -linecomment -type=Kind,Effect,Result -output=enum_string.go
 
-// Kind is what was observed.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The kinds of events. Clients observe the first four. The owner of the endpoint list observes DrainAnnounced and
-// ReadyAnnounced. Engines observe the others. A comment names the fields of Event that are set besides At and Kind.
+// The kinds of events. Clients record the first four, the owner of the endpoint list records DrainAnnounced and
+// ReadyAnnounced, and engines record the others. Each comment lists the fields of Event that are set besides At and Kind.
 const (
 	// RequestSent: a client sent a request (Request, Effect, DedupWindow, Deadline).
 	RequestSent Kind = iota // request sent
-	// FirstToken: the first token of a stream arrived, which meets the deadline (Request).
+	// FirstToken: the first token of a stream or a complete answer arrived. The deadline applies to it (Request).
 	FirstToken // first token
 	// FinalAnswer: a final answer arrived (Request, Result).
 	FinalAnswer // final answer
@@ -20,13 +20,13 @@
 	ClientLeft // client left
 	// AttemptBegan: an attempt arrived at an engine (Request, Engine, Work).
 	AttemptBegan // attempt began
-	// Executed: an attempt began to have its effect (Request, Engine).
+	// Executed: an attempt passed the point from which its request counts as executed (Request, Engine).
 	Executed // executed
 	// AttemptEnded: an attempt ended, with any result (Request, Engine).
 	AttemptEnded // attempt ended
 	// KVRetained: an engine retains KV state for a decode engine (Request, Engine).
 	KVRetained // KV state retained
-	// KVReleased: that state was fetched or released (Request, Engine).
+	// KVReleased: an engine discarded retained KV state that was fetched or released (Request, Engine).
 	KVReleased // KV state released
 	// DrainAnnounced: the endpoint list shows an engine as draining or gone (Engine).
 	DrainAnnounced // drain announced
@@ -34,7 +34,7 @@
 	ReadyAnnounced // ready announced
 	// EngineStarted: an engine's process started, in slow start (Engine).
 	EngineStarted // engine started
-	// EngineDied: an engine's process ended, and its attempts and KV states with it (Engine).
+	// EngineDied: an engine's process exited, which ended its attempts and lost its KV states (Engine).
 	EngineDied // engine died
 	// EngineHung: an engine stopped reading from its sockets (Engine).
 	EngineHung // engine hung
@@ -42,16 +42,17 @@
 	EngineResumed // engine resumed
 )
 
-// Effect is what a second execution of a request may do, as its client declared it.
+// Effect says whether a request may be executed more than once, as its client declared.
 type Effect uint8
 
 // The effects.
 const (
 	// Idempotent requests may be executed any number of times.
 	Idempotent Effect = iota // idempotent
-	// IdempotentWithKey requests are deduplicated within DedupWindow of their first execution.
+	// IdempotentWithKey requests may be executed again only within DedupWindow of their first execution, while engines
+	// deduplicate them.
 	IdempotentWithKey // idempotent with key
-	// NotIdempotent requests may be executed once at most.
+	// NotIdempotent requests may be executed at most once.
 	NotIdempotent // not idempotent
 )
 
@@ -62,29 +63,30 @@
 const (
 	// Served is a complete answer.
 	Served Result = iota // served
-	// Rejected promises that nothing was executed, and says when to retry.
+	// Rejected is an error with Retry-After, which promises that the request was not executed.
 	Rejected // rejected
-	// Failed promises nothing about execution.
+	// Failed is an error after which the request may or may not have been executed.
 	Failed // failed
-	// Malformed is anything else: no Retry-After, a body cut short without an error, data after the end.
+	// Malformed is any other answer, such as a rejection without Retry-After, a truncated body without an error, or data
+	// after the end of a stream.
 	Malformed // malformed
 
 	resultCount = iota
 )
 
-// ShardSeparator separates a request's id from the number of one of its shards. The shards of a request run
-// concurrently. Each is checked alone, by the effect that the client declared for the request.
+// ShardSeparator separates the id of a request from the number of a shard. Since the shards of a request run
+// concurrently, each is checked like a request of its own, with the Effect of the request.
 const ShardSeparator = "#"
 
 // Event is one observation. Kind determines which of the other fields are set.
 type Event struct {
-	At          time.Duration // on one clock for all observers
+	At          time.Duration // time on a clock that all observers share
 	Kind        Kind
 	Request     string
 	Engine      string
 	Effect      Effect
 	Result      Result
-	Deadline    time.Duration // on the clock of At
-	DedupWindow time.Duration // within which repeats of a request with a key are dropped
-	Work        float64       // seconds of the engine's time at full speed
+	Deadline    time.Duration // time on the same clock as At
+	DedupWindow time.Duration // time after the first execution in which engines deduplicate the request
+	Work        float64       // time that the engine needs at full speed, in seconds
 }
--- a/internal/invariant/execution.go
+++ b/internal/invariant/execution.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// executionRule checks three things. No two attempts of a request are in flight at once. A request that is not idempotent
-// is executed once at most. A request that was executed is not answered as if it had not been. Each shard of a request is
-// checked alone.
+// executionRule checks that a request has at most one attempt in flight and is executed only as often as its Effect allows.
+// A request that is not idempotent must not be rejected after an execution. Each shard of a request is checked alone.
 type executionRule struct {
 	verdict *Verdict
 	skew    time.Duration
 }
 
-// attemptBegan checks an attempt before it is added to the request's history.
+// attemptBegan checks that the request has no other attempt in flight at the same engine. The caller adds the attempt to
+// the request's history afterwards.
 func (r *executionRule) attemptBegan(request *requestHistory, event Event) {
 	r.verdict.Checked++
-	index := request.inFlightAt(event.Engine)
+	index := request.attemptIndex(event.Engine)
 	if index >= 0 {
 		began := request.inFlight[index].beganAt
 		r.verdict.addViolation(event.At, "%s: a second attempt at %s while one from %.3fs is in flight", request.id, event.Engine, began.Seconds())
 	}
 }
 
-// executed checks an execution before it is added to the request's history.
+// executed checks that the request may be executed again if it was executed before. The caller adds the execution to the
+// request's history afterwards.
 func (r *executionRule) executed(request *requestHistory, event Event) {
 	if len(request.executions) == 0 {
 		return
@@ -32,15 +33,15 @@
 	}
 }
 
-// attemptEnded checks that an attempt did not overlap with the next one.
+// attemptEnded checks that an attempt overlapped the next one by no more than the skew.
 func (r *executionRule) attemptEnded(request *requestHistory, ended attempt, at time.Duration) {
-	if ended.nextBegan > 0 && at-ended.nextBegan > r.skew {
+	if ended.nextBeganAt > 0 && at-ended.nextBeganAt > r.skew {
 		r.verdict.addViolation(at, "%s: in flight at %s from %.3fs, another attempt began at %.3fs",
-			request.id, ended.engine, ended.beganAt.Seconds(), ended.nextBegan.Seconds())
+			request.id, ended.engine, ended.beganAt.Seconds(), ended.nextBeganAt.Seconds())
 	}
 }
 
-// finish checks a request at the end of the recording.
+// finish checks the pending attempts and the answer of a request at the end of the recording.
 func (r *executionRule) finish(request *requestHistory, end time.Duration) {
 	for _, pending := range request.inFlight {
 		r.attemptEnded(request, pending, end)
@@ -50,7 +51,7 @@
 			r.checkAnswer(request, answer, "a shard was executed")
 		}
 	}
-	if !request.wasSent() {
+	if !request.sentByClient() {
 		r.checkUnsent(request)
 		return
 	}
@@ -59,14 +60,15 @@
 	}
 }
 
-// checkUnsent checks a request that no client sent. No engine may have observed it.
+// checkUnsent checks that engines observed nothing of a request that no client sent.
 func (r *executionRule) checkUnsent(request *requestHistory) {
 	if len(request.executions) > 0 || len(request.inFlight) > 0 {
 		r.verdict.addViolation(request.lastEndedAt, "%s: engines saw a request that no client sent", request.id)
 	}
 }
 
-// checkAnswer checks that a rejected request was not executed. description names the execution in the violation's text.
+// checkAnswer checks that a request that is not idempotent was not rejected after an execution. description is the part of
+// the violation's text that names the execution.
 func (r *executionRule) checkAnswer(request *requestHistory, answer Event, description string) {
 	if answer.Result == Rejected && request.effect == NotIdempotent && len(request.executions) > 0 {
 		r.verdict.addViolation(answer.At, "%s: rejected as if a retry were harmless, but %s at %s", request.id, description, request.executions[0].Engine)
--- a/internal/invariant/execution_test.go
+++ b/internal/invariant/execution_test.go
@@ -4,34 +4,34 @@
 
 func TestRequestIsExecutedTwiceOnlyIfItMayBe(t *testing.T) {
 	checkRule(t, executionIndex, []testCase{
-		{"not idempotent, twice", join(served("q", NotIdempotent), executed(400, "q", "v")), "executed at v"},
-		{"idempotent, twice", join(served("q", Idempotent), executed(400, "q", "v")), ""},
-		{"with a key, twice within its window", join(served("q", IdempotentWithKey), executed(1040, "q", "v")), ""},
-		{"with a key, again after its window", join(served("q", IdempotentWithKey), executed(1240, "q", "v")), "executed at v"},
+		{"not idempotent, twice", concat(served("q", NotIdempotent), executed(400, "q", "v")), "executed at v"},
+		{"idempotent, twice", concat(served("q", Idempotent), executed(400, "q", "v")), ""},
+		{"with a key, twice within its window", concat(served("q", IdempotentWithKey), executed(1040, "q", "v")), ""},
+		{"with a key, again after its window", concat(served("q", IdempotentWithKey), executed(1240, "q", "v")), "executed at v"},
 	})
 }
 
 func TestRejectionPromisesThatNothingWasExecuted(t *testing.T) {
-	attempted := join(list(sent(0, "q", NotIdempotent)), list(at(5, AttemptBegan, "q", "w"), at(6, Executed, "q", "w"), at(7, AttemptEnded, "q", "w")))
+	attempted := concat(list(sent(0, "q", NotIdempotent)), list(at(5, AttemptBegan, "q", "w"), at(6, Executed, "q", "w"), at(7, AttemptEnded, "q", "w")))
 	checkRule(t, executionIndex, []testCase{
-		{"rejected after execution", join(attempted, list(answer(9, "q", Rejected))), "harmless"},
-		{"failed after execution", join(attempted, list(answer(9, "q", Failed))), ""},
+		{"rejected after execution", concat(attempted, list(answer(9, "q", Rejected))), "harmless"},
+		{"failed after execution", concat(attempted, list(answer(9, "q", Failed))), ""},
 	})
 }
 
 func TestAttemptsOfRequestDoNotOverlap(t *testing.T) {
 	first := list(sent(0, "q", Idempotent), at(5, AttemptBegan, "q", "v"))
 	checkRule(t, executionIndex, []testCase{
-		{"at two engines", join(first, list(at(50, AttemptBegan, "q", "w"), at(100, AttemptEnded, "q", "v"), at(110, AttemptEnded, "q", "w"), answer(111, "q", Served))), "another attempt began"},
-		{"at one engine", join(first, list(at(6, AttemptBegan, "q", "v"), at(7, AttemptEnded, "q", "v"), answer(111, "q", Served))), "second attempt"},
-		{"the first never ends", join(first, list(at(50, AttemptBegan, "q", "w"), at(60, AttemptEnded, "q", "w"), answer(111, "q", Served))), "another attempt began"},
-		{"the end is seen late by less than the skew", join(first, list(at(50, AttemptBegan, "q", "w"), at(60, AttemptEnded, "q", "v"), at(110, AttemptEnded, "q", "w"), answer(111, "q", Served))), ""},
-		{"the first ended with its engine's process", join(first, list(at(10, EngineDied, "", "v"), at(50, AttemptBegan, "q", "w"), at(110, AttemptEnded, "q", "w"), answer(111, "q", Served))), ""},
+		{"at two engines", concat(first, list(at(50, AttemptBegan, "q", "w"), at(100, AttemptEnded, "q", "v"), at(110, AttemptEnded, "q", "w"), answer(111, "q", Served))), "another attempt began"},
+		{"at one engine", concat(first, list(at(6, AttemptBegan, "q", "v"), at(7, AttemptEnded, "q", "v"), answer(111, "q", Served))), "second attempt"},
+		{"the first never ends", concat(first, list(at(50, AttemptBegan, "q", "w"), at(60, AttemptEnded, "q", "w"), answer(111, "q", Served))), "another attempt began"},
+		{"the end is seen late by less than the skew", concat(first, list(at(50, AttemptBegan, "q", "w"), at(60, AttemptEnded, "q", "v"), at(110, AttemptEnded, "q", "w"), answer(111, "q", Served))), ""},
+		{"the first ended with its engine's process", concat(first, list(at(10, EngineDied, "", "v"), at(50, AttemptBegan, "q", "w"), at(110, AttemptEnded, "q", "w"), answer(111, "q", Served))), ""},
 	})
 }
 
 func TestEnginesSeeOnlyRequestsThatClientsSent(t *testing.T) {
 	checkRule(t, executionIndex, []testCase{
-		{"an attempt of an unknown request", join(served("q", Idempotent), list(at(5, AttemptBegan, "x", "w"))), "no client sent"},
+		{"an attempt of an unknown request", concat(served("q", Idempotent), list(at(5, AttemptBegan, "x", "w"))), "no client sent"},
 	})
 }
--- a/internal/invariant/finalanswer.go
+++ b/internal/invariant/finalanswer.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// finalAnswerRule checks that each request gets exactly one final answer before its deadline. It also counts the answers.
-// Shards have no answers of their own.
+// finalAnswerRule checks that each request gets exactly one final answer, whose first token meets the deadline. It also
+// counts answers by Result. It ignores shards, which have no answers of their own.
 type finalAnswerRule struct {
 	verdict *Verdict
 	report  *Report
 	skew    time.Duration
 }
 
-// requestSent checks that request ids are unique, since the other rules depend on that.
+// requestSent checks that the request id is unique, which the other rules rely on.
 func (r *finalAnswerRule) requestSent(request *requestHistory, event Event) {
 	if request.isSent {
 		r.verdict.addViolation(event.At, "request %s was sent twice", event.Request)
 	}
 }
 
-// finish checks a request at the end of the recording.
+// finish checks that a request was answered. The answer may be missing if the client disconnected or if the recording ended
+// before the deadline and the first token.
 func (r *finalAnswerRule) finish(request *requestHistory, end time.Duration) {
 	if request.parent != nil || !request.isSent {
 		return
--- a/internal/invariant/histories_test.go
+++ b/internal/invariant/histories_test.go
@@ -18,14 +18,14 @@
 	OverloadWindow:        time.Second,
 }
 
-// at returns an event at a time in milliseconds.
-func at(millis int, kind Kind, request, engine string) Event {
-	return Event{At: time.Duration(millis) * ms, Kind: kind, Request: request, Engine: engine, Work: 0.1}
+// at returns an event.
+func at(milliseconds int, kind Kind, request, engine string) Event {
+	return Event{At: time.Duration(milliseconds) * ms, Kind: kind, Request: request, Engine: engine, Work: 0.1}
 }
 
-// sent returns the begin of a request with a deadline two seconds ahead.
-func sent(millis int, request string, effect Effect) Event {
-	event := at(millis, RequestSent, request, "")
+// sent returns the RequestSent event of a request whose deadline is two seconds later.
+func sent(milliseconds int, request string, effect Effect) Event {
+	event := at(milliseconds, RequestSent, request, "")
 	event.Deadline = event.At + 2*time.Second
 	event.Effect = effect
 	event.DedupWindow = time.Second
@@ -33,13 +33,13 @@
 }
 
 // answer returns a request's final answer.
-func answer(millis int, request string, result Result) Event {
-	event := at(millis, FinalAnswer, request, "")
+func answer(milliseconds int, request string, result Result) Event {
+	event := at(milliseconds, FinalAnswer, request, "")
 	event.Result = result
 	return event
 }
 
-// served returns a request in two stages that keeps all rules.
+// served returns the events of a request with a prefill and a decode attempt. They break no rule.
 func served(request string, effect Effect) []Event {
 	return []Event{
 		sent(0, request, effect),
@@ -55,20 +55,21 @@
 	}
 }
 
-// prefilled returns a request whose KV state is retained and that has no attempt in flight.
+// prefilled returns the events of a request up to the end of its prefill: its KV state is retained and no attempt is in
+// flight.
 func prefilled(request string) []Event { return served(request, Idempotent)[:4] }
 
-// executed returns an attempt that is executed after 10 ms and ends after 20 ms.
-func executed(millis int, request, engine string) []Event {
+// executed returns the events of an attempt that is executed after 10 ms and ends after 20 ms.
+func executed(milliseconds int, request, engine string) []Event {
 	return []Event{
-		at(millis, AttemptBegan, request, engine),
-		at(millis+10, Executed, request, engine),
-		at(millis+20, AttemptEnded, request, engine),
+		at(milliseconds, AttemptBegan, request, engine),
+		at(milliseconds+10, Executed, request, engine),
+		at(milliseconds+20, AttemptEnded, request, engine),
 	}
 }
 
-// join joins lists of events.
-func join(lists ...[]Event) (joined []Event) {
+// concat concatenates lists of events.
+func concat(lists ...[]Event) (joined []Event) {
 	for _, list := range lists {
 		joined = append(joined, list...)
 	}
@@ -78,14 +79,15 @@
 // list returns events as a list.
 func list(events ...Event) []Event { return events }
 
-// testCase is a recording and what is to be found in it.
+// testCase is a recording and the violation that it contains.
 type testCase struct {
-	name   string
-	events []Event
-	says   string // part of the violation's text; "" where all rules must hold
+	name      string
+	events    []Event
+	violation string // part of the violation's text; "" if all rules hold
 }
 
-// record returns a recording of events, moved away from the clock's zero.
+// record returns a recording of events. It adds a second to their times, since a time of 0 can mean that
+// there was no event.
 func record(events []Event) *Recording {
 	recording := NewRecording(1000)
 	for _, event := range events {
@@ -96,25 +98,25 @@
 	return recording
 }
 
-// checkRule judges each case's recording: it must break the rule at the index and no other
-// one, or none.
+// checkRule checks that each case's recording breaks the rule at the index and no other one, or breaks no rule if the case
+// has no violation.
 func checkRule(t *testing.T, ruleIndex int, cases []testCase) {
 	t.Helper()
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			report := Check(record(c.events), testLimits, 9*time.Second)
-			if report.Kept() != (c.says == "") {
-				t.Errorf("kept: %v", report.Kept())
+			if report.Kept() != (c.violation == "") {
+				t.Errorf("Kept() is %v, want %v", report.Kept(), c.violation == "")
 			}
 			for i, verdict := range report.Verdicts {
 				isBroken := verdict.Violations > 0
-				mustBeBroken := i == ruleIndex && c.says != ""
+				mustBeBroken := i == ruleIndex && c.violation != ""
 				if isBroken != mustBeBroken {
 					t.Errorf("rule %q broken: %v, want %v", verdict.Rule, isBroken, mustBeBroken)
 				}
 			}
-			if !strings.Contains(report.String(), c.says) {
-				t.Errorf("the report does not say %q", c.says)
+			if !strings.Contains(report.String(), c.violation) {
+				t.Errorf("the report does not contain %q", c.violation)
 			}
 			if t.Failed() {
 				t.Log(report)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,8 +1,9 @@
-// Package invariant checks five rules that a router must keep. The evidence is what clients and engines observed on
-// their own sockets, never a router's log or counters. Each rule has a file of its own.
+// Package invariant checks five rules that a router must keep. It uses only events that clients and engines observed on
+// their sockets and the times of changes to the endpoint list, never the router's logs or counters. Each rule has its own
+// file.
 //
-// The package is not a model of a router. It states what must not be observed whatever the router chooses, and not what
-// the router should choose. A rule counts as kept if no observation could have broken it; Verdict.Checked is 0 then.
+// The rules state what must never be observed, regardless of which engines the router chooses. They don't predict its
+// choices. A rule counts as kept if the recording contains nothing to check; Verdict.Checked is then 0.
 package invariant
 
 import (
@@ -10,15 +11,15 @@
 	"time"
 )
 
-// Limits are the limits that the operators of the engines state. The rules compare observations with them.
+// Limits are the limits that the rules compare observations with.
 type Limits struct {
 	Skew                  time.Duration // greatest difference between two observers' clocks
-	DrainGrace            time.Duration // time after a drain notice in which an engine may still get attempts
-	KVRetentionLimit      time.Duration // longest time that unused KV state may be retained
+	DrainGrace            time.Duration // time after a drain notice during which an engine may still get attempts
+	KVRetentionLimit      time.Duration // maximum time that unused KV state may be retained
 	SlowStartInitialSpeed float64       // speed of an engine at its start, as a share of full speed
-	SlowStartDuration     time.Duration // time from a start to full speed
-	OverloadFactor        float64       // load that overloads an engine, as a multiple of its capacity
-	OverloadWindow        time.Duration // time over which load is compared with capacity
+	SlowStartDuration     time.Duration // time from the start of an engine to full speed
+	OverloadFactor        float64       // maximum load during slow start, as a multiple of the engine's capacity
+	OverloadWindow        time.Duration // period over which load is summed and compared with capacity
 }
 
 // Check applies the rules to a recording that ended at the given time.
@@ -30,16 +31,16 @@
 	for _, event := range events {
 		c.observe(event)
 	}
-	for _, request := range c.inOrder {
+	for _, request := range c.ordered {
 		c.finish(request, end)
 	}
 	return report
 }
 
-// checker holds the histories of requests and passes each event to the rules that it concerns.
+// checker builds the histories of requests and passes each event to the rules that use it.
 type checker struct {
 	requests map[string]*requestHistory
-	inOrder  []*requestHistory // sorted by first event
+	ordered  []*requestHistory // sorted by first event
 
 	finalAnswer finalAnswerRule
 	execution   executionRule
@@ -48,7 +49,7 @@
 	kvRetention kvRetentionRule
 }
 
-// newChecker returns a checker that writes its findings to a report.
+// newChecker returns a checker that writes its verdicts to a report.
 func newChecker(report *Report, limits Limits) *checker {
 	verdicts := &report.Verdicts
 	return &checker{
@@ -56,9 +57,9 @@
 		finalAnswer: finalAnswerRule{verdict: &verdicts[finalAnswerIndex], report: report, skew: limits.Skew},
 		execution:   executionRule{verdict: &verdicts[executionIndex], skew: limits.Skew},
 		drain: drainRule{
-			verdict:  &verdicts[drainIndex],
-			grace:    limits.DrainGrace + limits.Skew,
-			drainsAt: map[string]time.Duration{},
+			verdict:     &verdicts[drainIndex],
+			grace:       limits.DrainGrace + limits.Skew,
+			announcedAt: map[string]time.Duration{},
 		},
 		slowStart: slowStartRule{
 			verdict: &verdicts[slowStartIndex],
@@ -68,7 +69,7 @@
 		kvRetention: kvRetentionRule{
 			verdict: &verdicts[kvRetentionIndex],
 			limit:   limits.KVRetentionLimit + limits.Skew,
-			hangs:   map[string][]span{},
+			hangs:   map[string][]hangPeriod{},
 		},
 	}
 }
@@ -121,7 +122,7 @@
 	}
 }
 
-// attemptBegan processes the start of an attempt. The rules see the history as it was before the attempt.
+// attemptBegan processes the start of an attempt. Rules that use the request's history need it without the new attempt.
 func (c *checker) attemptBegan(request *requestHistory, event Event) {
 	c.execution.attemptBegan(request, event)
 	c.kvRetention.attemptBegan(request, event)
@@ -130,9 +131,9 @@
 	c.slowStart.attemptBegan(event)
 }
 
-// attemptEnded processes the end of a request's attempt at an engine. Without such an attempt it does nothing.
+// attemptEnded processes the end of the request's attempt at an engine. It does nothing if no such attempt is in flight.
 func (c *checker) attemptEnded(request *requestHistory, event Event) {
-	index := request.inFlightAt(event.Engine)
+	index := request.attemptIndex(event.Engine)
 	if index < 0 {
 		return
 	}
@@ -140,9 +141,9 @@
 	request.endAttempt(index, event.At)
 }
 
-// engineDied processes the end of an engine's process, which ends its attempts and drops its KV states.
+// engineDied processes the exit of an engine's process, which ends the engine's attempts and discards its KV states.
 func (c *checker) engineDied(event Event) {
-	for _, request := range c.inOrder {
+	for _, request := range c.ordered {
 		c.attemptEnded(request, event)
 		c.kvRetention.engineDied(request, event)
 	}
@@ -155,14 +156,14 @@
 	c.finalAnswer.finish(request, end)
 }
 
-// request returns the history of a request or shard, and creates it if needed. A new shard inherits the effect that its
-// parent declared.
+// request returns the history of a request or shard, and creates it if needed. A new shard inherits the declared effect of
+// its parent.
 func (c *checker) request(id string) *requestHistory {
 	request := c.requests[id]
 	if request != nil {
 		return request
 	}
-	request = &requestHistory{id: id, retained: map[string]time.Duration{}}
+	request = &requestHistory{id: id, kvUnusedSince: map[string]time.Duration{}}
 	parentID, _, isShard := strings.Cut(id, ShardSeparator)
 	if isShard {
 		request.parent = c.request(parentID)
@@ -170,6 +171,6 @@
 		request.dedupWindow = request.parent.dedupWindow
 	}
 	c.requests[id] = request
-	c.inOrder = append(c.inOrder, request)
+	c.ordered = append(c.ordered, request)
 	return request
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -12,11 +12,11 @@
 func TestEmptyRecordingProvesNothing(t *testing.T) {
 	report := Check(record(nil), testLimits, 9*time.Second)
 	if report.Kept() {
-		t.Error("an empty recording counts as kept")
+		t.Error("Kept() is true for an empty recording")
 	}
 	for _, verdict := range report.Verdicts {
 		if verdict.Violations > 0 {
-			t.Errorf("rule %q counts as broken", verdict.Rule)
+			t.Errorf("empty recording: rule %q has violations", verdict.Rule)
 		}
 	}
 }
@@ -27,21 +27,21 @@
 		recording.Add(event)
 	}
 	if Check(recording, testLimits, time.Second).Kept() {
-		t.Error("a recording that lost events counts as kept")
+		t.Error("Kept() is true for a recording that lost events")
 	}
 }
 
-// A shard is checked alone and has no answer of its own.
+// Shards of one request may run concurrently, but each obeys the request's declared effect.
 func TestShardIsCheckedByEffectOfItsRequest(t *testing.T) {
-	twoShards := join(
+	twoShards := concat(
 		list(sent(0, "q", NotIdempotent)),
 		executed(5, "q"+ShardSeparator+"1", "v"),
 		executed(6, "q"+ShardSeparator+"2", "w"),
 	)
 	checkRule(t, executionIndex, []testCase{
-		{"each shard executed once", join(twoShards, list(answer(40, "q", Served))), ""},
-		{"a shard executed twice", join(twoShards, executed(100, "q"+ShardSeparator+"1", "w"), list(answer(140, "q", Served))), "executed at w"},
-		{"rejected after a shard was executed", join(twoShards, list(answer(40, "q", Rejected))), "a shard was executed at v"},
+		{"each shard executed once", concat(twoShards, list(answer(40, "q", Served))), ""},
+		{"a shard executed twice", concat(twoShards, executed(100, "q"+ShardSeparator+"1", "w"), list(answer(140, "q", Served))), "executed at w"},
+		{"rejected after a shard was executed", concat(twoShards, list(answer(40, "q", Rejected))), "a shard was executed at v"},
 	})
 }
 
@@ -55,7 +55,7 @@
 		"Result(4)":      (Malformed + 1).String(),
 	} {
 		if got != name {
-			t.Errorf("%q, want %q", got, name)
+			t.Errorf("String() is %q, want %q", got, name)
 		}
 	}
 }
--- a/internal/invariant/kvretention.go
+++ b/internal/invariant/kvretention.go
@@ -2,75 +2,75 @@
 
 import "time"
 
-// kvRetentionRule checks that KV state that no attempt needs is released within the retention limit. Time during which
-// its engine hangs does not count, since nothing can be released there.
+// kvRetentionRule checks that KV state is released within the retention limit while its request has no attempt in flight.
+// Time during which the engine hangs doesn't count, since a hung engine can't process a release.
 type kvRetentionRule struct {
 	verdict *Verdict
-	limit   time.Duration // including the skew
-	hangs   map[string][]span
+	limit   time.Duration           // including the skew
+	hangs   map[string][]hangPeriod // by engine, in order of time
 }
 
-// span is a period of time.
-type span struct {
-	from time.Duration
-	to   time.Duration // 0 while it lasts
+// hangPeriod is a period during which an engine hung.
+type hangPeriod struct {
+	start time.Duration
+	end   time.Duration // 0 while the engine hangs
 }
 
 // engineHung records that an engine stopped reading from its sockets.
 func (r *kvRetentionRule) engineHung(event Event) {
-	r.hangs[event.Engine] = append(r.hangs[event.Engine], span{from: event.At})
+	r.hangs[event.Engine] = append(r.hangs[event.Engine], hangPeriod{start: event.At})
 }
 
 // engineResumed records that an engine reads from its sockets again.
 func (r *kvRetentionRule) engineResumed(event Event) {
 	hangs := r.hangs[event.Engine]
 	if len(hangs) > 0 {
-		hangs[len(hangs)-1].to = event.At
+		hangs[len(hangs)-1].end = event.At
 	}
 }
 
-// attemptBegan checks the KV states that were unused until this attempt, before the attempt is added to the request's
-// history.
+// attemptBegan checks how long KV states were unused before this attempt. The caller adds the attempt to the request's
+// history afterwards.
 func (r *kvRetentionRule) attemptBegan(request *requestHistory, event Event) {
 	if len(request.inFlight) > 0 {
 		return
 	}
-	for engine, since := range request.retained {
+	for engine, since := range request.kvUnusedSince {
 		r.checkRetention(request, engine, since, event.At)
-		request.retained[engine] = event.At
+		request.kvUnusedSince[engine] = event.At
 	}
 }
 
 // retained records that an engine retains a request's KV state.
 func (r *kvRetentionRule) retained(request *requestHistory, event Event) {
 	r.verdict.Checked++
-	request.retained[event.Engine] = event.At
+	request.kvUnusedSince[event.Engine] = event.At
 }
 
-// released checks a KV state that was fetched or released.
+// released checks how long a KV state was unused before it was fetched or released.
 func (r *kvRetentionRule) released(request *requestHistory, event Event) {
-	since, isRetained := request.retained[event.Engine]
+	since, isRetained := request.kvUnusedSince[event.Engine]
 	if !isRetained {
 		return
 	}
 	r.checkRetention(request, event.Engine, since, event.At)
-	delete(request.retained, event.Engine)
+	delete(request.kvUnusedSince, event.Engine)
 }
 
-// engineDied drops the KV state of a request at an engine whose process ended.
+// engineDied removes the KV state of a request at an engine whose process exited.
 func (r *kvRetentionRule) engineDied(request *requestHistory, event Event) {
-	delete(request.retained, event.Engine)
+	delete(request.kvUnusedSince, event.Engine)
 }
 
 // finish checks the KV states that are retained at the end of the recording.
 func (r *kvRetentionRule) finish(request *requestHistory, end time.Duration) {
-	for engine, since := range request.retained {
+	for engine, since := range request.kvUnusedSince {
 		r.checkRetention(request, engine, since, end)
 	}
 }
 
-// checkRetention checks a KV state that no attempt needed between two times. While an attempt is in flight the state is in
-// use; it was checked when that attempt began.
+// checkRetention checks a KV state that was unused between two times. It does nothing if an attempt is in flight, since
+// the unused time ended when that attempt began.
 func (r *kvRetentionRule) checkRetention(request *requestHistory, engine string, since, until time.Duration) {
 	if len(request.inFlight) > 0 {
 		return
@@ -84,11 +84,11 @@
 	}
 }
 
-// overlap returns how much of the time between two points the span covers.
-func (s span) overlap(since, until time.Duration) time.Duration {
-	to := s.to
-	if to == 0 {
-		to = until
+// overlap returns for how long the engine hung between two times.
+func (p hangPeriod) overlap(since, until time.Duration) time.Duration {
+	end := p.end
+	if end == 0 {
+		end = until
 	}
-	return max(min(to, until)-max(s.from, since), 0)
+	return max(min(end, until)-max(p.start, since), 0)
 }
--- a/internal/invariant/recording.go
+++ b/internal/invariant/recording.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Recording collects events, up to a bound. It is safe for concurrent use.
+// Recording collects a limited number of events. It is safe for concurrent use.
 type Recording struct {
 	mu        sync.Mutex
 	events    []Event
@@ -40,7 +40,7 @@
 	return events
 }
 
-// Lost returns how many events did not fit.
+// Lost returns the number of events that were dropped because the recording was full.
 func (r *Recording) Lost() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/invariant/report.go
+++ b/internal/invariant/report.go
@@ -29,15 +29,15 @@
 // Verdict is the result of checking one rule.
 type Verdict struct {
 	Rule       string
-	Checked    int      // number of observations that could have broken the rule
-	Violations int      // number of those that did
-	Examples   []string // descriptions of the first violations
+	Checked    int      // number of observations that the rule checked
+	Violations int      // number of observed violations
+	Examples   []string // descriptions of the first violations, at most maxExamples
 }
 
-// maxExamples bounds the examples of a verdict, so that a report stays readable if a rule is always broken.
+// maxExamples bounds the examples of a verdict, so that a report with many violations stays readable.
 const maxExamples = 5
 
-// addViolation records a violation.
+// addViolation counts a violation and adds its description to the examples if there is room.
 func (v *Verdict) addViolation(at time.Duration, format string, args ...any) {
 	v.Violations++
 	if len(v.Examples) == maxExamples {
@@ -50,11 +50,11 @@
 type Report struct {
 	Verdicts    [ruleCount]Verdict
 	Results     [resultCount]int // number of requests by Result
-	ClientsLeft int              // number of clients that left before an answer
-	LostEvents  int              // events beyond the recording's bound; above 0 nothing is proven
+	ClientsLeft int              // number of requests whose client disconnected before a final answer
+	LostEvents  int              // events that the recording dropped; if any, the report proves nothing
 }
 
-// newReport returns a report without findings.
+// newReport returns a report with an empty verdict for each rule.
 func newReport() *Report {
 	report := &Report{}
 	for i, name := range RuleNames {
--- a/internal/invariant/requesthistory.go
+++ b/internal/invariant/requesthistory.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// requestHistory is what was observed of one request or shard.
+// requestHistory contains the observations of a request or shard.
 type requestHistory struct {
 	id     string
-	parent *requestHistory // of a shard; nil for a request
+	parent *requestHistory // the request that a shard belongs to; nil for a request
 
-	// Observed by the client.
+	// Recorded by the client.
 	isSent       bool
 	sentAt       time.Duration
 	deadline     time.Duration
@@ -21,34 +21,34 @@
 	answers      []Event
 	clientLeft   bool
 
-	// Observed by engines.
-	inFlight    []attempt
-	lastEndedAt time.Duration // end of the latest attempt
-	executions  []Event
-	retained    map[string]time.Duration // by engine that retains KV state: since when the state is unused
+	// Recorded by engines.
+	inFlight      []attempt
+	lastEndedAt   time.Duration // end of the latest attempt
+	executions    []Event
+	kvUnusedSince map[string]time.Duration // start of the latest unused time of a KV state, by engine that retains it
 }
 
 // attempt is one attempt in flight.
 type attempt struct {
-	engine    string
-	beganAt   time.Duration
-	nextBegan time.Duration // start of the next attempt; 0 for none
+	engine      string
+	beganAt     time.Duration
+	nextBeganAt time.Duration // start of the next attempt; 0 for none
 }
 
-// wasSent reports whether a client sent the request, or the parent of the shard.
-func (r *requestHistory) wasSent() bool {
+// sentByClient reports whether a client sent the request, or the parent of the shard.
+func (r *requestHistory) sentByClient() bool {
 	if r.parent != nil {
 		return r.parent.isSent
 	}
 	return r.isSent
 }
 
-// inFlightAt returns the index of the attempt in flight at an engine, -1 if there is none.
-func (r *requestHistory) inFlightAt(engine string) int {
+// attemptIndex returns the index in inFlight of the attempt at an engine, or -1 if there is none.
+func (r *requestHistory) attemptIndex(engine string) int {
 	return slices.IndexFunc(r.inFlight, func(a attempt) bool { return a.engine == engine })
 }
 
-// recordSent records what the client declared.
+// recordSent records that a client sent the request, and what it declared.
 func (r *requestHistory) recordSent(event Event) {
 	r.isSent = true
 	r.sentAt = event.At
@@ -57,19 +57,20 @@
 	r.dedupWindow = event.DedupWindow
 }
 
-// beginAttempt adds an attempt.
+// beginAttempt adds an attempt in flight, and stores its start with those already in flight.
 func (r *requestHistory) beginAttempt(event Event) {
 	for i := range r.inFlight {
-		r.inFlight[i].nextBegan = cmp.Or(r.inFlight[i].nextBegan, event.At)
+		r.inFlight[i].nextBeganAt = cmp.Or(r.inFlight[i].nextBeganAt, event.At)
 	}
 	r.inFlight = append(r.inFlight, attempt{engine: event.Engine, beganAt: event.At})
 }
 
-// endAttempt removes the attempt at an index. Retained KV state counts as unused from then on at the earliest.
+// endAttempt removes the attempt at an index of inFlight. The unused time of retained KV states
+// starts at that end.
 func (r *requestHistory) endAttempt(index int, at time.Duration) {
 	r.inFlight = slices.Delete(r.inFlight, index, index+1)
 	r.lastEndedAt = at
-	for engine, since := range r.retained {
-		r.retained[engine] = max(since, at)
+	for engine, since := range r.kvUnusedSince {
+		r.kvUnusedSince[engine] = max(since, at)
 	}
 }
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	// slackRequests is allowed above a budget, since requests can't be split to fit it.
+	// slackRequests is the number of average requests that an engine may get in addition to allowedWork, since a request
+	// can't be divided.
 	slackRequests = 2
-	// meanWorkAlpha is the weight of the latest request in an engine's mean work.
+	// meanWorkAlpha is the weight of the latest attempt in an engine's moving average of work.
 	meanWorkAlpha = 0.05
 	// minSlowStartSeconds avoids a division by zero if SlowStartDuration is 0.
 	minSlowStartSeconds = 1e-9
 )
 
 // slowStartRule checks that an engine in slow start is not overloaded. Within OverloadWindow it may get OverloadFactor times
-// the work that it can do in that time, plus slackRequests.
+// the work that it can do in that time, plus slackRequests times its mean work.
 type slowStartRule struct {
 	verdict *Verdict
 	limits  Limits
 	engines map[string]*engineLoad
 }
 
-// engineLoad is the recent work of an engine.
+// engineLoad is the load of an engine.
 type engineLoad struct {
-	inSlowStart bool
-	startedAt   time.Duration
-	recent      []Event // attempts of the latest window, while in slow start
-	meanWork    float64 // seconds a request
+	inSlowStart    bool
+	startedAt      time.Duration
+	recentAttempts []Event // attempts of the latest OverloadWindow; empty after slow start
+	meanWork       float64 // moving average of the work of attempts, in seconds
 }
 
-// load returns the load of an engine, and creates it if needed.
+// load returns the engineLoad of an engine, and creates it if needed.
 func (r *slowStartRule) load(engine string) *engineLoad {
 	load := r.engines[engine]
 	if load == nil {
@@ -37,16 +38,16 @@
 	return load
 }
 
-// engineStarted begins a slow start.
+// engineStarted records that an engine started in slow start.
 func (r *slowStartRule) engineStarted(event Event) {
 	load := r.load(event.Engine)
 	load.inSlowStart = true
 	load.startedAt = event.At
-	load.recent = nil
+	load.recentAttempts = nil
 	r.verdict.Checked++
 }
 
-// attemptBegan adds the work of an attempt and compares the sum with the budget.
+// attemptBegan adds the work of an attempt and compares the work of the latest OverloadWindow with its budget.
 func (r *slowStartRule) attemptBegan(event Event) {
 	load := r.load(event.Engine)
 	if load.meanWork == 0 {
@@ -54,33 +55,34 @@
 	}
 	load.meanWork += meanWorkAlpha * (event.Work - load.meanWork)
 	if !load.inSlowStart || event.At >= load.startedAt+r.limits.SlowStartDuration {
-		load.recent = nil
+		load.recentAttempts = nil
 		return
 	}
 	work := load.addRecent(event, r.limits.OverloadWindow)
 	age := (event.At - load.startedAt).Seconds()
-	budget := r.capacity(age) + slackRequests*load.meanWork
+	budget := r.allowedWork(age) + slackRequests*load.meanWork
 	if work > budget {
 		r.verdict.addViolation(event.At, "%s, %.1fs after its start: %.3fs of work within %v, budget %.3fs",
 			event.Engine, age, work, r.limits.OverloadWindow, budget)
 	}
 }
 
-// capacity returns the seconds of work that an engine may get within a window. age is the time since its start in seconds.
-func (r *slowStartRule) capacity(age float64) float64 {
+// allowedWork returns the work that an engine may get within OverloadWindow, in seconds. age is the time since the engine's
+// start, in seconds.
+func (r *slowStartRule) allowedWork(age float64) float64 {
 	progress := min(age/max(r.limits.SlowStartDuration.Seconds(), minSlowStartSeconds), 1)
 	share := r.limits.SlowStartInitialSpeed + (1-r.limits.SlowStartInitialSpeed)*progress
 	return r.limits.OverloadFactor * share * r.limits.OverloadWindow.Seconds()
 }
 
-// addRecent adds an attempt and returns the seconds of work of the window that ends with it.
+// addRecent adds an attempt and returns the work of the window that ends with it, in seconds.
 func (l *engineLoad) addRecent(event Event, window time.Duration) float64 {
-	l.recent = append(l.recent, event)
-	for l.recent[0].At <= event.At-window {
-		l.recent = l.recent[1:]
+	l.recentAttempts = append(l.recentAttempts, event)
+	for l.recentAttempts[0].At <= event.At-window {
+		l.recentAttempts = l.recentAttempts[1:]
 	}
 	work := 0.0
-	for _, attempt := range l.recent {
+	for _, attempt := range l.recentAttempts {
 		work += attempt.Work
 	}
 	return work
--- a/internal/invariant/slowstart_test.go
+++ b/internal/invariant/slowstart_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// load returns requests at one engine, with a fixed number of milliseconds between them.
-func load(count, interval int) (events []Event) {
+// loadEvents returns the events of count requests at one engine, with interval milliseconds between them.
+func loadEvents(count, interval int) (events []Event) {
 	for i := range count {
 		id := string(rune('a' + i))
 		began := 100 + i*interval
@@ -19,8 +19,8 @@
 func TestEngineInSlowStartIsNotOverloaded(t *testing.T) {
 	start := list(at(0, EngineStarted, "", "decode"))
 	checkRule(t, slowStartIndex, []testCase{
-		{"in slow start, within its budget", join(start, load(8, 400)), ""},
-		{"in slow start, above its budget", join(start, load(16, 20)), "budget"},
-		{"at full speed, the same load", load(16, 20), ""},
+		{"in slow start, within its budget", concat(start, loadEvents(8, 400)), ""},
+		{"in slow start, above its budget", concat(start, loadEvents(16, 20)), "budget"},
+		{"at full speed, the same load", loadEvents(16, 20), ""},
 	})
 }
