--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -1,9 +1,9 @@
-// Package demo runs a router and a small cluster of fake engines in one process. It can run a fault scenario on them: a
-// load of requests, faults during it, and a check of the five rules afterwards.
+// Package demo runs a router and a small cluster of fake engines in one process. It can run a fault scenario: clients send
+// requests while faults are injected, and the five rules of package invariant are checked afterwards.
 //
-// It does not model a real deployment. The time of a fake engine is a simple formula, its answers are invented, and clients,
-// router and engines share one machine and its loopback interface. Latencies and throughput say nothing about a network or
-// about GPUs. What carries over is which rules hold under which faults.
+// It does not model a real deployment. Fake engines compute their speed with a simple formula and make up their answers, and
+// clients, router and engines share one machine and its loopback interface. Only the check of the rules is meaningful
+// elsewhere; latency and throughput are not.
 package demo
 
 import (
@@ -21,15 +21,15 @@
 	"martenlock/internal/serve"
 )
 
-// Cluster is a router, its fake engines and the endpoint list. The methods that change engines or the endpoint list are
-// safe for concurrent use.
+// Cluster is a router, its fake engines and the endpoint list. Methods that change engines or the endpoint list are safe
+// for concurrent use.
 type Cluster struct {
 	Service   *serve.Service
 	Engines   *fakeengine.Cluster
-	Recording *invariant.Recording // observations of engines and clients; may be nil
+	Recording *invariant.Recording // events of engines and clients; may be nil
 
-	startedAt time.Time // zero of Clock
-	dir       string    // holds the settings and the endpoint list
+	startedAt time.Time // time at which Clock is 0
+	dir       string    // contains the settings and the endpoint list
 
 	mu          sync.Mutex // guards the fields below and the endpoint list's file
 	endpoints   []*endpoint
@@ -39,15 +39,15 @@
 // Options configure a Cluster.
 type Options struct {
 	Listen    string               // address of the router
-	Seed      uint64               // seed of the router
+	Seed      uint64               // random seed of the router
 	LogLevel  string               // log level of the router
-	Log       io.Writer            // log of the router
+	Log       io.Writer            // gets the router's log
 	Recording *invariant.Recording // may be nil
 	Specs     []fakeengine.Spec    // nil for EngineSpecs
-	Settings  string               // settings of the router; "" for the demo's own with Listen, Seed and LogLevel
+	Settings  string               // settings of the router; "" for the constant Settings with Listen, Seed and LogLevel
 }
 
-// Names of the files in a Cluster's directory.
+// Files in a Cluster's directory.
 const (
 	settingsFile     = "martenlock.ini"
 	endpointListFile = "nodes.ini"
@@ -55,7 +55,7 @@
 	filePermissions = 0o644
 )
 
-// Start starts the engines and the router. The caller closes the Cluster.
+// Start starts the engines and the router. The caller must call Close, unless Start returns an error.
 func Start(options Options) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "martenlock-")
 	if err != nil {
@@ -106,11 +106,11 @@
 // Dir returns the directory of the settings and the endpoint list.
 func (c *Cluster) Dir() string { return c.dir }
 
-// Clock returns the time since the Cluster was started. All observations use it.
+// Clock returns the time since the Cluster was started. All recorded events use it.
 func (c *Cluster) Clock() time.Duration { return time.Since(c.startedAt) }
 
-// AddEngine starts an engine. The router learns of it with the next PublishEndpoints. If slowStart is set, the engine is in
-// slow start. Each engine has an IP address of its own, so that no outgoing connection can take its port while it is down.
+// AddEngine starts an engine, in slow start if slowStart is set. The router learns of it when the endpoint list is written
+// next. Each engine has its own IP address, so that no outgoing connection can take its port while it is down.
 func (c *Cluster) AddEngine(spec fakeengine.Spec, slowStart bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// FindEngines returns the engines that a target selects. ParseTarget describes its form.
+// FindEngines returns the engines that a target in the form of ParseTarget selects.
 func (c *Cluster) FindEngines(target string) []*fakeengine.Engine {
 	return c.findEngines(ParseTarget(target))
 }
@@ -146,7 +146,7 @@
 	return engines
 }
 
-// Close stops the router, then the engines, and removes the files.
+// Close stops the router and then the engines, and removes the Cluster's directory.
 func (c *Cluster) Close() error {
 	var err error
 	if c.Service != nil {
--- a/internal/demo/cluster_test.go
+++ b/internal/demo/cluster_test.go
@@ -13,13 +13,13 @@
 	"martenlock/internal/invariant"
 )
 
-// reading is one reading of the endpoint list: the state of the engine, and the period of the reading.
+// reading is the state of the engine in the endpoint list, and the time during which the list was read.
 type reading struct {
 	isReady      bool
 	began, ended time.Duration
 }
 
-// readList reads the endpoint list of a cluster with one engine until stop is set.
+// readList repeatedly reads the endpoint list of a cluster with one engine until stop is set.
 func readList(t *testing.T, c *Cluster, stop *atomic.Bool) (readings []reading) {
 	t.Helper()
 	for !stop.Load() {
@@ -35,9 +35,9 @@
 	return readings
 }
 
-// No reading shows an engine as ready before that is recorded. A drain is recorded before SetState returns, and not before
-// the start of the last reading that does not show it.
-func TestReadyIsRecordedBeforeAndDrainAfterItIsReadable(t *testing.T) {
+// Guards against false violations of the drain rule: a drain recorded before the list shows it, or a return to ready recorded
+// after the list shows it. A drain recorded after SetState returns could hide violations.
+func TestReadyIsRecordedBeforeItIsListedAndDrainAfter(t *testing.T) {
 	const rounds = 200
 	recording := invariant.NewRecording(4 * rounds)
 	c := &Cluster{Recording: recording, startedAt: time.Now(), dir: t.TempDir()}
@@ -66,19 +66,19 @@
 
 	events := recording.Events()
 	if len(events) != 2*rounds {
-		t.Fatalf("%d events of %d drains and returns", len(events), rounds)
+		t.Fatalf("%d events, want %d", len(events), 2*rounds)
 	}
 	for round := range rounds {
-		drained, listed := events[2*round], events[2*round+1]
-		if drained.Kind != invariant.DrainAnnounced || listed.Kind != invariant.ReadyAnnounced {
-			t.Fatalf("round %d: events %v, %v", round, drained, listed)
+		drained, ready := events[2*round], events[2*round+1]
+		if drained.Kind != invariant.DrainAnnounced || ready.Kind != invariant.ReadyAnnounced {
+			t.Fatalf("round %d: events %v and %v, want a drain and a return to ready", round, drained.Kind, ready.Kind)
 		}
 		if drained.At > drainReturned[round] {
-			t.Errorf("round %d: drain recorded at %v, told at %v", round, drained.At, drainReturned[round])
+			t.Errorf("round %d: drain recorded at %v, after SetState returned at %v", round, drained.At, drainReturned[round])
 		}
 		for _, r := range readings {
-			if r.isReady && r.began > drained.At && r.ended < listed.At {
-				t.Errorf("round %d: ready read at %v to %v; drained at %v, ready at %v", round, r.began, r.ended, drained.At, listed.At)
+			if r.isReady && r.began > drained.At && r.ended < ready.At {
+				t.Errorf("round %d: list read from %v to %v shows ready, but drain is recorded at %v and ready at %v", round, r.began, r.ended, drained.At, ready.At)
 			}
 		}
 	}
--- a/internal/demo/endpointlist.go
+++ b/internal/demo/endpointlist.go
@@ -12,7 +12,7 @@
 	"martenlock/internal/invariant"
 )
 
-// EndpointState is the state of an engine in the endpoint list, as the list spells it.
+// EndpointState is the state of an engine, as spelled in the endpoint list.
 type EndpointState string
 
 // The states of an engine in the endpoint list.
@@ -26,17 +26,18 @@
 type endpoint struct {
 	engine    *fakeengine.Engine
 	state     EndpointState
-	startedAt time.Time // start of its process; zero for long ago
+	startedAt time.Time // start of the engine's process; zero if it did not start in slow start
 }
 
-// SetState sets the state of engines, publishes the endpoint list and records the change for the checker of the rules.
+// SetState sets the state of engines, publishes the endpoint list and records the change.
 func (c *Cluster) SetState(state EndpointState, engines ...*fakeengine.Engine) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.publishState(state, engines)
 }
 
-// SetRestarted lists engines whose processes have just started as ready, with that start. Otherwise it is like SetState.
+// SetRestarted is like SetState with Ready, for engines whose processes have just started. The endpoint list shows the
+// current time as their start.
 func (c *Cluster) SetRestarted(engines ...*fakeengine.Engine) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,24 +59,24 @@
 	published, err := c.writeEndpointList()
 	if state == Ready {
 		if err == nil {
-			// A router that reads the list at once may forward requests before writeEndpointList returns.
+			// The router may read the new list and use the engines before writeEndpointList returns.
 			c.record(invariant.ReadyAnnounced, published.startedAt, engines)
 		}
 		return err
 	}
-	// A router may read the old list until writeEndpointList has returned.
+	// The router may read the old list until writeEndpointList returns.
 	c.record(invariant.DrainAnnounced, published.endedAt, engines)
 	return err
 }
 
-// record records an event of the endpoint list for each engine.
+// record adds an event for each engine to the recording.
 func (c *Cluster) record(kind invariant.Kind, at time.Duration, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
 		c.Recording.Add(invariant.Event{At: at, Kind: kind, Engine: engine.Spec.Name})
 	}
 }
 
-// PublishEndpoints writes the endpoint list. The router never reads an incomplete list.
+// PublishEndpoints writes the endpoint list. The replacement is atomic, so the router never reads an incomplete list.
 func (c *Cluster) PublishEndpoints() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,10 +84,10 @@
 	return err
 }
 
-// publication is the period within which a new endpoint list replaced the old one.
+// publication is the time during which a new endpoint list replaced the old one.
 type publication struct{ startedAt, endedAt time.Duration }
 
-// writeEndpointList writes the endpoint list to another file and renames that. The caller holds the lock.
+// writeEndpointList writes the endpoint list to a new file and renames it. The caller holds the lock.
 func (c *Cluster) writeEndpointList() (publication, error) {
 	path := filepath.Join(c.dir, endpointListFile)
 	err := os.WriteFile(path+".new", []byte(c.endpointListText()), filePermissions)
--- a/internal/demo/engines.go
+++ b/internal/demo/engines.go
@@ -8,61 +8,61 @@
 	"martenlock/internal/fakeengine"
 )
 
-// The slow start of an engine of the demo. Settings and Rules have the same values.
+// The slow start of the demo's engines. Settings has the same values.
 const (
-	slowStartShare  = 0.3             // speed at the start, as a share of full speed
-	slowStartLength = 6 * time.Second // time from the start to full speed
+	slowStartInitialSpeed = 0.3             // speed at the start, as a share of full speed
+	slowStartDuration     = 6 * time.Second // time from the start of the process to full speed
 )
 
 // engineGroup is a group of engines that differ only in name and zone.
 type engineGroup struct {
-	name  string // name of an engine without its number
-	kind  string
-	pool  string
-	role  control.Role
-	count int
-	spec  fakeengine.Spec // speed and limits of each
+	name     string // name of the engines without their number
+	kind     string
+	pool     string
+	role     control.Role
+	count    int
+	template fakeengine.Spec // speed and limits of each engine
 }
 
 // engineGroups are the engines of the demo: 17 in two zones.
 var engineGroups = []engineGroup{
 	{
 		name: "reader", kind: "reader", pool: "chat", role: control.RolePrefill, count: 4,
-		spec: fakeengine.Spec{PrefillTokensPerSecond: 60000, DecodeSlots: 64, MaxWaiting: 64},
+		template: fakeengine.Spec{PrefillTokensPerSecond: 60000, DecodeSlots: 64, MaxWaiting: 64},
 	},
 	{
 		name: "writer", kind: "writer", pool: "chat", role: control.RoleDecode, count: 6,
-		spec: fakeengine.Spec{PrefillTokensPerSecond: 20000, TokenInterval: 10 * time.Millisecond, DecodeSlots: 24, MaxWaiting: 24, AnswerTokens: 20},
+		template: fakeengine.Spec{PrefillTokensPerSecond: 20000, TokenInterval: 10 * time.Millisecond, DecodeSlots: 24, MaxWaiting: 24, AnswerTokens: 20},
 	},
 	{
 		name: "mixed", kind: "mixed", pool: "chat", role: control.RoleColocated, count: 2,
-		spec: fakeengine.Spec{PrefillTokensPerSecond: 30000, TokenInterval: 12 * time.Millisecond, DecodeSlots: 16, MaxWaiting: 24, AnswerTokens: 20},
+		template: fakeengine.Spec{PrefillTokensPerSecond: 30000, TokenInterval: 12 * time.Millisecond, DecodeSlots: 16, MaxWaiting: 24, AnswerTokens: 20},
 	},
 	{
 		name: "embed", kind: "embedder", pool: "embeddings", role: control.RoleColocated, count: 3,
-		spec: fakeengine.Spec{PrefillTokensPerSecond: 20000, DecodeSlots: 64, MaxWaiting: 64, Dimensions: 64},
+		template: fakeengine.Spec{PrefillTokensPerSecond: 20000, DecodeSlots: 64, MaxWaiting: 64, Dimensions: 64},
 	},
 	{
 		name: "rank", kind: "ranker", pool: "rerank", role: control.RoleColocated, count: 2,
-		spec: fakeengine.Spec{PrefillTokensPerSecond: 20000, DecodeSlots: 64, MaxWaiting: 64},
+		template: fakeengine.Spec{PrefillTokensPerSecond: 20000, DecodeSlots: 64, MaxWaiting: 64},
 	},
 }
 
-// EngineSpecs returns the engines of the demo. Those of each group alternate between two zones.
+// EngineSpecs returns the engines of the demo. The engines of each group alternate between two zones.
 func EngineSpecs() []fakeengine.Spec {
 	zones := []string{"a", "b"}
 	var specs []fakeengine.Spec
 	for _, group := range engineGroups {
 		for i := range group.count {
-			spec := group.spec
+			spec := group.template
 			spec.Name = fmt.Sprintf("%s%d", group.name, i+1)
 			spec.Kind = group.kind
 			spec.Pool = group.pool
 			spec.Role = group.role
 			spec.Zone = zones[i%len(zones)]
 			spec.Cell = "1"
-			spec.SlowStartInitialSpeed = slowStartShare
-			spec.SlowStartDuration = slowStartLength
+			spec.SlowStartInitialSpeed = slowStartInitialSpeed
+			spec.SlowStartDuration = slowStartDuration
 			specs = append(specs, spec)
 		}
 	}
--- a/internal/demo/fault.go
+++ b/internal/demo/fault.go
@@ -10,23 +10,23 @@
 
 //go:generate go tool stringer -linecomment -type=FaultKind -output=enum_string.go
 
-// Fault is a fault that is present for a part of a scenario.
+// Fault is a fault of a scenario, with its time and the affected engines.
 type Fault struct {
-	Name    string
-	Kind    FaultKind
-	Start   time.Duration // since the start of the scenario
-	Length  time.Duration
-	Value   float64  // the meaning depends on Kind
-	Targets []Target // the affected engines; none for FaultBurst
+	Name     string
+	Kind     FaultKind
+	Start    time.Duration // since the start of the scenario
+	Duration time.Duration
+	Value    float64  // parameter of the fault; the constants of FaultKind say what it means
+	Targets  []Target // the affected engines; none for FaultBurst
 }
 
-// activeAt reports whether the fault is present at a time of the scenario.
+// activeAt reports whether the fault is active at a time since the start of the scenario.
 func (f *Fault) activeAt(at time.Duration) bool {
 	return at >= f.Start && at < f.end()
 }
 
-// end returns the end of the fault, since the start of the scenario.
-func (f *Fault) end() time.Duration { return f.Start + f.Length }
+// end returns the end of the fault as the time since the start of the scenario.
+func (f *Fault) end() time.Duration { return f.Start + f.Duration }
 
 // FaultKind is the kind of a fault. String returns its name in scenario files.
 type FaultKind uint8
@@ -34,35 +34,36 @@
 // The kinds of faults.
 const (
 	faultUnknown FaultKind = iota // unknown
-	// FaultHang engines accept bytes and answer nothing.
+	// FaultHang makes engines read and send nothing while their connections stay open.
 	FaultHang // hang
-	// FaultErrors engines answer a share of requests, Value, with status 500.
+	// FaultErrors makes engines respond with status 500 to a share of requests, given by Value.
 	FaultErrors // errors
-	// FaultFull engines reject every request.
+	// FaultFull makes engines reject every request.
 	FaultFull // full
-	// FaultKVMissing engines report that KV state can't be fetched.
+	// FaultKVMissing makes engines respond that the KV state can't be fetched.
 	FaultKVMissing // gone
-	// FaultResetBefore engines reset connections instead of sending the first byte of an answer.
+	// FaultResetBefore makes engines reset the connection instead of executing a request.
 	FaultResetBefore // reset_before
-	// FaultResetAfter engines reset connections after Value tokens of an answer; -1 for before the first.
+	// FaultResetAfter makes engines reset the connection after Value tokens of an answer. If Value is -1, they reset it
+	// after execution but before the first token.
 	FaultResetAfter // reset_after
-	// FaultStall engines stop streams after Value tokens and keep them open.
+	// FaultStall makes engines stop sending after Value tokens of an answer and keep the connection open.
 	FaultStall // stall
-	// FaultSlow engines take Value times as long.
+	// FaultSlow makes engines take Value times as long.
 	FaultSlow // slow
-	// FaultLost engines execute requests, and their answers never arrive.
+	// FaultLost makes engines execute requests without sending answers.
 	FaultLost // lost
-	// FaultDie ends the engines' processes and starts them again at the end of the fault.
+	// FaultDie ends the engines' processes and restarts them at the end of the fault.
 	FaultDie // die
-	// FaultReplace drains the engines and starts a new engine for each.
+	// FaultReplace drains the engines and starts a replacement for each.
 	FaultReplace // replace
-	// FaultBurst multiplies the rate of requests by Value.
+	// FaultBurst multiplies the request rate by Value.
 	FaultBurst // burst
 
 	faultKindCount = iota
 )
 
-// parseFaultKind returns the kind of a name in scenario files. ok is false for an unknown name.
+// parseFaultKind returns the kind with the given name in scenario files. ok is false if the name is unknown.
 func parseFaultKind(name string) (kind FaultKind, ok bool) {
 	for kind := faultUnknown + 1; kind < faultKindCount; kind++ {
 		if kind.String() == name {
@@ -72,7 +73,7 @@
 	return faultUnknown, false
 }
 
-// sortedFaultNames returns the names of all kinds for error messages.
+// sortedFaultNames returns the names of all kinds, for error messages.
 func sortedFaultNames() string {
 	var names []string
 	for kind := faultUnknown + 1; kind < faultKindCount; kind++ {
@@ -82,8 +83,8 @@
 	return strings.Join(names, ", ")
 }
 
-// engineFault returns the fault for an engine. It returns the zero value for FaultDie, FaultReplace and FaultBurst, which
-// are not states of an engine.
+// engineFault returns the fault to set on an engine. It returns the zero value for FaultDie, FaultReplace and FaultBurst,
+// which are injected in other ways.
 func (f *Fault) engineFault() fakeengine.Fault {
 	switch f.Kind {
 	case FaultHang:
--- a/internal/demo/faultscenario.go
+++ b/internal/demo/faultscenario.go
@@ -15,13 +15,13 @@
 //go:embed faultscenario.ini
 var defaultScenario []byte
 
-// defaultScenarioName names the built-in scenario in error messages.
+// defaultScenarioName is the name of the built-in scenario in error messages.
 const defaultScenarioName = "faultscenario.ini"
 
-// Scenario is a fault scenario: a load and faults.
+// Scenario is a fault scenario: the requests to send and the faults to inject.
 type Scenario struct {
-	Length      time.Duration // time for which requests are sent
-	RequestRate float64       // requests a second
+	Duration    time.Duration // time during which requests are sent
+	RequestRate float64       // requests per second
 	Seed        int           // seed of all random choices
 	Loads       []Load
 	Faults      []Fault
@@ -34,28 +34,29 @@
 	Share           float64 // share of all requests, relative to the other loads' shares
 	API             openai.API
 	StreamShare     float64          // share of requests with a streamed answer
-	Effect          invariant.Effect // effect of a second execution
-	DedupWindow     time.Duration    // time within which engines drop a retry with the same key
-	Deadline        time.Duration    // longest time that a client waits
+	Effect          invariant.Effect // whether a request may be executed more than once
+	DedupWindow     time.Duration    // time during which engines deduplicate a request; see invariant.IdempotentWithKey
+	Deadline        time.Duration    // longest deadline of a request
 	MinPromptTokens int
 	MaxPromptTokens int
-	AnswerTokens    int     // greatest length of an answer
-	Items           int     // inputs of an embeddings request, documents of a rerank request
-	DisconnectShare float64 // share of clients that disconnect early
+	AnswerTokens    int     // maximum length of an answer
+	Items           int     // inputs of an embeddings request or documents of a rerank request
+	DisconnectShare float64 // share of clients that disconnect soon after sending
 	SlowReaderShare float64 // share of clients that read slowly
 }
 
 // RunOptions configure the run of a scenario.
 type RunOptions struct {
-	Rules    invariant.Limits // limits that the rules compare with; see Rules
+	Rules    invariant.Limits // limits for checking the rules, usually the variable Rules
 	Listen   string           // address of the router
 	LogLevel string           // log level of the router
-	Log      io.Writer        // log of the router
-	Out      io.Writer        // for progress and measurements
+	Log      io.Writer        // gets the router's log
+	Out      io.Writer        // gets progress and measurements
 }
 
 // RunFaultScenario runs the scenario in a file, or the built-in one if path is empty. The report says whether the five rules
-// held. It returns an error and no report if the file can't be read, a fault can't be injected or the router can't run.
+// held. RunFaultScenario returns an error and no report if the file is invalid, a fault can't be injected or the router
+// can't run.
 func RunFaultScenario(path string, options RunOptions) (*invariant.Report, error) {
 	scenario, err := loadScenario(path)
 	if err != nil {
--- a/internal/demo/faultscenario_test.go
+++ b/internal/demo/faultscenario_test.go
@@ -8,7 +8,7 @@
 	"martenlock/internal/invariant"
 )
 
-// shortScenario is a fault scenario that CI can run: nine faults, some overlapping.
+// shortScenario is a fault scenario that is short enough for CI. Some of its nine faults overlap.
 const shortScenario = `
 [day]
 seconds = 7
@@ -116,17 +116,17 @@
 		t.Fatal(err)
 	}
 	rules := Rules
-	rules.Skew *= 4 // a loaded machine; the limits themselves stay
+	rules.Skew *= 4 // on a loaded machine, events are recorded late
 	report, err := scenario.Run(RunOptions{Rules: rules, Listen: "127.0.0.1:0", LogLevel: "error", Log: io.Discard, Out: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !report.Kept() || report.Results[invariant.Served] < report.Verdicts[0].Checked/2 {
-		t.Errorf("\n%s", report)
+		t.Errorf("a rule is broken, or less than half of the requests were served:\n%s", report)
 	}
 	for _, verdict := range report.Verdicts {
 		if verdict.Checked == 0 {
-			t.Errorf("%s was checked on nothing", verdict.Rule)
+			t.Errorf("rule %q: no observations to check", verdict.Rule)
 		}
 	}
 	t.Logf("\n%s", report)
@@ -142,7 +142,7 @@
 	} {
 		_, err := ParseScenario("s.ini", []byte(strings.Replace(shortScenario, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v; want %s", c.new, err, c.want)
+			t.Errorf("with %q: error %v, want %s", c.new, err, c.want)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	for _, fault := range scenario.Faults {
 		for _, target := range fault.Targets {
 			if target.Property == TargetName && !known[target.Value] {
-				t.Errorf("%s: no engine %s", fault.Name, target)
+				t.Errorf("fault %q: no engine %q", fault.Name, target)
 			}
 		}
 	}
@@ -169,11 +169,11 @@
 	for kind := FaultHang; kind <= FaultBurst; kind++ {
 		parsed, known := parseFaultKind(kind.String())
 		if !known || parsed != kind {
-			t.Errorf("%s is parsed as %s", kind, parsed)
+			t.Errorf("parseFaultKind(%q) is %v, %v", kind.String(), parsed, known)
 		}
 	}
 	_, known := parseFaultKind(faultUnknown.String())
 	if known {
-		t.Error("a scenario can name the unknown kind")
+		t.Errorf("parseFaultKind(%q) reports a known kind", faultUnknown.String())
 	}
 }
--- a/internal/demo/parsescenario.go
+++ b/internal/demo/parsescenario.go
@@ -10,11 +10,10 @@
 	"martenlock/internal/openai"
 )
 
-// maxPromptTokens bounds the prompts of a scenario file, so that their texts fit in memory.
+// maxPromptTokens bounds the prompts of a scenario, so that their texts fit in memory.
 const maxPromptTokens = 1 << 20
 
-// ParseScenario parses a scenario file. docs/operating.md explains its keys. Errors name the file by name, the section and
-// the key.
+// ParseScenario parses a scenario file. docs/operating.md explains its keys. Errors contain name, the section and the key.
 func ParseScenario(name string, text []byte) (*Scenario, error) {
 	file, err := inifile.Parse(name, text)
 	if err != nil {
@@ -23,7 +22,7 @@
 	section := file.Section("day")
 	seconds := section.Float("seconds", 30, 0.1, 3600)
 	scenario := &Scenario{
-		Length:      time.Duration(seconds * float64(time.Second)),
+		Duration:    time.Duration(seconds * float64(time.Second)),
 		RequestRate: section.Float("rate", 150, 0.1, 5000),
 		Seed:        section.Int("seed", 1, 0, 1<<30),
 	}
@@ -64,8 +63,8 @@
 	return load
 }
 
-// parsePromptRange parses a range of tokens such as 100-1000, which includes both ends. It reports
-// whether text is one.
+// parsePromptRange parses a range of tokens such as 100-1000, which includes both ends. isRange is false if text is not
+// a valid range.
 func parsePromptRange(text string) (low, high int, isRange bool) {
 	lowText, highText, _ := strings.Cut(text, "-")
 	low, lowErr := strconv.Atoi(lowText)
@@ -80,10 +79,10 @@
 func parseFault(section *inifile.Section) Fault {
 	kindName := section.Required("what")
 	fault := Fault{
-		Name:   section.Name,
-		Start:  section.Duration("at", 0, 0, time.Hour),
-		Length: section.Duration("for", 0, 0, time.Hour),
-		Value:  section.Float("value", 1, -1, 1e6),
+		Name:     section.Name,
+		Start:    section.Duration("at", 0, 0, time.Hour),
+		Duration: section.Duration("for", 0, 0, time.Hour),
+		Value:    section.Float("value", 1, -1, 1e6),
 	}
 	for _, text := range section.List("engines") {
 		fault.Targets = append(fault.Targets, ParseTarget(text))
--- a/internal/demo/plannedrequest.go
+++ b/internal/demo/plannedrequest.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	sessionCount       = 200                    // sessions of chat and completions
-	maxDisconnectDelay = 400 * time.Millisecond // longest wait of a client that disconnects early
-	minDeadlineShare   = 0.5                    // least deadline of a client, as a share of its load's
+	sessionCount       = 200                    // number of sessions of chat and completions requests
+	maxDisconnectDelay = 400 * time.Millisecond // longest time from sending a request to disconnecting early
+	minDeadlineShare   = 0.5                    // shortest deadline of a request, as a share of Load.Deadline
 )
 
-// plannedRequest is a request of a scenario.
+// plannedRequest is a request to send in a scenario.
 type plannedRequest struct {
-	at              time.Duration // since the start of the scenario
+	sendAt          time.Duration // time since the start of the scenario
 	load            *Load
 	id              string
 	wantsStream     bool
 	promptTokens    int
 	session         int
-	deadline        time.Duration // since it was sent
-	disconnectAfter time.Duration // 0 for never
+	deadline        time.Duration // time since sending
+	disconnectAfter time.Duration // time since sending; 0 for never
 	readsSlowly     bool
 }
 
-// plan draws all requests in advance, so that nothing in the run can change them.
+// plan draws all requests before the run, so that they depend only on the scenario.
 func (s *Scenario) plan() []plannedRequest {
 	rng := rand.New(rand.NewPCG(uint64(s.Seed), 1))
 	var requests []plannedRequest
@@ -33,7 +33,7 @@
 	for {
 		gap := rng.ExpFloat64() / s.rateAt(at) * float64(time.Second)
 		at += time.Duration(gap)
-		if at >= s.Length {
+		if at >= s.Duration {
 			return requests
 		}
 		load := s.drawLoad(rng)
@@ -42,7 +42,7 @@
 	}
 }
 
-// rateAt returns the request rate at a time of the scenario, including bursts.
+// rateAt returns the request rate at a time since the start of the scenario, including bursts.
 func (s *Scenario) rateAt(at time.Duration) float64 {
 	rate := s.RequestRate
 	for i := range s.Faults {
@@ -54,7 +54,7 @@
 	return rate
 }
 
-// drawLoad draws a load by the loads' shares.
+// drawLoad draws a load with a probability proportional to its share.
 func (s *Scenario) drawLoad(rng *rand.Rand) *Load {
 	total := 0.0
 	for i := range s.Loads {
@@ -70,9 +70,9 @@
 	return &s.Loads[len(s.Loads)-1]
 }
 
-// drawRequest draws a request of a load. A seed gives the same requests only if the order of the draws stays.
+// drawRequest draws a request of a load. Changing the order of the random draws changes the requests of every seed.
 func drawRequest(rng *rand.Rand, at time.Duration, load *Load, id string) plannedRequest {
-	request := plannedRequest{at: at, load: load, id: id}
+	request := plannedRequest{sendAt: at, load: load, id: id}
 	request.wantsStream = rng.Float64() < load.StreamShare
 	request.promptTokens = load.MinPromptTokens + rng.IntN(load.MaxPromptTokens-load.MinPromptTokens+1)
 	request.session = rng.IntN(sessionCount)
--- a/internal/demo/requestbody.go
+++ b/internal/demo/requestbody.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	systemPromptCount  = 8  // system prompts, which sessions share as prefixes
-	systemPromptTokens = 60 // length of each after its first sentence
-	rerankTopN         = 2  // documents in the answer to a rerank request
+	systemPromptCount  = 8  // number of different system prompts, which sessions share
+	systemPromptTokens = 60 // length of a system prompt after its first sentence
+	rerankTopN         = 2  // maximum number of documents in the answer to a rerank request
 )
 
-// path returns the path of the request's operation.
+// path returns the HTTP path of the request.
 func (r *plannedRequest) path() string {
 	switch r.load.API {
 	case openai.Chat:
@@ -28,7 +28,7 @@
 	}
 }
 
-// ChatBody is the body of a chat request. The fields of this and the other bodies are in alphabetical order.
+// ChatBody is the body of a chat request. Like those of the other bodies, its fields are in alphabetical order.
 type ChatBody struct {
 	MaxTokens      int           `json:"max_tokens"`
 	Messages       []ChatMessage `json:"messages"`
@@ -89,7 +89,7 @@
 	}
 }
 
-// chatBody returns a conversation. Other sessions share its system prompt.
+// chatBody returns a conversation whose system prompt other sessions share.
 func (r *plannedRequest) chatBody() ChatBody {
 	system := fmt.Sprintf("You answer for depot %d. ", r.session%systemPromptCount) + textOfTokens(systemPromptTokens)
 	user := r.id + " " + textOfTokens(r.promptTokens)
@@ -102,7 +102,7 @@
 	}
 }
 
-// embeddingsBody divides the prompt among the inputs. All inputs differ.
+// embeddingsBody divides the prompt tokens among the inputs. Each input has a different text.
 func (r *plannedRequest) embeddingsBody() EmbeddingsBody {
 	body := EmbeddingsBody{Model: "demo-embed", Stream: r.wantsStream}
 	for i := range r.load.Items {
@@ -112,7 +112,7 @@
 	return body
 }
 
-// rerankBody divides the prompt among the documents.
+// rerankBody divides the prompt tokens among the documents.
 func (r *plannedRequest) rerankBody() rerankBody {
 	body := rerankBody{Model: "demo-rerank", Query: r.id, Stream: r.wantsStream, TopN: rerankTopN}
 	for range r.load.Items {
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	maxRecordedEvents = 4 << 20 // far above the events of the longest scenario
+	maxRecordedEvents = 4 << 20 // a run with more events counts as failed
 
-	// quiesceDelay is the wait between the last answer and the check. It is longer than Rules.KVRetentionLimit, so KV state
-	// that is retained at its end is retained for too long.
+	// quiesceDelay is the wait between the last answer and the check. It is longer than Rules.KVRetentionLimit, so that the
+	// check detects KV state that is never released.
 	quiesceDelay = 1500 * time.Millisecond
 
-	drainedProcessExit = 1500 * time.Millisecond // time from the drain of an engine to the exit of its process
-	deathListedAfter   = 500 * time.Millisecond  // longest time from the death of a process to its removal from the list
+	drainedExitDelay     = 1500 * time.Millisecond // time from the start of a drain to the exit of the engine's process
+	maxDeathListingDelay = 500 * time.Millisecond  // longest time from the exit of a process to its removal from the endpoint list
 
-	maxClientConnections = 4096 // above the requests that a scenario has in flight
+	maxIdleClientConns = 4096 // maximum number of idle connections to the router
 
-	timelineRowLength = 2 * time.Second
+	timelineRowDuration = 2 * time.Second
 )
 
 // scenarioRun is the run of a scenario.
@@ -35,17 +35,17 @@
 	recording *invariant.Recording
 	baseURL   string // of the router
 	client    *http.Client
-	latencies *latency.Histogram // to the first token or complete answer
+	latencies *latency.Histogram // time to the first token of a stream or to the complete answer
 	startedAt time.Time
-	tasks     sync.WaitGroup // requests and faults
+	tasks     sync.WaitGroup // one task for each request and each fault
 
 	mu  sync.Mutex // guards the fields below
 	out *printer.Printer
 	err error // first error that invalidates the run
 }
 
-// Run runs the scenario with a router and fake engines of its own and prints how requests ended. The report says whether
-// the rules held.
+// Run starts a router and fake engines, runs the scenario on them and prints how requests ended. The report says whether the
+// rules held.
 func (s *Scenario) Run(options RunOptions) (*invariant.Report, error) {
 	recording := invariant.NewRecording(maxRecordedEvents)
 	cluster, err := Start(Options{
@@ -61,7 +61,7 @@
 	requests := s.plan()
 	address := cluster.Service.Router.Addr()
 	out := printer.New(options.Out)
-	out.Printf("fault scenario: %d requests in %v at %s, %d faults\n", len(requests), s.Length, address, len(s.Faults))
+	out.Printf("fault scenario: %d requests in %v at %s, %d faults\n", len(requests), s.Duration, address, len(s.Faults))
 	run := &scenarioRun{
 		scenario:  s,
 		cluster:   cluster,
@@ -69,8 +69,8 @@
 		out:       out,
 		baseURL:   "http://" + address,
 		client: &http.Client{Transport: &http.Transport{
-			MaxIdleConnsPerHost: maxClientConnections,
-			MaxIdleConns:        maxClientConnections,
+			MaxIdleConnsPerHost: maxIdleClientConns,
+			MaxIdleConns:        maxIdleClientConns,
 		}},
 		startedAt: time.Now(),
 		latencies: latency.NewHistogram(),
@@ -90,7 +90,7 @@
 	return report, cluster.Close()
 }
 
-// startFaults starts a task for each fault. The plan of requests contains the bursts.
+// startFaults starts a task for each fault except bursts, which are part of the planned requests.
 func (run *scenarioRun) startFaults() {
 	for i := range run.scenario.Faults {
 		fault := &run.scenario.Faults[i]
@@ -100,11 +100,11 @@
 	}
 }
 
-// sendAll starts a task for each request when it is due. It returns the greatest delay of a request.
+// sendAll starts a task for each request when the request is due. It returns the greatest delay of a start.
 func (run *scenarioRun) sendAll(requests []plannedRequest) (scheduleLag time.Duration) {
 	for i := range requests {
 		request := &requests[i]
-		due := run.startedAt.Add(request.at)
+		due := run.startedAt.Add(request.sendAt)
 		time.Sleep(time.Until(due))
 		scheduleLag = max(scheduleLag, time.Since(due))
 		run.tasks.Go(func() { run.send(request) })
@@ -112,7 +112,7 @@
 	return scheduleLag
 }
 
-// fail invalidates the run. Only the first error is kept.
+// fail marks the run as invalid. Only the first error is kept.
 func (run *scenarioRun) fail(err error) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 }
 
-// sleepUntil sleeps until a time of the scenario.
+// sleepUntil sleeps until a time since the start of the scenario.
 func (run *scenarioRun) sleepUntil(at time.Duration) {
 	time.Sleep(time.Until(run.startedAt.Add(at)))
 }
@@ -150,44 +150,45 @@
 	}
 }
 
-// checkFault invalidates the run if a step of a fault failed.
-func (run *scenarioRun) checkFault(fault *Fault, err error) {
+// checkFaultStep marks the run as invalid if err, the error of a step of a fault, is not nil.
+func (run *scenarioRun) checkFaultStep(fault *Fault, err error) {
 	if err != nil {
 		run.fail(fmt.Errorf("fault %q: %w", fault.Name, err))
 	}
 }
 
-// injectDeath ends the engines' processes, updates the endpoint list a little later, and restarts the processes at the end
+// injectDeath ends the engines' processes, removes them from the endpoint list after a delay, and restarts them at the end
 // of the fault.
 func (run *scenarioRun) injectDeath(fault *Fault, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
 		engine.Kill()
 	}
-	run.sleepUntil(fault.Start + min(deathListedAfter, fault.Length/2))
-	run.checkFault(fault, run.cluster.SetState(Gone, engines...))
+	run.sleepUntil(fault.Start + min(maxDeathListingDelay, fault.Duration/2))
+	run.checkFaultStep(fault, run.cluster.SetState(Gone, engines...))
 	run.sleepUntil(fault.end())
 	for _, engine := range engines {
-		run.checkFault(fault, engine.Restart())
+		run.checkFaultStep(fault, engine.Restart())
 	}
-	run.checkFault(fault, run.cluster.SetRestarted(engines...))
+	run.checkFaultStep(fault, run.cluster.SetRestarted(engines...))
 }
 
-// injectReplacement starts a successor of each engine in slow start and drains the engines. Their processes exit later.
+// injectReplacement starts a replacement for each engine, in slow start, and drains the engines. Their processes exit
+// after drainedExitDelay.
 func (run *scenarioRun) injectReplacement(fault *Fault, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
-		successor := engine.Spec
-		successor.Name += "-next"
-		run.checkFault(fault, run.cluster.AddEngine(successor, true))
+		replacement := engine.Spec
+		replacement.Name += "-next"
+		run.checkFaultStep(fault, run.cluster.AddEngine(replacement, true))
 	}
-	run.checkFault(fault, run.cluster.SetState(Draining, engines...))
-	run.sleepUntil(fault.Start + drainedProcessExit)
-	run.checkFault(fault, run.cluster.SetState(Gone, engines...))
+	run.checkFaultStep(fault, run.cluster.SetState(Draining, engines...))
+	run.sleepUntil(fault.Start + drainedExitDelay)
+	run.checkFaultStep(fault, run.cluster.SetState(Gone, engines...))
 	for _, engine := range engines {
 		engine.Kill()
 	}
 }
 
-// injectEngineFault sets a fault of the engines and clears it at its end.
+// injectEngineFault sets the fault on the engines and clears it at the end of the fault.
 func (run *scenarioRun) injectEngineFault(fault *Fault, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
 		engine.SetFault(fault.engineFault())
@@ -198,8 +199,8 @@
 	}
 }
 
-// printLatencies prints the time to the first token or, if an answer was not streamed, to the complete answer. It also
-// prints the greatest delay of the load.
+// printLatencies prints percentiles of the time to the first token or, if an answer was not streamed, to the complete
+// answer. It also prints by how much requests were sent late at most.
 func (run *scenarioRun) printLatencies(scheduleLag time.Duration) {
 	p50 := latency.Milliseconds(run.latencies.Percentile(50))
 	p99 := latency.Milliseconds(run.latencies.Percentile(99))
@@ -207,10 +208,10 @@
 	run.out.Printf("first token or whole answer: p50 %.1f ms, p99 %.1f ms; the load was at most %.1f ms behind its schedule\n", p50, p99, lag)
 }
 
-// answerCounts counts answers by invariant.Result, of which Malformed is the last.
+// answerCounts contains the number of answers by invariant.Result. Malformed is the last Result.
 type answerCounts [invariant.Malformed + 1]int
 
-// printTimeline prints how requests ended by the time when they were sent.
+// printTimeline prints the timeline, without rows in which no request was answered.
 func (run *scenarioRun) printTimeline() {
 	rows := run.timeline()
 	run.out.Printf("sent at      served rejected failed\n")
@@ -218,16 +219,16 @@
 		if row == (answerCounts{}) {
 			continue
 		}
-		from := (time.Duration(i) * timelineRowLength).Seconds()
-		to := (time.Duration(i+1) * timelineRowLength).Seconds()
+		from := (time.Duration(i) * timelineRowDuration).Seconds()
+		to := (time.Duration(i+1) * timelineRowDuration).Seconds()
 		run.out.Printf("%4.0f to %2.0f s  %6d %8d %6d\n",
 			from, to, row[invariant.Served], row[invariant.Rejected], row[invariant.Failed])
 	}
 }
 
-// timeline counts answers by the time when their requests were sent, in rows of timelineRowLength.
+// timeline counts answers by the time at which their requests were sent, with a row for each timelineRowDuration.
 func (run *scenarioRun) timeline() []answerCounts {
-	rows := make([]answerCounts, int(run.scenario.Length/timelineRowLength)+1)
+	rows := make([]answerCounts, int(run.scenario.Duration/timelineRowDuration)+1)
 	rowOfRequest := map[string]int{}
 	offset := run.startedAt.Sub(run.cluster.startedAt)
 	events := run.recording.Events()
@@ -235,12 +236,12 @@
 		event := &events[i]
 		switch event.Kind {
 		case invariant.RequestSent:
-			row := int((event.At - offset) / timelineRowLength)
+			row := int((event.At - offset) / timelineRowDuration)
 			rowOfRequest[event.Request] = min(max(row, 0), len(rows)-1)
 		case invariant.FinalAnswer:
 			rows[rowOfRequest[event.Request]][event.Result]++
 		default:
-			// Other events don't end a request.
+			// Other events are not part of the timeline.
 		}
 	}
 	return rows
--- a/internal/demo/scenarioclient.go
+++ b/internal/demo/scenarioclient.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	maxStreamLength = 30 * time.Second // time after its deadline at which a stream is aborted
+	clientTimeoutMargin = 30 * time.Second // time after a request's deadline at which the client aborts the request
 
-	slowReadBytes = 64                    // bytes of one read of a slow client
-	slowReadPause = 10 * time.Millisecond // wait before each of its reads
+	slowReadBytes = 64                    // maximum bytes of a read of a slow client
+	slowReadPause = 10 * time.Millisecond // wait of a slow client before each read
 )
 
-// send sends a request and records what its client observes.
+// send sends a request and records the events that its client observes.
 func (run *scenarioRun) send(planned *plannedRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), planned.deadline+maxStreamLength)
+	ctx, cancel := context.WithTimeout(context.Background(), planned.deadline+clientTimeoutMargin)
 	defer cancel()
 	request, err := run.newRequest(ctx, planned)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// newRequest returns the HTTP request of a planned request.
+// newRequest returns the HTTP request for a planned request.
 func (run *scenarioRun) newRequest(ctx context.Context, planned *plannedRequest) (*http.Request, error) {
 	body, err := planned.body()
 	if err != nil {
@@ -69,15 +69,15 @@
 	return request, nil
 }
 
-// recordFirstToken records that the first token, or a complete answer, arrived.
+// recordFirstToken records that the first token or, without streaming, the complete answer arrived.
 func (run *scenarioRun) recordFirstToken(planned *plannedRequest, sentAt time.Duration) {
 	now := run.cluster.Clock()
 	run.recording.Add(invariant.Event{At: now, Kind: invariant.FirstToken, Request: planned.id})
 	run.latencies.Record(now - sentAt)
 }
 
-// receive sends the request and reads its answer. answered is false if the client disconnected or the connection failed
-// before an answer.
+// receive sends the request and reads its answer. answered is false if the client disconnected or timed out before the end
+// of the answer, or if it got no response.
 func (run *scenarioRun) receive(request *http.Request, planned *plannedRequest, onFirstToken func()) (result invariant.Result, answered bool) {
 	response, err := run.client.Do(request)
 	if err != nil {
@@ -90,11 +90,11 @@
 	case planned.wantsStream:
 		return receiveStream(request.Context(), response, planned.readsSlowly, onFirstToken)
 	default:
-		return receiveWhole(request.Context(), response, onFirstToken)
+		return receiveUnstreamed(request.Context(), response, onFirstToken)
 	}
 }
 
-// classifyError returns the result of a request whose response is an error.
+// classifyError returns the result of a request whose response does not have status 200.
 func classifyError(response *http.Response) invariant.Result {
 	body, err := io.ReadAll(response.Body)
 	if err != nil || !bytes.Contains(body, []byte(`"error"`)) {
@@ -113,8 +113,8 @@
 	return invariant.Malformed
 }
 
-// receiveWhole reads an answer that is not streamed.
-func receiveWhole(ctx context.Context, response *http.Response, onFirstToken func()) (result invariant.Result, answered bool) {
+// receiveUnstreamed reads an answer that is not streamed.
+func receiveUnstreamed(ctx context.Context, response *http.Response, onFirstToken func()) (result invariant.Result, answered bool) {
 	body, err := io.ReadAll(response.Body)
 	if err == nil && json.Valid(body) {
 		onFirstToken()
@@ -126,7 +126,7 @@
 	return invariant.Malformed, true
 }
 
-// receiveStream reads an answer of server-sent events.
+// receiveStream reads a streamed answer.
 func receiveStream(ctx context.Context, response *http.Response, readsSlowly bool, onFirstToken func()) (result invariant.Result, answered bool) {
 	var reader io.Reader = response.Body
 	if readsSlowly {
@@ -161,7 +161,7 @@
 	return invariant.Malformed, true
 }
 
-// slowReader limits the rate of a reader.
+// slowReader limits the rate at which it reads from another reader.
 type slowReader struct{ reader io.Reader }
 
 // Read implements io.Reader. It waits, then reads a few bytes.
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -7,8 +7,8 @@
 	"martenlock/internal/invariant"
 )
 
-// Settings is the settings file of the demo as a format of fmt.Sprintf. Its arguments are the address to listen on, the seed
-// and the log level.
+// Settings is the router's settings file as a format string. Its arguments are the address to listen on, the seed and the
+// log level.
 const Settings = `# Settings of a martenlock router. Every key is explained in docs/operating.md.
 [router]
 listen = %s
@@ -93,18 +93,18 @@
 parts = 256
 `
 
-// Rules are the limits that the rules of invariant compare with. They are those of Settings.
+// Rules are the limits for package invariant. They match Settings.
 var Rules = invariant.Limits{
 	Skew:                  50 * time.Millisecond,
 	DrainGrace:            250 * time.Millisecond,
 	KVRetentionLimit:      time.Second,
-	SlowStartInitialSpeed: slowStartShare,
-	SlowStartDuration:     slowStartLength,
+	SlowStartInitialSpeed: slowStartInitialSpeed,
+	SlowStartDuration:     slowStartDuration,
 	OverloadFactor:        2.5,
 	OverloadWindow:        time.Second,
 }
 
-// ExampleRequests returns three shell commands that send requests to a router of the demo.
+// ExampleRequests returns shell commands that send example requests to the router at an address.
 func ExampleRequests(address string) string {
 	return fmt.Sprintf(`  curl -N http://%[1]s/v1/chat/completions -d '{"model":"demo-chat","stream":true,"messages":[{"role":"system","content":"You are a plumber."},{"role":"user","content":"My pipe is frozen."}]}'
   curl http://%[1]s/v1/embeddings -d '{"model":"demo-embed","input":["frozen pipe","warm boiler"],"dimensions":4}'
--- a/internal/demo/target.go
+++ b/internal/demo/target.go
@@ -6,24 +6,24 @@
 	"martenlock/internal/fakeengine"
 )
 
-// TargetProperty is a property of engines by which a Target selects them.
+// TargetProperty is a property by which a Target selects engines.
 type TargetProperty string
 
-// The properties, as a target spells them before its colon.
+// The properties, as spelled before the colon of a target.
 const (
-	TargetName TargetProperty = "" // without a colon
+	TargetName TargetProperty = "" // a target without a colon
 	TargetZone TargetProperty = "zone"
 	TargetKind TargetProperty = "kind"
 	TargetPool TargetProperty = "pool"
 )
 
-// Target selects the engines whose property has the value.
+// Target selects the engines whose Property has the Value.
 type Target struct {
 	Property TargetProperty
 	Value    string
 }
 
-// ParseTarget parses NAME, zone:NAME, kind:NAME or pool:NAME. A target with another property selects nothing.
+// ParseTarget parses NAME, zone:NAME, kind:NAME or pool:NAME. A target with any other property selects no engine.
 func ParseTarget(text string) Target {
 	property, value, hasProperty := strings.Cut(text, ":")
 	if !hasProperty {
