--- a/internal/demo/fault.go
+++ b/internal/demo/fault.go
@@ -44,14 +44,15 @@
 	FaultKVMissing // gone
 	// FaultResetBefore makes engines reset the connection instead of executing a request.
 	FaultResetBefore // reset_before
-	// FaultResetAfter makes engines reset the connection after Value tokens of an answer. If Value is -1, they reset it
-	// after execution but before the first token.
+	// FaultResetAfter makes engines reset the connection after Value tokens of a decode. If Value is -1, they reset it
+	// after execution has started but before the first token.
 	FaultResetAfter // reset_after
-	// FaultStall makes engines stop sending after Value tokens of an answer and keep the connection open.
+	// FaultStall makes engines stop sending after Value tokens of a decode and keep the connection open.
 	FaultStall // stall
 	// FaultSlow makes engines take Value times as long.
 	FaultSlow // slow
-	// FaultLost makes engines execute requests without sending answers.
+	// FaultLost makes engines execute prefills and decodes without sending answers. It doesn't affect embeddings and
+	// rerank requests.
 	FaultLost // lost
 	// FaultDie ends the engines' processes and restarts them at the end of the fault.
 	FaultDie // die
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -23,7 +23,7 @@
 	drainedExitDelay     = 1500 * time.Millisecond // time from the start of a drain to the exit of the engine's process
 	maxDeathListingDelay = 500 * time.Millisecond  // longest time from the exit of a process to its removal from the endpoint list
 
-	maxIdleClientConns = 4096 // maximum number of idle connections to the router
+	maxIdleClientConns = 4096
 
 	timelineRowDuration = 2 * time.Second
 )
--- a/internal/fakeengine/conn.go
+++ b/internal/fakeengine/conn.go
@@ -29,7 +29,8 @@
 	body      []byte
 	job       *job // nil before and after execution
 
-	// unreadID is the recordID of a request that arrived while the engine hangs and waits to be read, or "".
+	// unreadID is the recordID of a request that arrived at the hung engine and was not read yet. It is "" if there
+	// is none.
 	unreadID string
 }
 
--- a/internal/fakeengine/fault.go
+++ b/internal/fakeengine/fault.go
@@ -15,12 +15,12 @@
 	RejectAll       bool          // rejects all requests with status 503
 	KVMissing       bool          // responds that the KV state can't be fetched
 	ResetBefore     bool          // resets the connection instead of executing a request
-	ResetAfter      int           // resets the connection after this many tokens; 0 for never, -1 for after execution but before the first token
-	StallAfter      int           // sends nothing more after this many tokens; 0 for never
+	ResetAfter      int           // resets the connection after this many tokens of a decode; 0 for never, -1 for before the first token
+	StallAfter      int           // sends nothing more after this many tokens of a decode; 0 for never
 	SlowdownFactor  float64       // multiplies prefill times and token intervals; 0 and 1 for full speed
-	PrefillDelay    time.Duration // wait after each prefill, embeddings or rerank request, which doesn't block the next one
+	PrefillDelay    time.Duration // wait after each prefill, embeddings or rerank request; the next one starts without it
 	EmbeddingDefect EmbeddingDefect
-	AnswersLost     bool // executes requests but sends no response
+	AnswersLost     bool // executes prefills and decodes but sends no response; doesn't affect embeddings and rerank requests
 }
 
 // EmbeddingDefect says how responses to embeddings requests are malformed.
--- a/internal/fakeengine/job.go
+++ b/internal/fakeengine/job.go
@@ -135,8 +135,8 @@
 	j.engine.observe(kind, j.recordID, work)
 }
 
-// work returns the time that the job takes of the engine at full speed, in seconds. A decode slot counts
-// as its share of the engine.
+// work returns the engine time that the job takes at full speed, in seconds. The time of a decode is divided
+// by the number of slots, since decodes run concurrently.
 func (j *job) work() float64 {
 	spec := &j.engine.Spec
 	work := 0.0
--- a/internal/fakeengine/scheduler.go
+++ b/internal/fakeengine/scheduler.go
@@ -14,7 +14,7 @@
 // after another. Decodes run concurrently, up to the number of slots.
 type scheduler struct {
 	engine      *Engine
-	prefills    []*job // prefills that are not computed; the first one is in progress
+	prefills    []*job // prefills to compute; the first one is in progress
 	prefilling  int    // number of incomplete prefills, including computed ones that a fault delays
 	running     int    // number of jobs with a decode slot
 	decodeQueue []*job // jobs that wait for a decode slot
