--- a/internal/bench/backend.go
+++ b/internal/bench/backend.go
@@ -11,24 +11,24 @@
 	"martenlock/internal/timerwheel"
 )
 
-// The backend's answers.
+// The backend's responses.
 const (
-	streamTokens    = 500 // tokens of an answer to chat
-	tokenInterval   = 2 * time.Millisecond
-	embeddingAnswer = `{"object":"list","data":[{"object":"embedding","index":0,"embedding":"zczMPc3MTD6amZk+zczMPs3MTD8="}],"model":"m","usage":{"prompt_tokens":4,"total_tokens":4}}`
-	tokenEvent      = `data: {"id":"c","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{"content":"snow "},"finish_reason":null}]}` + "\n\n"
-	doneEvent       = "data: [DONE]\n\n"
+	tokensPerStream   = 500 // tokens of a chat response
+	tokenInterval     = 2 * time.Millisecond
+	embeddingResponse = `{"object":"list","data":[{"object":"embedding","index":0,"embedding":"zczMPc3MTD6amZk+zczMPs3MTD8="}],"model":"m","usage":{"prompt_tokens":4,"total_tokens":4}}`
+	tokenEvent        = `data: {"id":"c","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{"content":"snow "},"finish_reason":null}]}` + "\n\n"
+	doneEvent         = "data: [DONE]\n\n"
 )
 
-// backendMaxOutput bounds the unsent bytes of a backend connection. No stream of the load comes near it.
-const backendMaxOutput = 64 << 20
+// maxUnsentBytes limits the output that a backend connection buffers. A whole stream is far smaller.
+const maxUnsentBytes = 64 << 20
 
-// requestLimits bound the requests that the backend accepts. Requests of the load are far smaller.
+// requestLimits are the limits of the requests that the backend accepts. The requests of the load are far smaller.
 var requestLimits = http1.Limits{Line: 8000, Headers: 64000, Fields: 100, Body: 1 << 20}
 
 // startBackend starts the backend in this process and returns its address.
 func startBackend() (string, error) {
-	loop, err := eventloop.New(eventloop.Options{MaxUnsentBytes: backendMaxOutput})
+	loop, err := eventloop.New(eventloop.Options{MaxUnsentBytes: maxUnsentBytes})
 	if err != nil {
 		return "", err
 	}
@@ -42,11 +42,11 @@
 	return listener.Addr().String(), nil
 }
 
-// backendConn is a connection of the backend. It answers embeddings at once and streams tokens at a fixed rate. It
-// implements eventloop.Handler.
+// backendConn is a connection of the backend. It responds to embeddings requests at once and streams chat tokens at a
+// fixed rate. It implements eventloop.Handler.
 type backendConn struct {
 	parser     *http1.Parser
-	wantsChat  bool // by the current request
+	isChat     bool // whether the current request is for chat
 	tokensLeft int
 	tokenTimer timerwheel.Timer
 }
@@ -66,7 +66,7 @@
 	conn.Close()
 }
 
-// Data implements eventloop.Handler. It parses requests and answers each complete one.
+// Data implements eventloop.Handler. It parses requests and responds to each complete one.
 func (b *backendConn) Data(conn *eventloop.Conn, data []byte) int {
 	total := 0
 	for {
@@ -80,23 +80,23 @@
 		case http1.NeedMore:
 			return total
 		case http1.HeadDone:
-			b.wantsChat = strings.Contains(string(b.parser.Head.Target), "chat")
+			b.isChat = strings.Contains(string(b.parser.Head.Target), "chat")
 		case http1.Data:
-			// The content of a request changes nothing.
+			// The backend ignores the content of requests.
 		case http1.End:
-			b.answer(conn)
+			b.respond(conn)
 		}
 	}
 }
 
-// answer answers the current request.
-func (b *backendConn) answer(conn *eventloop.Conn) {
-	if !b.wantsChat {
-		conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(embeddingAnswer)) + "\r\n\r\n" + embeddingAnswer))
+// respond sends the response to the current request, or starts its stream.
+func (b *backendConn) respond(conn *eventloop.Conn) {
+	if !b.isChat {
+		conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(embeddingResponse)) + "\r\n\r\n" + embeddingResponse))
 		return
 	}
 	conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
-	b.tokensLeft = streamTokens
+	b.tokensLeft = tokensPerStream
 	b.tokenTimer.Fire = func() { b.streamToken(conn) }
 	b.tokenTimer.Fire()
 }
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -1,9 +1,9 @@
 // Package bench compares the cost of the router with that of net/http/httputil.ReverseProxy. Each runs as a process on one
 // core, with the same backend and under the same load.
 //
-// It does not model serving. Its backend answers at once or streams at a fixed rate, all requests are equal, and clients,
-// backend and both subjects share one machine and its loopback interface. The figures are of forwarding alone, on this
-// machine. They say nothing about scheduling, engines or a network.
+// It does not model serving. The backend responds at once or streams at a fixed rate, all requests of a measurement are
+// equal, and clients, backend, router and ReverseProxy share one machine and its loopback interface. The figures show the
+// cost of forwarding on this machine. They say nothing about scheduling, engines or a network.
 package bench
 
 import (
@@ -18,30 +18,30 @@
 )
 
 const (
-	// rounds is the number of rounds of each measurement. Each round measures both subjects, so that other load of the
-	// machine affects both.
+	// rounds is the number of rounds of each measurement. Each round measures both subjects, so that other load on the
+	// machine affects both alike.
 	rounds = 5
 
-	embeddingClients = 32   // keeps one core busy
-	idleConnections  = 4000 // together they need far more memory than the process without them
+	embeddingClients = 32   // enough to keep one core busy
+	idleConnections  = 4000 // enough to need far more memory than the process without them
 
-	// settleDelay is the wait before memory is read. Accepting and allocating have ended by then.
+	// settleDelay is the wait before memory is read, until the process has accepted connections and allocated memory.
 	settleDelay = 300 * time.Millisecond
 
-	minCPUTime = time.Millisecond // least CPU time of a measurement, since the clock ticks every 10 ms
+	minCPUTime = time.Millisecond // replaces a measured CPU time of 0; the clock ticks every 10 ms
 )
 
-// The cores of the measurement. The load runs on other cores if there are any.
+// The cores of the benchmark's processes. The load runs on the cores from firstFreeCore on, if there are any.
 const (
 	backendCore   = 0
-	subjectCore   = 1 // of both subjects; one is idle while the other is measured
+	subjectCore   = 1 // both subjects share it; one is idle while the other is measured
 	firstFreeCore = 2
 )
 
-// errTooFewCores is returned if the machine can't run the measurement.
+// errTooFewCores is returned on a machine with a single core.
 var errTooFewCores = errors.New("the benchmark needs two cores")
 
-// streamCounts are the numbers of concurrent streams that are measured.
+// streamCounts are the numbers of concurrent streams to measure.
 var streamCounts = []int{32, 256}
 
 // subjects are the two processes that are compared.
@@ -51,12 +51,13 @@
 type benchmark struct {
 	backend   *process
 	subjects  subjects
-	roundSpan time.Duration // time for one measurement of one subject
+	roundSpan time.Duration // duration of one subject's measurement in a round
 	out       *printer.Printer
 }
 
-// Run takes all measurements and prints a table. Each measurement takes span, over all of its rounds. The calling program
-// must run Child for the arguments bench-process, kind and backend.
+// Run takes all measurements and prints a table. span is the duration of each measurement of a subject, over all rounds.
+//
+// Run starts the calling program with the arguments bench-process, kind and backend. With these the program must call Child.
 func Run(span time.Duration, out io.Writer) error {
 	if runtime.NumCPU() < firstFreeCore {
 		return errTooFewCores
@@ -89,7 +90,7 @@
 	return b.run()
 }
 
-// run takes the measurements in the order of the table.
+// run takes all measurements, in the order of the table's rows.
 func (b *benchmark) run() error {
 	b.printHeader()
 	err := b.warmUp()
@@ -132,13 +133,14 @@
 	return nil
 }
 
-// throughput is the rate at which a subject forwards.
+// throughput is the rate at which a subject forwards requests or tokens.
 type throughput struct {
-	perCPUSecond float64 // per second of its processor time
+	perCPUSecond float64 // per second of the subject's CPU time
 	perSecond    float64
 }
 
-// measureThroughput measures a subject under full load. Each request counts as the given number of units.
+// measureThroughput measures a subject under full load. units is the number of requests or tokens that one request
+// counts as.
 func (b *benchmark) measureThroughput(subject *process, clients int, request []byte, units float64) (throughput, error) {
 	cpuBefore := subject.cpuTime()
 	startedAt := time.Now()
@@ -154,9 +156,10 @@
 	}, nil
 }
 
-// measureEmbeddings measures short requests with short answers. It returns the most requests a second of each subject.
+// measureEmbeddings measures short requests with short responses. It returns the highest request rate of each subject, per
+// second.
 func (b *benchmark) measureEmbeddings() (capacity comparison, err error) {
-	samples, err := inTurns(b.subjects, func(subject *process) (throughput, error) {
+	samples, err := measureRounds(b.subjects, func(subject *process) (throughput, error) {
 		return b.measureThroughput(subject, embeddingClients, embeddingRequest, 1)
 	})
 	if err != nil {
@@ -168,10 +171,10 @@
 	return capacity, nil
 }
 
-// measureStreams measures concurrent streams of tokens.
+// measureStreams measures the throughput of tokens on concurrent streams.
 func (b *benchmark) measureStreams(streams int) error {
-	samples, err := inTurns(b.subjects, func(subject *process) (throughput, error) {
-		return b.measureThroughput(subject, streams, chatRequest, streamTokens)
+	samples, err := measureRounds(b.subjects, func(subject *process) (throughput, error) {
+		return b.measureThroughput(subject, streams, chatRequest, tokensPerStream)
 	})
 	if err != nil {
 		return err
@@ -181,18 +184,18 @@
 	return nil
 }
 
-// percentiles are latencies to a complete answer in microseconds.
+// percentiles are percentiles of the latency to the complete response, in microseconds.
 type percentiles struct{ p50, p99 float64 }
 
-// latencySample is the latency of a subject at a fixed rate, and that of the backend alone.
+// latencySample is the latency of the backend alone, and what a subject adds to it, at the same fixed request rate.
 type latencySample struct {
-	direct percentiles // of the backend without a subject
-	added  percentiles // by the subject
+	direct percentiles // latency of the backend without a subject
+	added  percentiles // latency added by the subject
 }
 
-// measureLatency measures the latency that each subject adds at a fixed rate.
+// measureLatency measures the latency that each subject adds at a fixed request rate. label describes the rate.
 func (b *benchmark) measureLatency(requestsPerSecond float64, label string) error {
-	samples, err := inTurns(b.subjects, func(subject *process) (latencySample, error) {
+	samples, err := measureRounds(b.subjects, func(subject *process) (latencySample, error) {
 		return b.sampleLatency(subject, requestsPerSecond)
 	})
 	if err != nil {
@@ -208,7 +211,7 @@
 	return nil
 }
 
-// sampleLatency measures the backend alone, then through the subject.
+// sampleLatency measures the latency of the backend alone, then through the subject.
 func (b *benchmark) sampleLatency(subject *process, requestsPerSecond float64) (latencySample, error) {
 	direct, err := b.latencyOf(b.backend, requestsPerSecond)
 	if err != nil {
@@ -222,7 +225,7 @@
 	return latencySample{direct: direct, added: added}, nil
 }
 
-// latencyOf measures a process at a fixed rate of requests.
+// latencyOf measures the latency of a process at a fixed request rate.
 func (b *benchmark) latencyOf(target *process, requestsPerSecond float64) (percentiles, error) {
 	latencies, err := runLoad(loadOptions{
 		address:  target.address,
@@ -240,7 +243,7 @@
 	}, nil
 }
 
-// measureIdleMemory measures the memory of idle connections, in new processes without any load.
+// measureIdleMemory measures the memory per idle connection of each subject, in a new process that has served no request.
 func (b *benchmark) measureIdleMemory() error {
 	router, err := idleConnectionBytes(routerProcess, b.backend.address)
 	if err != nil {
@@ -254,7 +257,7 @@
 	return nil
 }
 
-// idleConnectionBytes starts a subject and returns the growth of its resident set by each idle connection.
+// idleConnectionBytes starts a subject and returns by how many bytes its resident set grows per idle connection.
 func idleConnectionBytes(kind processKind, backend string) (bytes float64, err error) {
 	subject, err := startProcess(subjectCore, kind, backend)
 	if err != nil {
--- a/internal/bench/child.go
+++ b/internal/bench/child.go
@@ -16,10 +16,9 @@
 	"martenlock/internal/serve"
 )
 
-// processKind is what a process of the benchmark runs.
+// processKind is the server that a process of the benchmark runs.
 type processKind string
 
-// The kinds of processes.
 const (
 	backendProcess processKind = "backend"
 	routerProcess  processKind = "router"
@@ -29,12 +28,12 @@
 // anyLoopbackPort is an address to listen on. The kernel chooses the port.
 const anyLoopbackPort = "127.0.0.1:0"
 
-// profileVariable names an environment variable with a path. Each process writes a CPU profile to that path with its kind
-// appended: MARTENLOCK_PROFILE=/tmp/p martenlock bench
+// profileVariable is the environment variable that turns on CPU profiles. With MARTENLOCK_PROFILE=/tmp/p each process
+// writes a profile to /tmp/p.KIND.
 const profileVariable = "MARTENLOCK_PROFILE"
 
-// Child runs one of the processes that Run starts. kind is backend, router or proxy; backend is the address that the
-// latter two forward to. Child prints its own address and returns at the end of its standard input.
+// Child runs one of the processes that Run starts. kind is backend, router or proxy. backend is the address that the router
+// and the proxy forward to. Child prints the address that it listens on and returns at the end of standard input.
 func Child(kind, backend string) (err error) {
 	address, cleanUp, err := startChild(processKind(kind), backend)
 	if err != nil {
@@ -51,7 +50,7 @@
 	return err
 }
 
-// startChild starts a process's server. It returns the address and a function to call at the process's end.
+// startChild starts a server of the given kind and returns its address. cleanUp must be called before the process ends.
 func startChild(kind processKind, backend string) (address string, cleanUp func(), err error) {
 	cleanUp = func() {}
 	switch kind {
@@ -67,8 +66,8 @@
 	return address, cleanUp, err
 }
 
-// routerSettings are the router's settings. Coalescing is off, since the load repeats one request and each is to be
-// forwarded.
+// routerSettings are the router's settings. single_flight is off because all requests of the load are identical, and each
+// one has to reach the backend.
 const routerSettings = `[router]
 listen = 127.0.0.1:0
 nodes = n.ini
@@ -89,10 +88,9 @@
 single_flight = false
 `
 
-// filePermissions are the permissions of the router's files.
-const filePermissions = 0o644
+const settingsFilePermissions = 0o644
 
-// startRouter starts the router in this process. cleanUp removes the router's files.
+// startRouter starts the router in this process. cleanUp removes its settings files.
 func startRouter(backend string) (address string, cleanUp func(), err error) {
 	serve.TuneGC()
 	dir, err := os.MkdirTemp("", "martenlock-bench-")
@@ -106,24 +104,24 @@
 		}
 	}()
 	path := filepath.Join(dir, "r.ini")
-	err = os.WriteFile(path, []byte(routerSettings), filePermissions)
+	err = os.WriteFile(path, []byte(routerSettings), settingsFilePermissions)
 	if err != nil {
 		return "", nil, err
 	}
 	endpoints := "[node b]\npool = p\nkind = one\naddress = " + backend + "\n"
-	err = os.WriteFile(filepath.Join(dir, "n.ini"), []byte(endpoints), filePermissions)
+	err = os.WriteFile(filepath.Join(dir, "n.ini"), []byte(endpoints), settingsFilePermissions)
 	if err != nil {
 		return "", nil, err
 	}
-	running, err := serve.Start(path, os.Stderr)
+	service, err := serve.Start(path, os.Stderr)
 	if err != nil {
 		return "", nil, err
 	}
-	return running.Router.Addr(), cleanUp, nil
+	return service.Router.Addr(), cleanUp, nil
 }
 
-// maxProxyIdleConnections is above the clients of any measurement, so that ReverseProxy does not open a connection for
-// each request.
+// maxProxyIdleConnections is above the number of clients of any measurement, so that ReverseProxy can reuse every
+// connection to the backend.
 const maxProxyIdleConnections = 4096
 
 // startProxy starts net/http/httputil.ReverseProxy in this process, configured for speed: it keeps connections, reuses
@@ -168,7 +166,7 @@
 // Put implements httputil.BufferPool.
 func (b *bufferPool) Put(buffer []byte) { b.pool.Put(&buffer) }
 
-// startProfile starts a CPU profile if profileVariable is set. stop ends the profile and closes its file.
+// startProfile starts a CPU profile if the environment sets profileVariable. stop ends the profile and closes its file.
 func startProfile(kind string) (stop func() error, err error) {
 	path := os.Getenv(profileVariable)
 	if path == "" {
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -18,27 +18,29 @@
 	chatRequest      = newRequest("/v1/chat/completions", `{"model":"m","stream":true,"messages":[{"role":"user","content":"my pipe is frozen"}]}`)
 )
 
-// newRequest returns a request with the header fields that public clients send.
+// newRequest returns a POST request with header fields that clients of the API usually send.
 func newRequest(path, body string) []byte {
 	return fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: x\r\nUser-Agent: bench\r\nAccept: application/json\r\nContent-Type: application/json\r\nAuthorization: Bearer none\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// responseLimits bound the responses that a client accepts. Streams of the backend are far shorter.
+// responseLimits are the limits of the responses that a client accepts. The backend's streams are far shorter.
 var responseLimits = http1.Limits{Line: 8000, Headers: 64000, Fields: 100, Body: 1 << 30}
 
-// readBufferBytes is the size of a client's buffer. It is larger than any head.
+// readBufferBytes is the size of a client's read buffer. It exceeds the limit of a response head, so that what the parser
+// has not consumed always fits.
 const readBufferBytes = 64 << 10
 
-// loadOptions describe a load. Each client sends one request after another.
+// loadOptions describe a load. Each client sends its next request after the response to the previous one.
 type loadOptions struct {
 	address  string
 	clients  int
 	span     time.Duration // time after which the clients stop
-	interval time.Duration // least time between two requests of a client; 0 for none
+	interval time.Duration // planned time between two requests of a client; 0 to send without pauses
 	request  []byte
 }
 
-// runLoad runs the clients and returns the latencies of all answers. It returns the error of the client that failed last.
+// runLoad runs the clients and returns the latencies of all responses. If clients fail, it returns the error of the last one
+// to fail.
 func runLoad(options loadOptions) (*latency.Histogram, error) {
 	all := latency.NewHistogram()
 	end := time.Now().Add(options.span)
@@ -48,7 +50,7 @@
 	for i := range options.clients {
 		clients.Go(func() {
 			latencies := latency.NewHistogram()
-			// The clients' first requests are spread over the interval.
+			// Spreads the clients' requests evenly over the interval.
 			firstSend := time.Now().Add(options.interval * time.Duration(i) / time.Duration(options.clients))
 			err := runClient(options, firstSend, end, latencies)
 			all.Merge(latencies)
@@ -63,7 +65,8 @@
 	return all, lastError
 }
 
-// runClient sends requests on one connection until the end and records their latencies.
+// runClient sends requests on one connection until end and records their latencies. If the options have an interval, the
+// first request is sent at nextSend.
 func runClient(options loadOptions, nextSend, end time.Time, latencies *latency.Histogram) (err error) {
 	conn, err := net.Dial("tcp", options.address)
 	if err != nil {
@@ -87,13 +90,13 @@
 	return nil
 }
 
-// exchange sends a request and reads the whole response.
+// exchange sends a request and reads the complete response.
 func exchange(conn net.Conn, parser *http1.Parser, request, buffer []byte) error {
 	_, err := conn.Write(request)
 	if err != nil {
 		return err
 	}
-	unparsed := 0 // bytes at the start of the buffer
+	unparsed := 0 // bytes at the start of the buffer that the parser has not consumed
 	for {
 		n, err := conn.Read(buffer[unparsed:])
 		if err != nil {
@@ -107,7 +110,7 @@
 	}
 }
 
-// parse parses a part of a response. It returns how many bytes it consumed and whether the response is complete.
+// parse parses the next bytes of a response. It returns how many bytes it consumed and whether the response is complete.
 func parse(parser *http1.Parser, data []byte) (used int, isComplete bool, err error) {
 	for {
 		n, kind, _, parseError := parser.Next(data[used:])
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -14,14 +14,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// process is a child process that runs on one core.
+// process is a child process of the benchmark, pinned to one core.
 type process struct {
 	command *exec.Cmd
 	stdin   io.Closer // closing it ends the process
 	address string
 }
 
-// startProcess starts this program as a process of the benchmark on one core. It returns when the process listens.
+// startProcess starts this program as a process of the given kind on one core. It returns when the process listens.
 func startProcess(core int, kind processKind, backend string) (*process, error) {
 	command := exec.Command(os.Args[0], "bench-process", string(kind), backend)
 	command.Env = append(os.Environ(), "GOMAXPROCS=1")
@@ -42,27 +42,27 @@
 	return &process{command: command, stdin: stdin, address: strings.TrimSpace(line)}, err
 }
 
-// startOnCore starts a command on one core. A child process inherits the cores of the thread that starts it.
+// startOnCore starts a command on one core. A child process inherits the CPU affinity of the thread that starts it.
 func startOnCore(command *exec.Cmd, core int) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var before unix.CPUSet
-	err := unix.SchedGetaffinity(0, &before)
+	var original unix.CPUSet
+	err := unix.SchedGetaffinity(0, &original)
 	if err != nil {
 		return err
 	}
-	var one unix.CPUSet
-	one.Set(core)
-	err = unix.SchedSetaffinity(0, &one)
+	var pinned unix.CPUSet
+	pinned.Set(core)
+	err = unix.SchedSetaffinity(0, &pinned)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = unix.SchedSetaffinity(0, &before) }()
+	defer func() { _ = unix.SchedSetaffinity(0, &original) }()
 	return command.Start()
 }
 
-// avoidMeasuredCores moves this process, which runs the load, to cores without backend and subjects. On a machine without
-// further cores it does nothing.
+// avoidMeasuredCores restricts all threads of this process, which runs the load, to the cores from firstFreeCore on. On a
+// machine without such cores it does nothing.
 func avoidMeasuredCores() error {
 	var free unix.CPUSet
 	for core := firstFreeCore; core < runtime.NumCPU(); core++ {
@@ -88,26 +88,26 @@
 	return nil
 }
 
-// stop ends the process and waits for it. Its measurements are complete then, so errors are ignored.
+// stop ends the process and waits for it. Errors are ignored, as the measurements are complete by then.
 func (p *process) stop() {
 	_ = p.stdin.Close()
 	_ = p.command.Wait()
 }
 
-// The fields of /proc/PID/stat after the command's name, and the clock's tick; see proc(5).
+// Indices of fields in /proc/PID/stat, counted after the command name, and the clock tick that they count; see proc(5).
 const (
 	statUserTime   = 11
 	statSystemTime = 12
 	clockTick      = 10 * time.Millisecond
 )
 
-// cpuTime returns the processor time that the process has used.
+// cpuTime returns the CPU time that the process has used, 0 if it is unknown.
 func (p *process) cpuTime() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.command.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	// The command's name is in brackets and may contain spaces.
+	// The command name is in parentheses and may contain spaces.
 	afterName := string(text[strings.LastIndexByte(string(text), ')')+1:])
 	fields := strings.Fields(afterName)
 	user, _ := strconv.Atoi(fields[statUserTime])
@@ -115,7 +115,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// residentBytes returns the size of the process's resident set, 0 if it is unknown.
+// residentBytes returns the size of the process's resident set in bytes, 0 if it is unknown.
 func (p *process) residentBytes() int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), "VmRSS:")
