--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,9 +1,9 @@
-// Package experiment compares settings of the router on fake engines. It measures them one after another and prints a
-// table and draws a plot of each comparison.
+// Package experiment compares settings of the router on fake engines. It measures the settings one after another. For each
+// comparison it prints a table and draws a plot.
 //
-// It does not model real engines. The time of a fake engine is a formula of its tokens, and clients, router and engines
-// share one machine and its loopback interface. The figures compare settings with each other. They say nothing about an
-// engine or a network.
+// It does not model real engines. Fake engines compute the time of a request from its number of tokens, and clients, router
+// and engines share one machine and its loopback interface. The figures compare settings with each other. They say nothing
+// about a real engine or a network.
 package experiment
 
 import (
@@ -21,17 +21,17 @@
 type Options struct {
 	Out  io.Writer     // for the tables
 	Dir  string        // directory of the plots; "" for no plots
-	Span time.Duration // time for one measurement
+	Span time.Duration // duration of one measurement
 }
 
-// run is an experiment under way.
+// run is a running experiment.
 type run struct {
 	out     *printer.Printer
 	plotDir string        // "" for no plots
-	span    time.Duration // of one measurement
+	span    time.Duration // duration of one measurement
 }
 
-// Embeddings measures the effect of shards, of batching and of the fair queue of large requests.
+// Embeddings measures the effects of sharding, of batching and of the fair queue of large requests.
 func Embeddings(options Options) error {
 	r := &run{out: printer.New(options.Out), plotDir: options.Dir, span: options.Span}
 	for _, compare := range []func() error{r.compareShards, r.compareBatching, r.compareInterference} {
@@ -43,8 +43,9 @@
 	return r.out.Err()
 }
 
-// settings are the router's settings without the lines of its pool that are compared.
-const settings = `[router]
+// commonSettings are the router settings that all measurements share. They end in the section of the pool, so that the
+// compared pool settings can be appended.
+const commonSettings = `[router]
 listen = 127.0.0.1:0
 nodes = nodes.ini
 seed = 1
@@ -70,14 +71,15 @@
 class = ask
 `
 
-// The request classes of settings.
+// The request classes in commonSettings.
 const (
 	chatClass   = "ask"
 	searchClass = "search"
 	bulkClass   = "bulk"
 )
 
-// startCluster starts a router with further lines for its pool, and a number of colocated engines. The caller closes it.
+// startCluster starts a router and colocated engines with the given spec. poolSettings are appended to commonSettings. The
+// caller closes the cluster.
 func startCluster(engines int, spec fakeengine.Spec, poolSettings string) (*demo.Cluster, error) {
 	spec.Kind = "both"
 	spec.Pool = "both"
@@ -89,11 +91,10 @@
 		spec.Name = fmt.Sprintf("e%d", i+1)
 		specs = append(specs, spec)
 	}
-	return demo.Start(demo.Options{Specs: specs, Settings: settings + poolSettings, Log: io.Discard})
+	return demo.Start(demo.Options{Specs: specs, Settings: commonSettings + poolSettings, Log: io.Discard})
 }
 
-// fastEngine is an engine whose time for an embeddings call depends on the tokens alone. A call costs as much as 100
-// tokens.
+// fastEngine computes an embeddings call in a time proportional to its tokens: those of the inputs, plus 100 per call.
 var fastEngine = fakeengine.Spec{
 	PrefillTokensPerSecond: 400_000,
 	DecodeSlots:            64,
--- a/internal/experiment/interference.go
+++ b/internal/experiment/interference.go
@@ -9,9 +9,9 @@
 	"martenlock/internal/fakeengine"
 )
 
-// The comparison of interference.
+// Parameters of the interference comparison.
 const (
-	interferenceRounds  = 3 // each round measures all variants, so that other load of the machine affects all
+	interferenceRounds  = 3 // each round measures all variants, so that other load on the machine affects all alike
 	interferenceEngines = 4
 	chatsPerSecond      = 80
 	searchesPerSecond   = 40
@@ -19,10 +19,10 @@
 	bulkInputs          = 512 // inputs of a bulk request
 	bulkInputTokens     = 100
 
-	searchSeedOffset = 100 // makes the arrivals of searches independent of those of chats
+	searchSeedOffset = 100 // makes the arrival times of searches independent of those of chats
 )
 
-// interferenceEngine serves chat and embeddings.
+// interferenceEngine is the engine of the interference comparison. It serves chat and embeddings.
 var interferenceEngine = fakeengine.Spec{
 	PrefillTokensPerSecond: 30_000,
 	DecodeSlots:            32,
@@ -32,15 +32,14 @@
 	AnswerTokens:           20,
 }
 
-// variant is a load and the settings of the pool.
+// variant is a combination of load and pool settings to measure.
 type variant struct {
 	name           string
 	poolSettings   string
-	hasInteractive bool // chats and searches
-	hasBulk        bool
+	hasInteractive bool // whether the load has chats and searches
+	hasBulk        bool // whether the load has bulk embeddings
 }
 
-// variants are the compared variants.
 var variants = []variant{
 	{name: "no bulk", poolSettings: "part_tokens = 2000\n", hasInteractive: true},
 	{name: "bulk, whole", hasInteractive: true, hasBulk: true},
@@ -50,22 +49,22 @@
 	{name: "bulk alone, queue", poolSettings: "part_tokens = 2000\n", hasBulk: true},
 }
 
-// interactiveResult is the result of the load of chats or searches.
+// interactiveResult is the result of a load of chats or searches.
 type interactiveResult struct {
-	p50, p99  float64 // milliseconds
-	notServed float64
+	p50, p99  float64 // latency in milliseconds
+	notServed float64 // number of requests rejected or failed
 }
 
-// interferenceResult is the result of measuring a variant.
+// interferenceResult is the result of one variant.
 type interferenceResult struct {
 	chat                interactiveResult // latency to the first token
 	search              interactiveResult
 	bulkInputsPerSecond float64
-	bulkNotServed       float64
+	bulkNotServed       float64 // number of requests rejected or failed
 }
 
-// compareInterference measures chats and searches with and without bulk requests on the same engines, and with and without
-// the fair queue of large requests.
+// compareInterference measures how bulk requests affect chats and searches on the same engines, with and without the fair
+// queue of large requests.
 func (r *run) compareInterference() error {
 	r.printInterferenceHeader()
 	results := make([][]interferenceResult, len(variants))
@@ -78,8 +77,8 @@
 			results[i] = append(results[i], result)
 		}
 	}
-	chat := bars{name: "chat, first token"}
-	search := bars{name: "search"}
+	chat := barSeries{name: "chat, first token"}
+	search := barSeries{name: "search"}
 	var names []string
 	for i, measured := range variants {
 		result := medianResult(results[i])
@@ -91,21 +90,21 @@
 		}
 	}
 	return r.drawBars("embeddings-beside.svg", barPlot{
-		title:  "p99 beside bulk embeddings, ms",
-		names:  names,
-		groups: []bars{chat, search},
+		title:      "p99 beside bulk embeddings, ms",
+		groupNames: names,
+		series:     []barSeries{chat, search},
 	})
 }
 
-// measure runs the load of the variant for the given time.
+// measure runs the load of the variant for the duration span. seed determines the arrival times.
 func (v *variant) measure(span time.Duration, seed uint64) (interferenceResult, error) {
 	cluster, err := startCluster(interferenceEngines, interferenceEngine, v.poolSettings)
 	if err != nil {
 		return interferenceResult{}, err
 	}
-	chats := newLoad(cluster)
-	searches := newLoad(cluster)
-	bulk := newLoad(cluster)
+	chats := newLoadGenerator(cluster)
+	searches := newLoadGenerator(cluster)
+	bulk := newLoadGenerator(cluster)
 	var loads sync.WaitGroup
 	if v.hasInteractive {
 		loads.Go(func() {
@@ -135,12 +134,13 @@
 	return result, cluster.Close()
 }
 
-// interactiveResult returns the result of the load's requests.
-func (l *load) interactiveResult() interactiveResult {
-	return interactiveResult{p50: l.milliseconds(50), p99: l.milliseconds(99), notServed: float64(l.notServed())}
+// interactiveResult returns the result of the requests so far.
+func (l *loadGenerator) interactiveResult() interactiveResult {
+	return interactiveResult{p50: l.latencyMillis(50), p99: l.latencyMillis(99), notServed: float64(l.notServed())}
 }
 
-// medianResult returns the median of each figure, independently of the other figures.
+// medianResult returns a result with the median of each figure over all results. Its figures may come from different
+// rounds.
 func medianResult(results []interferenceResult) interferenceResult {
 	median := func(figure func(*interferenceResult) float64) float64 {
 		var values []float64
@@ -166,7 +166,7 @@
 	}
 }
 
-// printInterferenceHeader prints the load and the titles of the columns.
+// printInterferenceHeader prints the parameters of the load and the column titles.
 func (r *run) printInterferenceHeader() {
 	r.out.Printf("\n%d colocated fake engines (30,000 tokens a second); %d chats and %d searches a second; bulk: %d clients, %d inputs of %d tokens; medians of %d rounds in turns\n",
 		interferenceEngines, chatsPerSecond, searchesPerSecond, bulkClients, bulkInputs, bulkInputTokens, interferenceRounds)
@@ -174,7 +174,7 @@
 	r.out.Printf("%-24s %7s %7s %7s %7s %7s %7s %7s %8s\n", "", "p50", "p99", "not ok", "p50", "p99", "not ok", "inputs/s", "not ok")
 }
 
-// printInterferenceRow prints the figures of a variant.
+// printInterferenceRow prints the result of one variant.
 func (r *run) printInterferenceRow(name string, result interferenceResult) {
 	r.out.Printf("%-24s %7.0f %7.0f %7.0f %7.0f %7.0f %7.0f %7.0f %7.0f\n", name,
 		result.chat.p50, result.chat.p99, result.chat.notServed,
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	maxIdleConnections = 4096 // above the requests that a load has in flight
+	maxIdleConnections = 4096 // exceeds the number of requests in flight
 
-	retryDelay = 50 * time.Millisecond // wait of a client of a closed loop after a request that was not served
+	retryDelay = 50 * time.Millisecond // wait of a closed-loop client after a request that was not served
 )
 
-// load sends requests to a router and counts how they ended.
-type load struct {
+// loadGenerator sends requests to a router and records their outcomes and latencies.
+type loadGenerator struct {
 	baseURL   string
 	client    *http.Client
 	latencies *latency.Histogram
@@ -32,18 +32,18 @@
 	failed    atomic.Int64
 }
 
-// newLoad returns a load on a cluster's router.
-func newLoad(cluster *demo.Cluster) *load {
-	return &load{
+// newLoadGenerator returns a load generator for the router of a cluster.
+func newLoadGenerator(cluster *demo.Cluster) *loadGenerator {
+	return &loadGenerator{
 		baseURL:   "http://" + cluster.Service.Router.Addr(),
 		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}},
 		latencies: latency.NewHistogram(),
 	}
 }
 
-// send sends a request and reports whether it was served. Its latency is the time from due, which may be before it is sent,
-// to the first byte of the answer's body.
-func (l *load) send(path, class string, body []byte, due time.Time) bool {
+// send sends a request and reports whether it was served. due is when the request was scheduled. The recorded latency is the
+// time from due to the first byte of the response's body, so it includes any delay before sending.
+func (l *loadGenerator) send(path, class string, body []byte, due time.Time) bool {
 	request, err := http.NewRequest(http.MethodPost, l.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return false
@@ -54,7 +54,7 @@
 		l.failed.Add(1)
 		return false
 	}
-	defer func() { _ = response.Body.Close() }() // the body was read to its end or failed
+	defer func() { _ = response.Body.Close() }() // reading the body has ended or failed by then
 	if response.StatusCode == http.StatusOK {
 		_, _ = io.ReadFull(response.Body, make([]byte, 1))
 		l.latencies.Record(time.Since(due))
@@ -72,32 +72,33 @@
 	return false
 }
 
-// milliseconds returns the latency that the given percentage of latencies does not exceed.
-func (l *load) milliseconds(percent float64) float64 {
+// latencyMillis returns a percentile of the recorded latencies in milliseconds.
+func (l *loadGenerator) latencyMillis(percent float64) float64 {
 	return latency.Milliseconds(l.latencies.Percentile(percent))
 }
 
-// notServed returns how many requests were rejected or failed.
-func (l *load) notServed() int64 { return l.rejected.Load() + l.failed.Load() }
+// notServed returns the number of requests that were rejected or failed.
+func (l *loadGenerator) notServed() int64 { return l.rejected.Load() + l.failed.Load() }
 
-// runOpenLoop sends requests at a rate that does not depend on the answers (Poisson arrivals). It returns when all are
-// answered. send gets the number of the request and the time when it was due.
+// runOpenLoop schedules requests for the duration span at a mean rate that does not depend on the responses (Poisson
+// arrivals). It calls send with the number of the request and the time for which it was scheduled, and returns when all
+// calls have returned.
 func runOpenLoop(span time.Duration, requestsPerSecond float64, seed uint64, send func(number int, due time.Time)) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var requests sync.WaitGroup
 	startedAt := time.Now()
-	at := time.Duration(0)
-	for number := 0; at < span; number++ {
-		due := startedAt.Add(at)
+	offset := time.Duration(0)
+	for number := 0; offset < span; number++ {
+		due := startedAt.Add(offset)
 		time.Sleep(time.Until(due))
 		requests.Go(func() { send(number, due) })
-		at += time.Duration(rng.ExpFloat64() / requestsPerSecond * float64(time.Second))
+		offset += time.Duration(rng.ExpFloat64() / requestsPerSecond * float64(time.Second))
 	}
 	requests.Wait()
 }
 
-// runClosedLoop runs clients that send their next request after the answer to the last one. send gets the number of the
-// request and reports whether it was served. After a request that was not served the client waits for retryDelay.
+// runClosedLoop runs clients that each send their next request after the response to the previous one. It calls send with
+// the number of the request; send reports whether the request was served. If not, the client waits for retryDelay.
 func runClosedLoop(span time.Duration, clients int, send func(number int) bool) {
 	var running sync.WaitGroup
 	var lastNumber atomic.Int64
@@ -115,34 +116,35 @@
 	running.Wait()
 }
 
-// inputTagTokens is about the number of tokens of the tag that makes an input unique.
-const inputTagTokens = 3
+// inputPrefixTokens is the approximate number of tokens of the prefix that makes an input unique.
+const inputPrefixTokens = 3
 
-// sendEmbeddings sends a request of several inputs of about the given number of tokens. All inputs of a load differ.
-func (l *load) sendEmbeddings(class, id string, inputs, tokens int, due time.Time) bool {
-	list := make([]string, inputs)
-	for i := range list {
-		list[i] = fmt.Sprintf("%s/%d ", id, i) + strings.Repeat("ice ", max(tokens-inputTagTokens, 0))
+// sendEmbeddings sends a request with several inputs of about the given number of tokens each. id has to be unique among the
+// requests of a load, so that all inputs differ.
+func (l *loadGenerator) sendEmbeddings(class, id string, inputs, tokens int, due time.Time) bool {
+	texts := make([]string, inputs)
+	for i := range texts {
+		texts[i] = fmt.Sprintf("%s/%d ", id, i) + strings.Repeat("ice ", max(tokens-inputPrefixTokens, 0))
 	}
-	body, err := json.Marshal(demo.EmbeddingsBody{EncodingFormat: "base64", Input: list, Model: "m"})
+	body, err := json.Marshal(demo.EmbeddingsBody{EncodingFormat: "base64", Input: texts, Model: "m"})
 	if err != nil {
 		return false
 	}
 	return l.send("/v1/embeddings", class, body, due)
 }
 
-// The sizes of chat requests.
+// Parameters of chat requests.
 const (
-	chatSessions     = 100
+	chatSessions     = 100 // sessions that requests are spread over
 	chatPromptTokens = 200
-	chatAnswerTokens = 20
+	chatMaxTokens    = 20
 )
 
-// sendChat sends a chat request with a streamed answer.
-func (l *load) sendChat(number int, due time.Time) bool {
+// sendChat sends a chat request with a streamed response.
+func (l *loadGenerator) sendChat(number int, due time.Time) bool {
 	prompt := fmt.Sprint(number) + strings.Repeat(" ice", chatPromptTokens)
 	body, err := json.Marshal(demo.ChatBody{
-		MaxTokens:      chatAnswerTokens,
+		MaxTokens:      chatMaxTokens,
 		Messages:       []demo.ChatMessage{{Content: prompt, Role: "user"}},
 		Model:          "m",
 		PromptCacheKey: fmt.Sprint(number % chatSessions),
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -17,32 +17,32 @@
 	barWidth   = vg.Length(18) // points
 )
 
-// plotDirPermissions are the permissions of the directory of plots, if it is created.
+// plotDirPermissions are the permissions of the plot directory if it has to be created.
 const plotDirPermissions = 0o755
 
-// series is one line of a plot.
-type series struct {
+// lineSeries is one line of a plot.
+type lineSeries struct {
 	name   string
 	points plotter.XYs
 }
 
-// linePlot is a plot of lines with points.
+// linePlot is a line plot with a marker at each point.
 type linePlot struct {
 	title, xLabel, yLabel string
-	lines                 []series
+	lines                 []lineSeries
 }
 
-// bars are the bars of one color. There is one for each name of the plot.
-type bars struct {
+// barSeries is a set of bars of the same color, one for each group of the plot.
+type barSeries struct {
 	name    string
 	heights plotter.Values
 }
 
-// barPlot is a plot of groups of bars.
+// barPlot is a plot of groups of bars. Each group has one bar of each series.
 type barPlot struct {
-	title  string
-	names  []string // below the groups
-	groups []bars
+	title      string
+	groupNames []string // labels below the groups
+	series     []barSeries
 }
 
 // newPlot returns an empty plot whose vertical axis starts at zero.
@@ -55,16 +55,16 @@
 	return p
 }
 
-// drawLines draws a line plot to a file, if plots are wanted.
-func (r *run) drawLines(file string, drawn linePlot) error {
+// drawLines draws a line plot to a file in the plot directory. It does nothing without a plot directory.
+func (r *run) drawLines(file string, spec linePlot) error {
 	if r.plotDir == "" {
 		return nil
 	}
-	p := newPlot(drawn.title)
-	p.X.Label.Text = drawn.xLabel
-	p.Y.Label.Text = drawn.yLabel
-	var arguments []any // names and points in turns, as plotutil expects
-	for _, line := range drawn.lines {
+	p := newPlot(spec.title)
+	p.X.Label.Text = spec.xLabel
+	p.Y.Label.Text = spec.yLabel
+	var arguments []any // alternating names and points, as plotutil expects
+	for _, line := range spec.lines {
 		arguments = append(arguments, line.name, line.points)
 	}
 	err := plotutil.AddLinePoints(p, arguments...)
@@ -74,27 +74,27 @@
 	return r.save(p, file)
 }
 
-// drawBars draws a bar plot to a file, if plots are wanted.
-func (r *run) drawBars(file string, drawn barPlot) error {
+// drawBars draws a bar plot to a file in the plot directory. It does nothing without a plot directory.
+func (r *run) drawBars(file string, spec barPlot) error {
 	if r.plotDir == "" {
 		return nil
 	}
-	p := newPlot(drawn.title)
-	for i, group := range drawn.groups {
-		chart, err := plotter.NewBarChart(group.heights, barWidth)
+	p := newPlot(spec.title)
+	for i, bars := range spec.series {
+		chart, err := plotter.NewBarChart(bars.heights, barWidth)
 		if err != nil {
 			return err
 		}
 		chart.Color = plotutil.Color(i)
 		chart.Offset = barWidth * vg.Length(i)
 		p.Add(chart)
-		p.Legend.Add(group.name, chart)
+		p.Legend.Add(bars.name, chart)
 	}
-	p.NominalX(drawn.names...)
+	p.NominalX(spec.groupNames...)
 	return r.save(p, file)
 }
 
-// save writes a plot to a file in the directory of plots.
+// save writes a plot to a file in the plot directory, which it creates if necessary.
 func (r *run) save(p *plot.Plot, file string) error {
 	err := os.MkdirAll(r.plotDir, plotDirPermissions)
 	if err != nil {
--- a/internal/experiment/shards.go
+++ b/internal/experiment/shards.go
@@ -9,26 +9,26 @@
 
 const shardInputTokens = 20 // tokens of each input
 
-// The compared settings of the pool.
+// The compared pool settings.
 const (
 	wholeSettings   = "parts = 1\n"
 	shardedSettings = "part_items = 128\nlarge_tokens = 4000\n"
 )
 
-// compareShards measures large requests, one at a time, by the number of engines and the size of the request. Each is
-// measured whole and in shards.
+// compareShards measures the throughput of large requests that are sent one at a time, for several numbers of engines and
+// inputs. Each combination is measured with whole requests and with requests in shards.
 func (r *run) compareShards() error {
 	r.out.Printf("inputs a second, one request at a time, fake engines of 400,000 tokens a second, inputs of %d tokens\n%8s %8s %10s %10s\n",
 		shardInputTokens, "engines", "inputs", "whole", "in shards")
-	var lines []series
+	var lines []lineSeries
 	for _, engines := range []int{1, 2, 4, 8} {
-		line := series{name: fmt.Sprintf("%d engines", engines)}
+		line := lineSeries{name: fmt.Sprintf("%d engines", engines)}
 		for _, inputs := range []int{64, 256, 1024, 2048} {
-			whole, err := inputsPerSecond(r.span, engines, inputs, wholeSettings)
+			whole, err := measureInputRate(r.span, engines, inputs, wholeSettings)
 			if err != nil {
 				return err
 			}
-			sharded, err := inputsPerSecond(r.span, engines, inputs, shardedSettings)
+			sharded, err := measureInputRate(r.span, engines, inputs, shardedSettings)
 			if err != nil {
 				return err
 			}
@@ -45,13 +45,14 @@
 	})
 }
 
-// inputsPerSecond measures requests of a number of inputs, one after another.
-func inputsPerSecond(span time.Duration, engines, inputs int, poolSettings string) (float64, error) {
+// measureInputRate returns the rate of served inputs, per second, if requests with the given number of inputs are sent one
+// after another.
+func measureInputRate(span time.Duration, engines, inputs int, poolSettings string) (float64, error) {
 	cluster, err := startCluster(engines, fastEngine, poolSettings)
 	if err != nil {
 		return 0, err
 	}
-	bulk := newLoad(cluster)
+	bulk := newLoadGenerator(cluster)
 	runClosedLoop(span, 1, func(number int) bool {
 		return bulk.sendEmbeddings(bulkClass, fmt.Sprint(number), inputs, shardInputTokens, time.Now())
 	})
