--- a/internal/enginetest/engine.go
+++ b/internal/enginetest/engine.go
@@ -19,28 +19,28 @@
 	Method, Target string
 	Header         http.Header
 	Body           string
-	Raw            string // the exact bytes of head and body
+	Raw            string // exact bytes of head and body
 	Conn           *net.TCPConn
-	Reader         *bufio.Reader // of what follows on Conn
+	Reader         *bufio.Reader // reads what follows the request on Conn
 	ReceivedAt     time.Time
 }
 
-// Write writes bytes of the response and reports whether the connection took them.
+// Write writes text to the connection, as part of the response, and reports whether that succeeded.
 func (r *Request) Write(text string) bool {
 	_, err := io.WriteString(r.Conn, text)
 	return err == nil
 }
 
-// Reset ends the connection with a TCP reset.
+// Reset closes the connection with a TCP reset.
 func (r *Request) Reset() { Reset(r.Conn) }
 
-// AwaitClose returns once the peer has ended the connection.
+// AwaitClose waits until the peer has closed or reset the connection. It discards further input.
 func (r *Request) AwaitClose() { AwaitClose(r.Reader) }
 
-// Script answers one request and reports whether the engine keeps the connection open.
+// Script writes the response to one request and reports whether the engine keeps the connection open.
 type Script func(*Request) (keepOpen bool)
 
-// Engine is an engine on a loopback port that answers by its script. It records its requests.
+// Engine is an HTTP/1.1 server on a loopback port whose script responds to each request. It records the requests.
 type Engine struct {
 	*Listener
 	mu       sync.Mutex
@@ -70,7 +70,7 @@
 	}
 }
 
-// record records a request and returns the script that answers it.
+// record records a request and returns the current script.
 func (e *Engine) record(request *Request) Script {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -78,21 +78,21 @@
 	return e.script
 }
 
-// SetScript sets how requests are answered from now on.
+// SetScript replaces the script, for requests received from now on.
 func (e *Engine) SetScript(script Script) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.script = script
 }
 
-// Requests returns the requests received so far, in order of arrival.
+// Requests returns the recorded requests in order of arrival.
 func (e *Engine) Requests() []*Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]*Request(nil), e.requests...)
 }
 
-// CountRequests returns how many requests of a method were received.
+// CountRequests returns the number of recorded requests with the given method.
 func (e *Engine) CountRequests(method string) (count int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,7 +104,7 @@
 	return count
 }
 
-// ForgetRequests drops the record of requests.
+// ForgetRequests deletes the recorded requests.
 func (e *Engine) ForgetRequests() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -113,7 +113,8 @@
 
 var contentLength = regexp.MustCompile(`(?i)\r\ncontent-length: *(\d+)\r\n`)
 
-// ReadRaw reads one request with its body and returns its exact bytes.
+// ReadRaw reads one request and returns its exact bytes. The body is as long as Content-Length says; without that field it
+// is empty.
 func ReadRaw(reader *bufio.Reader) (string, error) {
 	var raw strings.Builder
 	for !strings.HasSuffix(raw.String(), "\r\n\r\n") {
@@ -138,7 +139,7 @@
 	return raw.String() + string(body), nil
 }
 
-// readRequest reads one request with its body.
+// readRequest reads and parses one request with its body. The caller sets Conn.
 func readRequest(reader *bufio.Reader) (*Request, error) {
 	raw, err := ReadRaw(reader)
 	if err != nil {
--- a/internal/enginetest/enginetest_test.go
+++ b/internal/enginetest/enginetest_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// TestAddressesOutOfReach: a refusing address refuses connections at once, and an unreachable one never establishes any.
-func TestAddressesOutOfReach(t *testing.T) {
+// A dial to a refusing address fails with ECONNREFUSED, one to an unreachable address only by its timeout.
+func TestRefusingAndUnreachableAddresses(t *testing.T) {
 	const timeout = 200 * time.Millisecond
 	dial := func(address string) error {
 		conn, err := net.DialTimeout("tcp", address, timeout)
@@ -26,17 +26,17 @@
 	unreachable := dial(UnreachableAddress(t).String())
 
 	if !errors.Is(refused, syscall.ECONNREFUSED) {
-		t.Errorf("refusing address: %v", refused)
+		t.Errorf("dial of refusing address: got %v, want ECONNREFUSED", refused)
 	}
 	var netErr net.Error
 	if !errors.As(unreachable, &netErr) || !netErr.Timeout() {
-		t.Errorf("unreachable address: %v", unreachable)
+		t.Errorf("dial of unreachable address: got %v, want a timeout", unreachable)
 	}
 }
 
-// TestEngineAnswersByItsLatestScript: each request is recorded with its exact bytes and answered by the script of that time,
-// on a connection that stays open for as long as the script says.
-func TestEngineAnswersByItsLatestScript(t *testing.T) {
+// The engine records each request with its exact bytes, runs the script that is set when the request arrives, and closes the
+// connection when the script says so.
+func TestEngineRecordsRequestsAndRunsCurrentScript(t *testing.T) {
 	const request = "POST /p?q=1 HTTP/1.1\r\nhost: x\r\nX-Odd:  two  \r\ncontent-length: 4\r\n\r\nbody"
 	respond := func(status string, keepOpen bool) Script {
 		return func(r *Request) bool {
@@ -67,19 +67,20 @@
 	_, end := reader.ReadByte()
 
 	if first != http.StatusCreated || second != http.StatusAccepted || !errors.Is(end, io.EOF) {
-		t.Errorf("answered %d and %d, then %v", first, second, end)
+		t.Errorf("got statuses %d and %d, then read error %v; want 201 and 202, then EOF", first, second, end)
 	}
 	if engine.Accepted() != 1 || engine.CountRequests(http.MethodPost) != 2 || engine.CountRequests(http.MethodGet) != 0 {
-		t.Errorf("%d connections, %d requests", engine.Accepted(), len(engine.Requests()))
+		t.Errorf("got %d connections, %d POST and %d GET requests; want 1, 2 and 0",
+			engine.Accepted(), engine.CountRequests(http.MethodPost), engine.CountRequests(http.MethodGet))
 	}
 	got := engine.Requests()[0]
 	if got.Raw != request || got.Body != "body" || got.Target != "/p?q=1" || got.Header.Get("X-Odd") != "two" {
-		t.Errorf("recorded %+v", got)
+		t.Errorf("recorded request %+v, want raw bytes %q", got, request)
 	}
 }
 
-// TestListenerClosesConnectionsAtTheEndOfItsTest: its clients see the end, and the goroutines that serve them have returned.
-func TestListenerClosesConnectionsAtTheEndOfItsTest(t *testing.T) {
+// When its test ends, a listener closes its connections and waits for the goroutines that serve them.
+func TestListenerClosesConnectionsWhenTestEnds(t *testing.T) {
 	var conn net.Conn
 	served := make(chan struct{})
 	t.Run("listen", func(t *testing.T) {
@@ -100,10 +101,10 @@
 	select {
 	case <-served:
 	default:
-		t.Error("the connection is still being served")
+		t.Error("serve has not returned at the end of the test")
 	}
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the client sees %v", err)
+		t.Errorf("client read: got %v, want EOF or ECONNRESET", err)
 	}
 }
--- a/internal/enginetest/listener.go
+++ b/internal/enginetest/listener.go
@@ -1,7 +1,7 @@
-// Package enginetest plays engines on loopback sockets: listeners, engines that answer by a script, and addresses that
-// refuse or never establish a connection.
+// Package enginetest provides engines for tests, on loopback sockets: listeners, engines whose responses a script writes, and
+// addresses that refuse or never establish a connection.
 //
-// It knows HTTP/1.1 and nothing of what its engines serve. Package platformtest adds the platform's protocol.
+// It implements HTTP/1.1 only, not the API of an engine. Package platformtest adds the platform's protocol.
 package enginetest
 
 import (
@@ -17,24 +17,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// serveTimeout bounds the wait at a test's end for the goroutines that serve connections. They return as soon as their
-// connections are closed, unless a test has left a script waiting for something else.
+// serveTimeout limits the wait at the end of a test for the goroutines that serve connections. They return once their
+// connections are closed, unless a script still waits for something else.
 const serveTimeout = 10 * time.Second
 
 // Listener accepts connections on a loopback port until its test ends.
 type Listener struct {
-	listener *net.TCPListener
-	address  netip.AddrPort
-	serving  sync.WaitGroup // the accept loop and the goroutines that serve connections
-
-	mu       sync.Mutex
-	conns    map[*net.TCPConn]bool // that are being served
-	accepted int
-	isClosed bool // together with its connections
+	listener   *net.TCPListener
+	address    netip.AddrPort
+	goroutines sync.WaitGroup // the accept loop and the goroutines that serve connections
+
+	mu        sync.Mutex
+	conns     map[*net.TCPConn]bool // connections being served
+	accepted  int
+	testEnded bool // connections accepted from now on are closed at once
 }
 
-// Listen starts a listener that runs serve for each connection, on a goroutine of its own, and closes the connection when
-// serve has returned. When the test ends, it closes the listener and all connections.
+// Listen starts a listener that runs serve for each connection, on a separate goroutine, and closes the connection after
+// serve has returned. When the test ends, it closes the listener and all connections. The test fails if a call of serve
+// has not returned within serveTimeout after that.
 func Listen(t *testing.T, serve func(*net.TCPConn)) *Listener {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -42,7 +43,7 @@
 		t.Fatal(err)
 	}
 	l := &Listener{listener: listener, address: listener.Addr().(*net.TCPAddr).AddrPort(), conns: map[*net.TCPConn]bool{}} //nolint:forcetypeassert // a TCP listener has a TCP address
-	l.serving.Go(func() { l.acceptAll(serve) })
+	l.goroutines.Go(func() { l.acceptAll(serve) })
 	t.Cleanup(func() {
 		t.Helper()
 		if err := l.closeAll(); err != nil {
@@ -62,18 +63,18 @@
 			_ = conn.Close()
 			return
 		}
-		l.serving.Go(func() {
+		l.goroutines.Go(func() {
 			defer l.remove(conn)
 			serve(conn)
 		})
 	}
 }
 
-// add registers an accepted connection and reports whether the listener is still in use.
+// add registers an accepted connection. It returns false if the test has ended.
 func (l *Listener) add(conn *net.TCPConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.isClosed {
+	if l.testEnded {
 		return false
 	}
 	l.conns[conn] = true
@@ -92,14 +93,14 @@
 func (l *Listener) closeAll() error {
 	l.Close()
 	l.mu.Lock()
-	l.isClosed = true
+	l.testEnded = true
 	for conn := range l.conns {
-		_ = conn.Close() // its script may have closed it
+		_ = conn.Close() // serve may have closed it already
 	}
 	l.mu.Unlock()
 	served := make(chan struct{})
 	go func() {
-		l.serving.Wait()
+		l.goroutines.Wait()
 		close(served)
 	}()
 	select {
@@ -118,14 +119,14 @@
 // Addr returns the listener's address.
 func (l *Listener) Addr() netip.AddrPort { return l.address }
 
-// Accepted returns how many connections were accepted.
+// Accepted returns the number of connections accepted so far.
 func (l *Listener) Accepted() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.accepted
 }
 
-// Reset ends a TCP connection with a reset.
+// Reset closes a connection; a TCP connection is closed with a reset (RST).
 func Reset(conn net.Conn) {
 	if tcp, isTCP := conn.(*net.TCPConn); isTCP {
 		_ = tcp.SetLinger(0)
@@ -133,20 +134,20 @@
 	_ = conn.Close()
 }
 
-// AwaitClose reads and discards what the peer sends until it ends the connection.
+// AwaitClose reads and discards input until the peer closes or resets the connection.
 func AwaitClose(reader io.Reader) {
-	_, _ = io.Copy(io.Discard, reader) // a reset is an end like any other
+	_, _ = io.Copy(io.Discard, reader)
 }
 
 // RefusingAddress returns a loopback address that refuses connections until the test ends.
 func RefusingAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
-	_, address := bindLoopback(t) // bound, so that nobody else listens there
+	_, address := bindLoopback(t) // bound but not listening, so it refuses connections, and no other process can use it
 	return address
 }
 
-// UnreachableAddress returns a loopback address to which no connection is ever established: its listener accepts nothing,
-// and its backlog is full.
+// UnreachableAddress returns a loopback address on which no connection is established until the test ends: its listener
+// accepts none, and its backlog is full.
 func UnreachableAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, address := bindLoopback(t)
@@ -154,7 +155,7 @@
 		t.Fatal(err)
 	}
 	target := &unix.SockaddrInet4{Port: int(address.Port()), Addr: address.Addr().As4()}
-	for range 2 { // the backlog of 0 takes one connection, and the second one waits for it
+	for range 2 { // a backlog of 0 holds one connection; the second one stays pending
 		if err := unix.Connect(newSocket(t, unix.SOCK_NONBLOCK), target); err != nil && !errors.Is(err, unix.EINPROGRESS) {
 			t.Fatal(err)
 		}
@@ -162,7 +163,7 @@
 	return address
 }
 
-// bindLoopback returns a socket that is bound to a free loopback port, and the port's address.
+// bindLoopback returns a socket bound to a free loopback port, and its address.
 func bindLoopback(t *testing.T) (socket int, address netip.AddrPort) {
 	t.Helper()
 	socket = newSocket(t, 0)
@@ -176,12 +177,12 @@
 	}
 	bound, isInet4 := name.(*unix.SockaddrInet4)
 	if !isInet4 {
-		t.Fatal(fmt.Errorf("socket is bound to a %T", name))
+		t.Fatal(fmt.Errorf("socket is bound to an address of type %T, want *unix.SockaddrInet4", name))
 	}
 	return socket, netip.AddrPortFrom(netip.AddrFrom4(loopback), uint16(bound.Port))
 }
 
-// newSocket opens a TCP socket that is closed when the test ends.
+// newSocket opens a TCP socket, which is closed when the test ends.
 func newSocket(t *testing.T, flags int) int {
 	t.Helper()
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|flags, 0)
