--- a/internal/clienttest/goclient_test.go
+++ b/internal/clienttest/goclient_test.go
@@ -13,15 +13,15 @@
 	"martenlock/internal/fakeengine"
 )
 
-// rejectionTime is how long the engines reject requests until the client's retry is served.
-const rejectionTime = 300 * time.Millisecond
+// rejectionDuration is the time for which the engines reject all requests.
+const rejectionDuration = 300 * time.Millisecond
 
-// newClient returns the Go client of the router at baseURL.
+// newClient returns OpenAI's Go client for the router at baseURL.
 func newClient(baseURL string) openai.Client {
 	return openai.NewClient(option.WithBaseURL(baseURL+"/v1/"), option.WithAPIKey("none"))
 }
 
-// newChat returns a chat completion of four tokens.
+// newChat returns the parameters of a chat completion of at most four tokens.
 func newChat(model string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:               model,
@@ -42,40 +42,38 @@
 	checkModels(t, client)
 	checkUnknownModel(t, client)
 
-	// The client retries a rejection after the time that the answer names.
+	// The client retries a rejected request after the delay that the response asks for.
 	setFault(cluster, fakeengine.Fault{RejectAll: true})
-	time.AfterFunc(rejectionTime, func() { setFault(cluster, fakeengine.Fault{}) })
+	time.AfterFunc(rejectionDuration, func() { setFault(cluster, fakeengine.Fault{}) })
 	_, err := client.Chat.Completions.New(context.Background(), newChat("demo-chat"), option.WithMaxRetries(20))
 	if err != nil {
-		t.Error(err)
+		t.Errorf("chat completion with retries of rejected requests: %v", err)
 	}
 }
 
 // checkChat checks a chat completion that is not streamed.
 func checkChat(t *testing.T, client openai.Client) {
 	t.Helper()
-	answer, err := client.Chat.Completions.New(context.Background(), newChat("demo-chat"))
-	if err != nil || answer.Choices[0].Message.Content != fourTokens || answer.Usage.CompletionTokens != 4 {
-		t.Fatal(answer, err)
+	completion, err := client.Chat.Completions.New(context.Background(), newChat("demo-chat"))
+	if err != nil || completion.Choices[0].Message.Content != fourTokenText || completion.Usage.CompletionTokens != 4 {
+		t.Fatalf("chat completion: got %+v, error %v; want content %q and 4 completion tokens", completion, err, fourTokenText)
 	}
 }
 
-// checkStream checks a streamed chat completion.
 func checkStream(t *testing.T, client openai.Client) {
 	t.Helper()
 	chat := newChat("demo-chat")
 	chat.StreamOptions.IncludeUsage = openai.Bool(true)
 	stream := client.Chat.Completions.NewStreaming(context.Background(), chat)
-	streamed := openai.ChatCompletionAccumulator{}
+	accumulated := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
-		streamed.AddChunk(stream.Current())
+		accumulated.AddChunk(stream.Current())
 	}
-	if stream.Err() != nil || streamed.Choices[0].Message.Content != fourTokens || streamed.Usage.CompletionTokens != 4 {
-		t.Error(streamed, stream.Err())
+	if stream.Err() != nil || accumulated.Choices[0].Message.Content != fourTokenText || accumulated.Usage.CompletionTokens != 4 {
+		t.Errorf("streamed chat completion: got %+v, error %v; want content %q and 4 completion tokens", accumulated, stream.Err(), fourTokenText)
 	}
 }
 
-// checkEmbeddings checks an embeddings request of two inputs.
 func checkEmbeddings(t *testing.T, client openai.Client) {
 	t.Helper()
 	embeddings, err := client.Embeddings.New(context.Background(), openai.EmbeddingNewParams{
@@ -84,25 +82,24 @@
 		Input:      openai.EmbeddingNewParamsInputUnion{OfArrayOfStrings: []string{"a", "b"}},
 	})
 	if err != nil || len(embeddings.Data) != 2 || len(embeddings.Data[1].Embedding) != 4 {
-		t.Error(embeddings, err)
+		t.Errorf("embeddings of 2 inputs: got %+v, error %v; want 2 vectors of 4 dimensions", embeddings, err)
 	}
 }
 
-// checkModels checks the list of models.
 func checkModels(t *testing.T, client openai.Client) {
 	t.Helper()
 	models, err := client.Models.List(context.Background())
 	if err != nil || len(models.Data) != 3 {
-		t.Error(models, err)
+		t.Errorf("list of models: got %+v, error %v; want 3 models", models, err)
 	}
 }
 
-// checkUnknownModel checks that the client reports an unknown model with status and code.
+// checkUnknownModel checks the status and the error code that the client reports for an unknown model.
 func checkUnknownModel(t *testing.T, client openai.Client) {
 	t.Helper()
 	_, err := client.Chat.Completions.New(context.Background(), newChat("nobody"))
 	var apiError *openai.Error
 	if !errors.As(err, &apiError) || apiError.StatusCode != http.StatusNotFound || apiError.Code != "model_not_found" {
-		t.Error(err)
+		t.Errorf("unknown model: got error %v, want status 404 and code model_not_found", err)
 	}
 }
--- a/internal/clienttest/harness_test.go
+++ b/internal/clienttest/harness_test.go
@@ -1,8 +1,8 @@
 // Package clienttest runs the public clients of OpenAI's API, unmodified, against a router with the
 // demo's fake engines.
 //
-// It makes each kind of request once or a few times. It shows that the clients understand the
-// router's answers and errors. It shows nothing about load, latency or the answers of models.
+// The clients make each kind of request once or a few times. The tests show that the clients can parse
+// the router's responses and errors. They say nothing about load, latency or the responses of models.
 package clienttest
 
 import (
@@ -14,12 +14,12 @@
 )
 
 const (
-	fourTokens  = "snow on the roof " // the fake engines' answer to a request for four tokens
-	chatEngines = "pool:chat"         // target that matches all engines of chats
+	fourTokenText = "snow on the roof " // text of the fake engines' response with four tokens
+	chatEngines   = "pool:chat"         // target that selects all engines of the pool chat
 )
 
-// startCluster starts a router and fake engines, which are closed when the test ends. It returns
-// them with the URL of the router.
+// startCluster starts a router and fake engines, and closes them when the test ends. baseURL is the
+// router's URL without a path.
 func startCluster(t *testing.T) (cluster *demo.Cluster, baseURL string) {
 	t.Helper()
 	cluster, err := demo.Start(demo.Options{Listen: "127.0.0.1:0", Seed: 1, LogLevel: "error", Log: io.Discard})
@@ -35,7 +35,7 @@
 	return cluster, "http://" + cluster.Service.Router.Addr()
 }
 
-// setFault sets the fault of all engines of chats.
+// setFault sets the fault of all engines of the pool chat. The zero Fault ends it.
 func setFault(cluster *demo.Cluster, fault fakeengine.Fault) {
 	for _, engine := range cluster.FindEngines(chatEngines) {
 		engine.SetFault(fault)
--- a/internal/clienttest/node/check.mjs
+++ b/internal/clienttest/node/check.mjs
@@ -1,4 +1,4 @@
-// Uses the unmodified openai package against a router whose URL is the first argument.
+// Checks the unmodified openai package against the router whose URL is the first argument. Prints "good" after the last check.
 import assert from "node:assert/strict";
 import OpenAI from "openai";
 
@@ -8,10 +8,10 @@
   { role: "user", content: "My pipe is frozen." },
 ];
 
-const whole = await client.chat.completions.create({ model: "demo-chat", messages, max_tokens: 4 });
-assert.equal(whole.choices[0].message.content, "snow on the roof ");
-assert.equal(whole.usage.completion_tokens, 4);
-assert.match(whole._request_id, /^ml-/);
+const chat = await client.chat.completions.create({ model: "demo-chat", messages, max_tokens: 4 });
+assert.equal(chat.choices[0].message.content, "snow on the roof ");
+assert.equal(chat.usage.completion_tokens, 4);
+assert.match(chat._request_id, /^ml-/);
 
 let text = "", usage = null;
 const stream = await client.chat.completions.create({
@@ -27,13 +27,13 @@
 const completion = await client.completions.create({ model: "demo-chat", prompt: "frozen", max_tokens: 2 });
 assert.equal(completion.choices[0].text, "snow on ");
 
-// Without encoding_format the package asks for base64 and decodes it.
+// Without encoding_format the package requests base64 and decodes it.
 const input = ["frozen pipe", "warm boiler"];
 const fromBase64 = await client.embeddings.create({ model: "demo-embed", input, dimensions: 6 });
 const fromFloat = await client.embeddings.create({ model: "demo-embed", input, dimensions: 6, encoding_format: "float" });
 assert.equal(fromBase64.data.length, 2);
-fromBase64.data.forEach((item, i) => item.embedding.forEach((value, k) =>
-  assert.ok(Math.abs(value - fromFloat.data[i].embedding[k]) < 1e-6)));
+fromBase64.data.forEach((item, i) => item.embedding.forEach((value, j) =>
+  assert.ok(Math.abs(value - fromFloat.data[i].embedding[j]) < 1e-6)));
 await client.embeddings.create({ model: "demo-embed", input: [[1, 2], [3]] });
 
 const models = [];
@@ -43,9 +43,9 @@
 await assert.rejects(client.chat.completions.create({ model: "nobody", messages }), OpenAI.NotFoundError);
 await assert.rejects(client.chat.completions.create({ model: "demo-chat", messages: [] }), OpenAI.BadRequestError);
 
-// A client that disconnects amid a stream.
-const abort = new AbortController();
-const aborted = await client.chat.completions.create({ model: "demo-chat", messages, stream: true }, { signal: abort.signal });
-for await (const _ of aborted) abort.abort();
+// The client aborts a stream after its first chunk.
+const abortController = new AbortController();
+const abortedStream = await client.chat.completions.create({ model: "demo-chat", messages, stream: true }, { signal: abortController.signal });
+for await (const _ of abortedStream) abortController.abort();
 
 console.log("good");
--- a/internal/clienttest/nodeclient_test.go
+++ b/internal/clienttest/nodeclient_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestNodeClientIsServedAndUnderstandsErrors needs node, and the openai package in node/. There,
-// npm install provides it; .ci/run does that.
+// TestNodeClientIsServedAndUnderstandsErrors needs Node.js, and the package openai in node/node_modules.
+// .ci/run installs it; without it the test is skipped.
 func TestNodeClientIsServedAndUnderstandsErrors(t *testing.T) {
 	_, err := os.Stat(filepath.Join("node", "node_modules", "openai"))
 	if err != nil {
@@ -18,6 +18,6 @@
 	_, baseURL := startCluster(t)
 	output, err := exec.Command("node", filepath.Join("node", "check.mjs"), baseURL).CombinedOutput()
 	if err != nil || !strings.HasSuffix(string(output), "good\n") {
-		t.Errorf("%v\n%s", err, output)
+		t.Errorf("node check.mjs: error %v, want none and last line \"good\"; output:\n%s", err, output)
 	}
 }
