--- a/internal/bench/child.go
+++ b/internal/bench/child.go
@@ -35,7 +35,7 @@
 // Child runs one of the processes that Run starts. kind is backend, router or proxy. backend is the address that the router
 // and the proxy forward to. Child prints the address that it listens on and returns at the end of standard input.
 func Child(kind, backend string) (err error) {
-	address, cleanUp, err := startChild(processKind(kind), backend)
+	address, cleanUp, err := startServer(processKind(kind), backend)
 	if err != nil {
 		return err
 	}
@@ -50,8 +50,8 @@
 	return err
 }
 
-// startChild starts a server of the given kind and returns its address. cleanUp must be called before the process ends.
-func startChild(kind processKind, backend string) (address string, cleanUp func(), err error) {
+// startServer starts a server of the given kind and returns its address. cleanUp must be called before the process ends.
+func startServer(kind processKind, backend string) (address string, cleanUp func(), err error) {
 	cleanUp = func() {}
 	switch kind {
 	case backendProcess:
