--- a/cmd/martenlock/bench.go
+++ b/cmd/martenlock/bench.go
@@ -43,6 +43,6 @@
 		Short:  "Run one of the processes of bench, which starts them itself",
 		Hidden: true,
 		Args:   cobra.ExactArgs(2),
-		RunE:   func(_ *cobra.Command, args []string) error { return bench.Child(args[0], args[1]) },
+		RunE:   func(_ *cobra.Command, args []string) error { return bench.RunChild(args[0], args[1]) },
 	}
 }
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -57,7 +57,7 @@
 
 // Run takes all measurements and prints a table. span is the duration of each measurement of a subject, over all rounds.
 //
-// Run starts the calling program with the arguments bench-process, kind and backend. With these the program must call Child.
+// Run starts the calling program with the arguments bench-process, kind and backend. The program then has to call RunChild.
 func Run(span time.Duration, out io.Writer) error {
 	if runtime.NumCPU() < firstFreeCore {
 		return errTooFewCores
--- a/internal/bench/child.go
+++ b/internal/bench/child.go
@@ -32,9 +32,9 @@
 // writes a profile to /tmp/p.KIND.
 const profileVariable = "MARTENLOCK_PROFILE"
 
-// Child runs one of the processes that Run starts. kind is backend, router or proxy. backend is the address that the router
-// and the proxy forward to. Child prints the address that it listens on and returns at the end of standard input.
-func Child(kind, backend string) (err error) {
+// RunChild runs one of the processes that Run starts. kind is backend, router or proxy. backend is the address that the router
+// and the proxy forward to. RunChild prints the address that it listens on and returns at the end of standard input.
+func RunChild(kind, backend string) (err error) {
 	address, cleanUp, err := startServer(processKind(kind), backend)
 	if err != nil {
 		return err
