--- a/internal/decisionloop/exchanges.go
+++ b/internal/decisionloop/exchanges.go
@@ -2,9 +2,9 @@
 
 import "martenlock/control"
 
-// Exchanges holds the exchanges of a decision module. An exchange is kept until the module has been
-// notified of the request's end and the exchange needs no further event. The zero Exchanges is not
-// ready for use; NewExchanges makes one that is.
+// Exchanges holds the exchanges of a decision module. RemoveEnded removes those whose requests have
+// ended and that need no further event. The zero Exchanges is not ready for use; NewExchanges makes one
+// that is.
 type Exchanges[X Exchange] struct {
 	ByID map[control.RequestID]X
 
@@ -31,8 +31,9 @@
 func (e *Exchanges[X]) MarkEnded(id control.RequestID) { e.ended = append(e.ended, id) }
 
 // RemoveEnded removes the marked exchanges for which isRemovable returns true, and clears all marks.
-// An exchange that it keeps must be marked again. The caller must have notified the module of the end
-// of each marked exchange.
+// An exchange that it keeps must be marked again. The end of each marked exchange must be known to the
+// module, or be reported by an event that was pushed. Mailbox ignores later actions for a removed
+// exchange.
 func (e *Exchanges[X]) RemoveEnded(isRemovable func(X) bool) {
 	for _, id := range e.ended {
 		if exchange, isPresent := e.ByID[id]; isPresent && isRemovable(exchange) {
--- a/internal/decisionloop/mailbox.go
+++ b/internal/decisionloop/mailbox.go
@@ -18,9 +18,9 @@
 type Exchange interface {
 	// Forward starts an attempt.
 	Forward(action control.Forward)
-	// Reject responds to the client that it may safely retry the request, and how long to wait before.
+	// Reject tells the client that it may safely retry the request, and how long to wait before.
 	Reject(action control.Reject)
-	// Fail responds to the client that the request may have been executed.
+	// Fail tells the client that the request may have been executed.
 	Fail(action control.Fail)
 	// ReleaseKV asks engines to release the KV state that they may retain for the request.
 	ReleaseKV(action control.ReleaseKV)
@@ -104,7 +104,8 @@
 }
 
 // execute executes one action. It ignores an action for an exchange that no longer exists, because the
-// module may not have been notified of the end yet.
+// module may not have handled the event of its end yet. It also ignores control.SubscribeEndpoints,
+// because servers push endpoint updates by themselves.
 func (m *Mailbox[X]) execute(action control.Action) {
 	switch action := action.(type) {
 	case control.Forward:
--- a/internal/decisionloop/mailbox_test.go
+++ b/internal/decisionloop/mailbox_test.go
@@ -112,8 +112,8 @@
 
 // TestEventsOfOneIterationReachModuleTogetherInOrder: the events of one iteration are passed to the
 // module in one call and in the order of Push. The expected actions are those of a second module that
-// gets the events directly. Their order matters: the engine is listed before the requests arrive, and
-// a client leaves after its request.
+// gets the events directly. Another order of the events would change the actions: the engine is listed
+// before the requests arrive, and a client leaves after its request.
 func TestEventsOfOneIterationReachModuleTogetherInOrder(t *testing.T) {
 	m := newTestMailbox(t, 1, 2, 3, 4)
 	events := []control.Event{
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// ContextLengthError returns the error for a request that is too long for the model. contextLength
-// is the model's limit and promptTokens the estimated length of the request's prompt or longest
-// item, both in tokens.
+// ContextLengthError returns the error for a request that is too long for the model or for the memory
+// of every engine. contextLength is the exceeded limit and promptTokens the estimated length of the
+// request's prompt or longest item, both in tokens.
 func (r *Request) ContextLengthError(contextLength, promptTokens float64) *Error {
 	param := r.API.contentMember()
 	message := fmt.Sprintf("This model's maximum context length is %.0f tokens. However, your %s have about %.0f tokens", contextLength, param, promptTokens)
--- a/internal/openai/items.go
+++ b/internal/openai/items.go
@@ -48,7 +48,8 @@
 	return value[first.Index : first.Index+len(first.Raw)]
 }
 
-// queryTokens returns the estimated number of tokens of a rerank query, or 0 for other requests.
+// queryTokens returns the estimated number of tokens of the member "query", which rerank requests have,
+// or 0 if the request lacks it.
 func (r *Request) queryTokens(options *DecodeOptions) float64 {
 	i := r.indexOf("query")
 	if i < 0 {
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -9,7 +9,7 @@
 
 // DecodeOptions are the limits on requests and the parameters for estimating their token counts.
 type DecodeOptions struct {
-	BytesPerToken    float64 // average length of a token, because prompts are not tokenized
+	BytesPerToken    float64 // average length of a token, by which token counts are estimated
 	PrefixMessages   int     // first messages of a chat that form its shared prefix; 0 for no shared prefix
 	PrefixBytes      int     // first bytes of a completion's prompt that form its shared prefix; 0 for no shared prefix
 	DefaultMaxTokens int     // limit on output tokens for requests that set none
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -15,7 +15,8 @@
 	CloseIdleTimeout // idle_timeout
 	// CloseEvicted means that the Budget closed an idle connection to make room for a new one.
 	CloseEvicted // evicted
-	// CloseDelisted means that the connection was idle when its engine left the endpoint list or restarted.
+	// CloseDelisted means that the connection was idle when its engine left the endpoint list, restarted or
+	// changed its address.
 	CloseDelisted // delisted
 	// CloseNotTrusted means that an idle connection was not used for the next request, because bytes or
 	// an end of stream had arrived on it, or because Options.ReusePolicy rejected it.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -70,7 +70,7 @@
 	return c.established && c.conn.UnsentBytes() == 0 && c.conn.UnsentAtClose() == 0
 }
 
-// SendWithin closes the connection if the request's last byte has not left this process within d. The
+// SendWithin closes the connection if the request's last byte has not left this process within d.
 // Failed is then called on its handler. A d of 0 or less sets no limit. If a limit is set already, the
 // earlier of the two applies.
 func (c *Conn) SendWithin(d time.Duration) {
@@ -207,7 +207,8 @@
 	return c.keepAlive && sameEngine && c.conn.UnsentBytes() == 0
 }
 
-// EOF implements eventloop.Handler. It completes a response whose end is marked by the engine's close.
+// EOF implements eventloop.Handler. It completes a response whose end is marked by the engine's close,
+// and fails any other current request.
 func (c *Conn) EOF(conn *eventloop.Conn) {
 	if conn.Paused() { // EOF is called again after Resume, once the unread bytes have been delivered
 		return
@@ -224,7 +225,7 @@
 // Writable implements eventloop.Handler. It does nothing, because the whole request is buffered at once.
 func (c *Conn) Writable(*eventloop.Conn) {}
 
-// Closed implements eventloop.Handler. It fails the current request.
+// Closed implements eventloop.Handler. It fails the current request, if any.
 func (c *Conn) Closed(*eventloop.Conn, error) {
 	if c.established {
 		c.fail(CloseReset, "")
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -57,8 +57,9 @@
 	return getRequest
 }
 
-// TestRequestHeadBuiltOnceWhenConnectionEstablished: RequestHead of a HeadBuilder is called once, when
-// the connection is established, and its result replaces the head given to Start.
+// TestRequestHeadBuiltOnceWhenConnectionEstablished: RequestHead of a HeadBuilder is called once, when a
+// new connection is established or within Start on an idle one. Its result replaces the head given to
+// Start.
 func TestRequestHeadBuiltOnceWhenConnectionEstablished(t *testing.T) {
 	f := newFixture(t, Options{IdleTimeout: time.Minute, MaxPerEngine: 4})
 	for i := range 2 { // over a new connection, then over an idle one
--- a/internal/upstream/handler.go
+++ b/internal/upstream/handler.go
@@ -20,6 +20,7 @@
 }
 
 // HeadBuilder is implemented by a ResponseHandler whose request head depends on when it is sent, such
-// as a head with the remaining time. RequestHead is called once, when the connection is established.
-// The result replaces the head given to Pool.Start.
+// as a head with the remaining time. RequestHead is called once, before Connected: within Pool.Start on
+// an idle connection, or when a new connection is established. The result replaces the head given to
+// Pool.Start.
 type HeadBuilder interface{ RequestHead() []byte }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -15,7 +15,9 @@
 	Loop    *eventloop.Loop
 	Options *Options
 	Budget  *Budget
-	Addr    netip.AddrPort // connections to an earlier address are not kept for reuse
+	// Addr is the engine's address. A connection to an earlier address is closed instead of becoming
+	// idle. Connections that are already idle must be closed with CloseIdle when Addr changes.
+	Addr netip.AddrPort
 	// Removed is set once the engine has left the endpoint list. Connections are then closed instead
 	// of becoming idle.
 	Removed bool
@@ -128,8 +130,8 @@
 	}
 }
 
-// CloseIdle closes the idle connections. It is called when the engine has left the endpoint list or
-// restarted.
+// CloseIdle closes the idle connections. It must be called when the engine has left the endpoint list,
+// restarted or changed its address.
 func (p *Pool) CloseIdle() {
 	idle := p.idle
 	p.idle = nil
--- a/internal/upstream/reuse.go
+++ b/internal/upstream/reuse.go
@@ -7,9 +7,9 @@
 	// MayReuse reports whether a connection that was idle for idleFor may carry a request.
 	// notIdempotent is set if the request must not be retried once it may have been executed.
 	MayReuse(idleFor time.Duration, notIdempotent bool) bool
-	// Observe is called once for each request on a connection that was idle for idleFor. lost is set
-	// if the connection closed before the first byte of the response. elapsed is the time from sending
-	// the request to that byte or to the close.
+	// Observe is called once for each request on a connection that was idle for idleFor, unless the
+	// request is aborted before the first byte of its response. lost is set if the connection closed
+	// before that byte. elapsed is the time from sending the request to the byte or to the close.
 	Observe(idleFor, elapsed time.Duration, lost bool)
 }
 
@@ -22,7 +22,8 @@
 	pending   bool // the outcome has not been observed yet; false on a new connection
 }
 
-// observeReuse passes the outcome of a reuse to the policy, once for each request.
+// observeReuse passes the outcome of a reuse to the policy. Only the first call for a request has an
+// effect.
 func (c *Conn) observeReuse(lost bool) {
 	if !c.reuse.pending {
 		return
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -25,7 +25,7 @@
 	Limits         http1.Limits  // of responses
 	ConnectTimeout time.Duration // from starting a connection until it is established
 	IdleTimeout    time.Duration // after which idle connections are closed
-	MaxPerEngine   int           // most connections of one pool
+	MaxPerEngine   int           // most connections of one pool; 0 allows none
 	MaxTotal       int           // most connections of all pools that share the Budget; 0 for no limit
 	ReusePolicy    ReusePolicy   // nil allows the reuse of every idle connection
 }
