--- a/internal/openaiserver/admission_test.go
+++ b/internal/openaiserver/admission_test.go
@@ -92,9 +92,9 @@
 	return `{"model":"demo-chat",` + limit + `"messages":[{"role":"user","content":"` + strings.Repeat("ice ", promptTokens) + `"}]}`
 }
 
-// TestOversizedRequestIsRejectedWithoutAnEngine: a request that no engine has memory for is rejected with OpenAI's
-// error for it, and no engine receives the request. A request that may fit is forwarded. The more prompt lengths
-// engines have reported, the more accurate is the router's estimate.
+// TestOversizedRequestIsRejectedWithoutAnEngine: a request that no engine has memory for, or that exceeds max_context, is
+// rejected with OpenAI's error for it, and no engine receives the request. A request that may fit is forwarded. The more
+// prompt lengths engines have reported, the more accurate is the router's estimate.
 func TestOversizedRequestIsRejectedWithoutAnEngine(t *testing.T) {
 	specs := append(prefillDecodeSpecs(1, 8), embeddingSpec("e1"))
 	h := startHarness(t, specs, "models = demo-embed\n", "models = demo-embed\nmax_context = 500\n")
--- a/internal/openaiserver/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -17,14 +17,14 @@
 type attempt struct {
 	exchange   *exchange
 	number     control.AttemptNumber // within the exchange, from 0
-	engine     *engine               // nil if the endpoint is no longer listed
+	engine     *engine               // nil if it was removed from the engineTable
 	endpointID control.EndpointID
 	role       control.Role
 	conn       *upstream.Conn // nil before start and after the response has ended
 	startedAt  time.Duration  // time on the event loop's clock
 
 	state           decisionloop.AttemptState
-	answerTimeout   timerwheel.Timer // bounds the time until the answer starts
+	answerTimer     timerwheel.Timer // bounds the time until the answer to the client starts or the prefill is done
 	streamIdleTimer timerwheel.Timer // bounds the pauses in a streamed answer
 
 	isConnected   bool // the connection was established, so the engine may execute the request
@@ -47,14 +47,14 @@
 	a.role = a.engine.endpoint.Role
 	body := exchange.appendBody(make([]byte, 0, exchange.call.BodySize()+bodyOverheadBytes), a.role)
 	head := exchange.appendHead(a.engine.newRequestHead(http.MethodPost, exchange.path))
-	a.answerTimeout.Fire = func() { a.finish(control.TimedOut, false) }
+	a.answerTimer.Fire = func() { a.finish(control.TimedOut, false) }
 	conn, err := a.engine.Start(a, http1.AppendContentLength(head, len(body)), body, false)
 	if err != nil {
 		a.finish(control.NotSent, false)
 		return
 	}
 	a.conn = conn
-	exchange.pool.server.loop.StartTimer(&a.answerTimeout, action.Timeout)
+	exchange.pool.server.loop.StartTimer(&a.answerTimer, action.Timeout)
 	conn.SendWithin(action.SendWithin)
 }
 
@@ -98,7 +98,7 @@
 func (a *attempt) stop() {
 	a.state = decisionloop.AttemptEnded
 	loop := a.exchange.pool.server.loop
-	loop.StopTimer(&a.answerTimeout)
+	loop.StopTimer(&a.answerTimer)
 	loop.StopTimer(&a.streamIdleTimer)
 	if a.conn != nil {
 		a.conn.Abort()
--- a/internal/openaiserver/attemptresponse.go
+++ b/internal/openaiserver/attemptresponse.go
@@ -56,7 +56,8 @@
 		server.bufferedBytes += int64(len(data))
 	case a.status != http.StatusOK: // truncates an error response
 	case isPrefill || a.exchange.call.NeedsResponseCheck():
-		// The connection may allow a longer response: a reload may have lowered the limit since it was opened.
+		// The connection allows responses above maxPrefillResponseBytes. It also allows one whose head arrived
+		// before a reload lowered the limit.
 		a.finish(control.Failed, false)
 	default:
 		a.startStream(data)
@@ -142,7 +143,7 @@
 		a.finish(control.Rejected, false)
 	case a.status >= http.StatusInternalServerError || a.status == http.StatusRequestTimeout || a.status < http.StatusBadRequest:
 		a.finish(control.Failed, false)
-	default: // the request is invalid, so that a retry on another engine would fail too
+	default: // the request is invalid, so a retry on another engine would fail too
 		a.exchange.setAnswer(a, outcome.InvalidRequest)
 		a.finish(control.OK, true)
 	}
--- a/internal/openaiserver/attemptstream.go
+++ b/internal/openaiserver/attemptstream.go
@@ -15,7 +15,7 @@
 	a.state = decisionloop.AttemptStreaming
 	exchange.answerStarted = true
 	exchange.kvHolders = nil
-	loop.StopTimer(&a.answerTimeout)
+	loop.StopTimer(&a.answerTimer)
 	exchange.pool.push(control.AnswerStarted{
 		ID:       exchange.id,
 		Endpoint: a.endpointID,
@@ -56,17 +56,17 @@
 		exchange.pool.server.loop.StopTimer(&a.streamIdleTimer)
 		return
 	}
-	a.restartStreamIdleTimeout()
+	a.restartStreamIdleTimer()
 }
 
 // resume continues reading from the engine after forwardData has paused it.
 func (a *attempt) resume() {
 	a.conn.Resume()
-	a.restartStreamIdleTimeout()
+	a.restartStreamIdleTimer()
 }
 
-// restartStreamIdleTimeout bounds the time until the engine sends the next part of the answer.
-func (a *attempt) restartStreamIdleTimeout() {
+// restartStreamIdleTimer bounds the time until the engine sends the next part of the answer.
+func (a *attempt) restartStreamIdleTimer() {
 	server := a.exchange.pool.server
 	server.loop.StartTimer(&a.streamIdleTimer, server.config.Limits.StreamIdleTimeout)
 }
--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -21,8 +21,8 @@
 	inputs          [][]byte
 	inputTokens     []float64
 	retryExchange   *exchange        // of its retry; nil until it starts
-	sequentialRetry *sequentialRetry // set if its retry has to wait for those of other members
-	expiryTimer     timerwheel.Timer // rejects the member if its deadline passes during that wait
+	sequentialRetry *sequentialRetry // set if the members of its batch are retried one after another
+	expiryTimer     timerwheel.Timer // rejects the member if its deadline passes before its turn to be retried
 }
 
 // batch is one exchange that computes the answers for one or more members. It is the exchange's responder.
@@ -148,7 +148,7 @@
 // clientWritable implements operation. It has no effect because the answer is not streamed.
 func (m *batchMember) clientWritable() {}
 
-// poll rejects members whose deadline has passed and starts the batches that are due.
+// poll rejects members whose deadlines have passed during a shared batch, and starts the batches that are due.
 func (b *batchScheduler) poll() {
 	result := b.batcher.Poll(b.pool.server.now())
 	for _, id := range result.Expired {
@@ -185,12 +185,12 @@
 		started.firstInput[id] = len(inputs)
 		started.inputTokens = append(started.inputTokens, member.inputTokens...)
 		inputs = append(inputs, member.inputs...)
-		headers = append(headers, member.request.headers)
+		headers = append(headers, member.request.forwardedFields)
 		promptTokens += member.request.call.PromptTokens
 	}
 	started.call = request.call.Batch(inputs, promptTokens)
 	request.call = started.call
-	request.headers = commonHeaders(headers)
+	request.forwardedFields = commonHeaders(headers)
 	request.moduleRequest.PromptTokens = control.Tokens(promptTokens)
 	request.moduleRequest.SessionID = 0 // the members may belong to different sessions
 	request.moduleRequest.Deadline = due.Deadline
--- a/internal/openaiserver/batch_test.go
+++ b/internal/openaiserver/batch_test.go
@@ -50,7 +50,8 @@
 }
 
 // TestSmallRequestsShareABatchAndGetTheirOwnAnswers: small requests that wait for an engine share a batch, and each gets
-// its own vectors. Requests of different tenants, or of a class that is not idempotent without a key, are not batched.
+// its own vectors. Requests of different tenants are not batched, nor those of a class that is idempotent only with a
+// key or not at all.
 // Requests with other parameters or input types get valid answers too.
 func TestSmallRequestsShareABatchAndGetTheirOwnAnswers(t *testing.T) {
 	h := startHarness(t, embeddingSpecs(1), longBatchWait...)
--- a/internal/openaiserver/cachefill.go
+++ b/internal/openaiserver/cachefill.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// remove removes the fill from its parent.
+// remove removes the fill from its parent and releases its memory budget.
 func (f *cacheFill) remove() {
 	e := f.parent
 	index := slices.Index(e.fills, f)
--- a/internal/openaiserver/client_test.go
+++ b/internal/openaiserver/client_test.go
@@ -30,7 +30,7 @@
 	body     string        // "" for a chat completion request with the values below
 
 	stream    bool
-	maxTokens int // at least 1
+	maxTokens int // 0 counts as 1
 	prompt    string
 }
 
--- a/internal/openaiserver/clientconn.go
+++ b/internal/openaiserver/clientconn.go
@@ -29,7 +29,7 @@
 	session         string
 	tenant          string
 	timeBudget      time.Duration // how long the client waits for the answer; 0 if unknown
-	forwardedFields []byte        // header fields for engines, each ending with CRLF
+	forwardedFields []byte        // additional header fields for engines, each ending with CRLF
 }
 
 // HeadReceived implements httpserver.Handler. It rejects a request with an invalid deadline header before the body
@@ -69,8 +69,8 @@
 // maxClientTimeoutSeconds is the exclusive upper bound of clientTimeoutHeader. Longer and invalid time-outs are ignored.
 const maxClientTimeoutSeconds = 1e6
 
-// timeBudgetBits is the greatest size of the signed integer in a deadline header, in bits. That many milliseconds fit a
-// time.Duration.
+// timeBudgetBits is the size in bits of the largest signed integer that a deadline header may hold. Any such number of
+// milliseconds fits a time.Duration.
 const timeBudgetBits = 40
 
 // parseTimeBudget returns how long the client waits for the answer, or 0 if neither the deadline header nor
--- a/internal/openaiserver/clients.go
+++ b/internal/openaiserver/clients.go
@@ -28,8 +28,8 @@
 	return &client.conn
 }
 
-// bodyMemory implements httpserver.Memory. It limits the memory for request bodies and buffered answers together to
-// maxBufferedBytes.
+// bodyMemory implements httpserver.Memory. It counts request bodies in Server.bufferedBytes, which maxBufferedBytes
+// limits.
 type bodyMemory struct{ server *Server }
 
 // Reserve implements httpserver.Memory.
--- a/internal/openaiserver/dispatch.go
+++ b/internal/openaiserver/dispatch.go
@@ -155,15 +155,15 @@
 		classIndex = class.StreamIndex
 	}
 	request := &inferenceRequest{
-		pool:          p,
-		call:          call,
-		path:          c.request.path,
-		headers:       c.request.forwardedFields,
-		tenant:        c.request.tenant,
-		fairShareKey:  xxhash.Sum64String(s.config.FairShareTenant(c.request.tenant)),
-		promptTokens:  call.PromptTokens,
-		timeBudget:    c.timeBudget(p.config.Control.Classes[classIndex]),
-		moduleRequest: control.Request{Class: classIndex, Tenant: s.config.TenantIndex(c.request.tenant)},
+		pool:            p,
+		call:            call,
+		path:            c.request.path,
+		forwardedFields: c.request.forwardedFields,
+		tenant:          c.request.tenant,
+		fairShareKey:    xxhash.Sum64String(s.config.FairShareTenant(c.request.tenant)),
+		promptTokens:    call.PromptTokens,
+		timeBudget:      c.timeBudget(p.config.Control.Classes[classIndex]),
+		moduleRequest:   control.Request{Class: classIndex, Tenant: s.config.TenantIndex(c.request.tenant)},
 	}
 	event := &request.moduleRequest
 	event.PrefixHash = call.PrefixHash
--- a/internal/openaiserver/embeddingrequest.go
+++ b/internal/openaiserver/embeddingrequest.go
@@ -28,7 +28,7 @@
 	inputUsage   []int64            // by input: prompt tokens used
 	missingCount int                // number of distinct inputs whose embeddings are not known yet
 	cacheHits    int                // number of distinct inputs answered from the cache
-	template     []byte             // engine's answer whose other members are copied; nil if all inputs are cached
+	template     []byte             // engine's answer whose other members are copied; nil until an engine has answered
 	fills        []*cacheFill
 	partialFills int   // number of fills that were started for only some of the inputs
 	copiedBytes  int64 // size of the embeddings copied from answers; counted in Server.bufferedBytes
--- a/internal/openaiserver/engine.go
+++ b/internal/openaiserver/engine.go
@@ -21,7 +21,7 @@
 
 // engineTable holds the engines and the options and budget that their connections share.
 type engineTable struct {
-	byID        map[control.EndpointID]*engine
+	byID        map[control.EndpointID]*engine // listed ones, and others that have connections or pending KV releases
 	connOptions upstream.Options
 	connBudget  upstream.Budget
 }
--- a/internal/openaiserver/exchange.go
+++ b/internal/openaiserver/exchange.go
@@ -13,13 +13,13 @@
 // exchange is a request that was handed to the decision module. It exists from its control.Request event until the
 // client was answered or has disconnected, and no attempt is in flight.
 type exchange struct {
-	pool      *pool
-	client    responder         // nil once it has the answer or has disconnected
-	id        control.RequestID // the decision module's id of the request
-	requestID string            // sent to engines as X-Request-Id
-	call      *openai.Request   // the decoded API request
-	path      string
-	headers   []byte // additional header fields for engines, each ending with CRLF
+	pool         *pool
+	client       responder         // nil once it has the answer or has disconnected
+	id           control.RequestID // the decision module's id of the request
+	requestID    string            // sent to engines as X-Request-Id
+	call         *openai.Request   // the decoded API request
+	path         string
+	engineFields []byte // additional header fields for engines, each ending with CRLF: the forwarded ones and X-Request-Part
 
 	kvTransfer []byte    // kv_transfer_params from the prefill engine, for the decode engine; nil without a prefill
 	kvHolders  []*engine // prefill engines that may retain the request's KV state
@@ -36,8 +36,8 @@
 // the exchange is marked as ended again when the attempt ends.
 func (e *exchange) isRemovable() bool { return e.attempt == nil }
 
-// Forward implements decisionloop.Exchange. It starts an attempt. If the endpoint is no longer listed or the client has
-// disconnected, the attempt ends with the result control.NotSent.
+// Forward implements decisionloop.Exchange. It starts an attempt. If the engine was removed from the engineTable or the
+// client has disconnected, the attempt ends with the result control.NotSent.
 func (e *exchange) Forward(action control.Forward) {
 	server := e.pool.server
 	a := &attempt{
@@ -74,7 +74,7 @@
 	if len(e.pool.settings.ReportMetrics) > 0 {
 		head = http1.AppendField(head, "endpoint-load-metrics-format", "TEXT")
 	}
-	return append(head, e.headers...)
+	return append(head, e.engineFields...)
 }
 
 // CancelAttempt implements decisionloop.Exchange. It cancels the attempt with the given number unless the attempt's
@@ -86,7 +86,7 @@
 	}
 }
 
-// Reject implements decisionloop.Exchange. The answer tells the client that nothing was executed and when to retry.
+// Reject implements decisionloop.Exchange. The answer tells the client that it may safely retry the request, and when.
 func (e *exchange) Reject(action control.Reject) {
 	if e.client == nil {
 		return
--- a/internal/openaiserver/httpexchange.go
+++ b/internal/openaiserver/httpexchange.go
@@ -30,7 +30,7 @@
 	e.observeLatency(outcome.Served)
 	conn := &e.client.conn
 	framing := conn.SelectFraming(head.length >= 0)
-	out := e.client.appendResponseHead(head.status, head.contentType, head.requestID)
+	out := e.client.newResponseHead(head.status, head.contentType, head.requestID)
 	switch framing {
 	case httpserver.Chunked:
 		out = append(out, "Transfer-Encoding: chunked\r\n\r\n"...)
@@ -51,9 +51,9 @@
 	e.client.conn.EndBody()
 }
 
-// abort implements responder. If the client asked for server-sent events, it gets an error event. The connection is then
-// closed without the last chunk, or reset if the body is not chunked, so that the client can tell that the answer is
-// incomplete.
+// abort implements responder. It ends the connection so that the client can tell that the answer is incomplete. If the
+// body is chunked, a client that asked for server-sent events gets an error event, and the connection is closed without
+// the last chunk. Otherwise the connection is reset.
 func (e *httpExchange) abort(reason string) {
 	conn := &e.client.conn
 	e.complete(outcome.Failed)
@@ -71,7 +71,8 @@
 // isBatch implements responder. The answer is for one client only.
 func (e *httpExchange) isBatch() bool { return false }
 
-// complete counts the answer by its outcome and detaches the request from its connection and its pool.
+// complete counts the answer by its outcome and detaches the request from its connection and its pool. A request that an
+// engine rejected as invalid counts as served.
 func (e *httpExchange) complete(result outcome.Outcome) {
 	counters := &e.client.server.counters
 	switch result {
--- a/internal/openaiserver/inferencerequest.go
+++ b/internal/openaiserver/inferencerequest.go
@@ -10,18 +10,18 @@
 
 // inferenceRequest is a client's API request, or a part of one, for which an operation computes the answer.
 type inferenceRequest struct {
-	pool          *pool
-	call          *openai.Request
-	moduleRequest control.Request // for the decision module; startExchange assigns the ID
-	path          string
-	headers       []byte // additional header fields for engines, each ending with CRLF
-	tenant        string
-	fairShareKey  uint64  // identifies the tenant whose share of the admission queue the request uses
-	promptTokens  float64 // estimated, without the pool's correction
-	timeBudget    time.Duration
-	inputs        [][]byte  // the items (inputs or documents); nil before splitInputs is called
-	inputTokens   []float64 // estimated tokens of each item
-	shardLabel    string    // value of X-Request-Part; "" if the request is complete
+	pool            *pool
+	call            *openai.Request
+	moduleRequest   control.Request // for the decision module; startExchange assigns the ID
+	path            string
+	forwardedFields []byte // additional header fields for engines, each ending with CRLF
+	tenant          string
+	fairShareKey    uint64        // identifies the tenant whose share of the admission queue the request uses
+	promptTokens    float64       // estimated, without the pool's correction
+	timeBudget      time.Duration // within which the request must be answered
+	inputs          [][]byte      // the items (inputs or documents); nil before splitInputs is called
+	inputTokens     []float64     // estimated tokens of each item
+	shardLabel      string        // value of X-Request-Part; "" if the request is complete
 }
 
 // itemOverheadBytes is the estimated memory for each item of a request in addition to the body: slices, shards and
@@ -63,16 +63,16 @@
 func (r *inferenceRequest) startExchange(client responder, requestID string) *exchange {
 	p := r.pool
 	started := &exchange{
-		pool:      p,
-		client:    client,
-		id:        p.exchanges.NewID(),
-		requestID: requestID,
-		call:      r.call,
-		path:      r.path,
-		headers:   r.headers,
+		pool:         p,
+		client:       client,
+		id:           p.exchanges.NewID(),
+		requestID:    requestID,
+		call:         r.call,
+		path:         r.path,
+		engineFields: r.forwardedFields,
 	}
 	if r.shardLabel != "" { // distinguishes the shards, which all carry the client's own request id
-		started.headers = http1.AppendField(r.headers[:len(r.headers):len(r.headers)], "X-Request-Part", r.shardLabel)
+		started.engineFields = http1.AppendField(r.forwardedFields[:len(r.forwardedFields):len(r.forwardedFields)], "X-Request-Part", r.shardLabel)
 	}
 	p.exchanges.ByID[started.id] = started
 	event := r.moduleRequest
--- a/internal/openaiserver/responder.go
+++ b/internal/openaiserver/responder.go
@@ -17,8 +17,8 @@
 	respond(answer)
 	// begin receives the head of a streamed answer.
 	begin(answerHead)
-	// write receives the next part of the body of a streamed answer. If mustPause is true, write must not be called
-	// again before operation.clientWritable.
+	// write receives the next part of the body of a streamed answer. If mustPause is true, the operation must stop
+	// reading from its engine until operation.clientWritable is called. It may still write what it has already read.
 	write(data []byte) (mustPause bool)
 	// end completes a streamed answer.
 	end()
@@ -42,7 +42,7 @@
 	outcome         outcome.Outcome
 	status          int
 	contentType     string
-	requestID       string // as sent to engines in X-Request-Id
+	requestID       string // sent to the client as x-request-id; "" for none
 	fields          string // additional header fields, each ending with CRLF
 	body            []byte
 	retryAfter      time.Duration // of a rejected request; 0 for other outcomes
@@ -59,7 +59,7 @@
 }
 
 // bufferedResponder is embedded in responders that never get a streamed answer. NeedsResponseCheck holds for their
-// requests, so that attempts buffer the whole response. Only isBatch is ever called.
+// requests, so attempts buffer the whole response. Of its methods, only isBatch is ever called.
 type bufferedResponder struct{}
 
 // begin implements responder.
@@ -86,7 +86,7 @@
 // clientWritable implements operation.
 func (noOperation) clientWritable() {}
 
-// rejectionAnswer returns the answer to a request that was not executed at all. retryAfter is sent to the client.
+// rejectionAnswer returns the answer to a request that the client may safely retry. retryAfter is sent to the client.
 func rejectionAnswer(requestID string, status int, code, message string, retryAfter time.Duration) answer {
 	err := openai.Error{Status: status, Message: message, Type: errorTypeServer, Code: code}
 	return answer{
--- a/internal/openaiserver/response.go
+++ b/internal/openaiserver/response.go
@@ -27,9 +27,9 @@
 // retryAfterFull is the Retry-After of requests that are rejected because of the server's own limits.
 const retryAfterFull = time.Second
 
-// appendResponseHead returns the start of a response head: the status line and all fields except for Content-Length and
-// Transfer-Encoding.
-func (c *clientConn) appendResponseHead(status int, contentType, requestID string) []byte {
+// newResponseHead returns the start of a response head: the status line and the fields Content-Type, x-request-id
+// unless requestID is empty, and Connection if it is needed.
+func (c *clientConn) newResponseHead(status int, contentType, requestID string) []byte {
 	head := http1.AppendStatus(make([]byte, 0, responseHeadBytes), status)
 	head = http1.AppendField(head, "Content-Type", contentType)
 	if requestID != "" {
@@ -40,7 +40,7 @@
 
 // writeResponse writes a complete response. fields holds additional header fields, each ending with CRLF.
 func (c *clientConn) writeResponse(status int, contentType, requestID, fields string, body []byte) {
-	head := c.appendResponseHead(status, contentType, requestID)
+	head := c.newResponseHead(status, contentType, requestID)
 	c.conn.WriteResponse(append(head, fields...), body)
 }
 
--- a/internal/openaiserver/scatter.go
+++ b/internal/openaiserver/scatter.go
@@ -17,7 +17,7 @@
 type scatteredRequest struct {
 	request        *inferenceRequest
 	client         responder
-	inputs         [][]byte // nil if the request has only one shard, to which it is forwarded unchanged
+	inputs         [][]byte // nil if the only shard is the unchanged request
 	inputTokens    []float64
 	plan           []scatter.Shard
 	gather         *scatter.Gather
@@ -38,8 +38,8 @@
 	copiedBytes int64     // size of the inputs copied into the shard's call; counted in Server.bufferedBytes
 }
 
-// startScattered starts a request that has to be split into shards or is large. A large request is enqueued for
-// admission. It returns nil for any other request.
+// startScattered starts a request that has to be split into shards or is large. It returns nil for any other request. A
+// large request is enqueued for admission.
 func (r *inferenceRequest) startScattered(client responder) operation {
 	p := r.pool
 	inputs, tokens := r.splitInputs()
@@ -48,7 +48,7 @@
 	if len(plan) < 2 && !isLarge {
 		return nil
 	}
-	if len(plan) < 2 { // one shard, to which the request is forwarded unchanged
+	if len(plan) < 2 { // the only shard is the unchanged request
 		plan = []scatter.Shard{{To: r.call.ItemCount}}
 		inputs = nil
 	}
--- a/internal/openaiserver/sequentialretry.go
+++ b/internal/openaiserver/sequentialretry.go
@@ -2,8 +2,8 @@
 
 import "martenlock/control/batching"
 
-// sequentialRetry retries the members of a batch that lost its engine, one after another, because one of them may crash
-// engines. Package batching decides when each retry starts.
+// sequentialRetry retries the members of a batch that lost its connection to an engine. They are retried one after
+// another, because one of them may crash engines. Package batching decides when each retry starts.
 type sequentialRetry struct {
 	order       batching.SequentialRetry
 	members     map[batching.RequestID]*batchMember // those that have not ended
@@ -37,7 +37,7 @@
 	}
 }
 
-// complete removes a member and starts the next retries. lostConnection says whether the member's retry lost a
+// complete removes a member and starts the next retries. lostConnection tells whether the member's retry lost a
 // connection too.
 func (r *sequentialRetry) complete(member *batchMember, lostConnection bool) {
 	member.request.pool.server.loop.StopTimer(&member.expiryTimer)
--- a/internal/openaiserver/server.go
+++ b/internal/openaiserver/server.go
@@ -38,24 +38,26 @@
 	requestIDs    requestIDs
 	seed          uint64 // for the decision modules' random choices
 	openRequests  int    // accepted for a pool and not yet answered
-	bufferedBytes int64  // of request bodies and buffered answers
+	bufferedBytes int64  // of request bodies, buffered answers and copies of inputs, and the estimated overhead of items
 
 	shutdown shutdown
 	counters counters
 }
 
-// counters count requests by their end, and evicted connections, since the server's start.
+// counters count requests and evicted connections since the server's start. The first four count requests that were
+// accepted for a pool, by their end.
 type counters struct {
 	served    uint64
 	rejected  uint64
 	failed    uint64
 	canceled  uint64 // the client has disconnected
-	oversized uint64 // no engine has enough memory for the request
+	oversized uint64 // rejected because the request exceeds the model's context length or the memory of every engine
 
 	idleConnsEvicted uint64 // idle client connections closed to make room for new ones
 }
 
-// maxBufferedBytes limits the request bodies and buffered answers of all requests together.
+// maxBufferedBytes limits Server.bufferedBytes. Only request bodies, engines' responses and new requests are checked
+// against it.
 const maxBufferedBytes = 1 << 30
 
 // clockStart is the time on the decision module's clock when the event loop starts: one day, in microseconds. It is not
--- a/internal/openaiserver/shutdown.go
+++ b/internal/openaiserver/shutdown.go
@@ -47,7 +47,8 @@
 	s.loop.StartTimer(&s.shutdown.drainTimer, drainCheckInterval)
 }
 
-// abortOpenRequests aborts all open requests and closes their connections. It is called when the shutdown times out.
+// abortOpenRequests aborts all open requests and closes all client connections. It is called when the shutdown times
+// out.
 func (s *Server) abortOpenRequests() {
 	s.log.Warn().Int("open_requests", s.openRequests).Msg("shutdown limit reached, open requests aborted")
 	for conn := range s.clients.All() {
--- a/internal/openaiserver/stats.go
+++ b/internal/openaiserver/stats.go
@@ -7,11 +7,12 @@
 
 // Stats holds a server's counters since its start and its current resource use.
 type Stats struct {
-	// Numbers of client requests by their end.
+	// Numbers of requests that were accepted for a pool, by their end. A request that an engine rejected as invalid
+	// counts as served.
 	Served, Rejected, Failed, Canceled uint64
 
 	// Other counters. Those of pools restart at 0 when a reload replaces the pools.
-	Oversized         uint64 // requests rejected because no engine has enough memory for them
+	Oversized         uint64 // requests above the model's context length or the memory of every engine
 	AdmissionRejected uint64 // of pools: large requests rejected by the admission queue
 	CacheHits         uint64 // of pools: embeddings inputs answered from the cache
 	CoalescedInputs   uint64 // of pools: embeddings inputs that waited for another request's computation
@@ -21,12 +22,12 @@
 	// Current values.
 	OpenRequests, ClientConnections, Timers int
 	EngineConnections, PendingKVReleases    int
-	BufferedBytes                           int64  // request bodies and buffered answers
+	BufferedBytes                           int64  // request bodies, buffered answers, copies and overhead of inputs
 	CacheBytes                              uint64 // entries of the embedding caches
 	MaxUnsentBytes                          int    // largest number of bytes buffered for one client
 }
 
-// ErrStopped is returned by Server.Stats if the event loop does not run.
+// ErrStopped is returned by Server.Stats if the event loop does not respond, usually because it does not run.
 var ErrStopped = errors.New("openaiserver: server is not running")
 
 // statsTimeout is how long Stats waits for the event loop. A running loop responds within one iteration.
