--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -151,7 +151,8 @@
 	}
 }
 
-// requestWritten reports whether the last byte of the request has left this process.
+// requestWritten reports whether the last byte of the request has left this process. It returns false
+// after a complete response.
 func (a *attempt) requestWritten() bool {
 	return a.connError.RequestWritten || a.conn != nil && a.conn.RequestWritten()
 }
@@ -168,13 +169,15 @@
 	return mayStillExecute
 }
 
-// isUnresponsive reports whether an attempt with this result received no response from its engine.
+// isUnresponsive reports whether a result means that the engine did not respond in time or that its
+// connection failed.
 func isUnresponsive(result control.Result) bool {
 	return result == control.TimedOut || result == control.ConnectFailed || result == control.Reset
 }
 
 // recordUnresponsive records that the engine did not respond to this attempt. The scheduler of KV
-// releases then calls other engines first.
+// releases then calls other engines first, unless the engine has responded to another request since
+// the attempt started.
 func (a *attempt) recordUnresponsive() {
 	s := a.exchange.server
 	sentAt := clockStart.Add(a.startedAt)
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -60,7 +60,7 @@
 	c.conn.SendContinue(head)
 }
 
-// healthPath is the path of the platform's health check.
+// healthPath is the path of health checks, of this server and of engines.
 const healthPath = "/healthz"
 
 // RequestReceived implements httpserver.Handler. It starts the exchange of a chat request and
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -63,7 +63,7 @@
 // ConfigError reports an invalid configuration.
 type ConfigError struct {
 	Variable string // the environment variable that is invalid, or that names File
-	File     string // path of the invalid file; empty if the value of Variable is invalid
+	File     string // path of the invalid file; empty if it was not read, or if the value of Variable is invalid
 	Key      string // the invalid key of File; empty if unknown
 	Err      error  // the reason
 }
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// parseSettings decodes the settings object. It returns a *ConfigError if the object has no request
-// classes or does not assign one role to each kind of engine.
+// parseSettings decodes the settings object. It returns a *ConfigError if the object is missing or invalid,
+// has no request classes, or does not assign one role to each kind of engine.
 func parseSettings(path string, seed uint64, text []byte) (platformsettings.Settings, error) {
 	if len(text) == 0 {
 		return platformsettings.Settings{}, configFileError(path, "settings", errSettingsMissing)
--- a/internal/platform/counters.go
+++ b/internal/platform/counters.go
@@ -16,7 +16,7 @@
 	stalled   uint64 // the stream made no progress for connlimit.StreamIdleTimeout
 
 	// Connections.
-	panics           uint64 // closed because a handler panicked
+	panics           uint64 // in handlers; each closes its connection
 	idleConnsEvicted uint64 // idle client connections closed to accept new ones
 	connsRejected    uint64 // new client connections closed because none was idle
 	uploadsEvicted   uint64 // client connections closed to free the memory of incomplete request bodies
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -12,7 +12,7 @@
 
 // endpointListStore holds the endpoint list that a discoveryClient receives.
 type endpointListStore interface {
-	// listRevision returns the revision of the list. Each call asks discovery for changes since it.
+	// listRevision returns the revision of the list. Each call to discovery requests the changes since it.
 	listRevision() uint64
 	// applyEndpointList applies one message from discovery. It returns an error if the message cannot
 	// be decoded.
@@ -32,7 +32,7 @@
 	watch           *watchCall       // nil if none is established
 	pending         []*watchCall     // calls without a complete message or heartbeat so far, oldest first
 	nextCallTimer   timerwheel.Timer // runs until the next call
-	backoff         time.Duration    // between the latest two calls
+	backoff         time.Duration    // before the next call or the latest one; 0 after a reset
 	isStopped       bool
 }
 
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -59,7 +59,7 @@
 }
 
 // limitPendingSends bounds the time to finish writing requests to an engine that drains or has left the
-// list. A request that is not written completely within the drain grace ends its connection.
+// list. The connection of a request that is not written completely within the drain grace is closed.
 func (e *endpoint) limitPendingSends() {
 	grace := max(e.server.config.Settings.Control.Limits.DrainGrace, time.Millisecond)
 	for a := range e.attempts {
--- a/internal/platform/endpointcall.go
+++ b/internal/platform/endpointcall.go
@@ -10,7 +10,7 @@
 )
 
 // callDone is called once with the result of a call to an engine. status is the HTTP status of the
-// response; it is set only if result is control.OK.
+// response. It has a meaning only if result is control.OK.
 type callDone func(result control.Result, status int)
 
 // callHeadBytes is the initial capacity for the head of a call. Longer heads are reallocated.
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -79,7 +79,7 @@
 }
 
 // endpoint converts the entry to an endpoint of the membership view. Only a ready engine needs a valid
-// address and kind: an engine that drains or is gone must not stay ready because of another field.
+// address and kind. The state of an engine that drains or is gone applies even if they are invalid.
 func (e *endpointEntry) endpoint(settings *platformsettings.Settings, toControlTime controlTimeFunc) (membership.Endpoint, error) {
 	state, err := e.state()
 	if err != nil {
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -11,7 +11,7 @@
 )
 
 // exchange is one request from its handover to the decision module until the client has received
-// its answer or has left, and no attempt is in flight.
+// its answer or has left, and the outcome of the last attempt was reported.
 type exchange struct {
 	server    *Server
 	id        control.RequestID
@@ -60,8 +60,8 @@
 // reasonClientGone is the reason in the log line of a canceled request.
 const reasonClientGone = "client_gone"
 
-// startExchange hands a client's request to the decision module. The module answers it exactly
-// once.
+// startExchange hands a client's request to the decision module. Unless the client leaves first, it
+// gets exactly one answer.
 func (s *Server) startExchange(client *clientConn) {
 	e := &exchange{
 		server:    s,
@@ -156,7 +156,8 @@
 }
 
 // ReleaseKV implements decisionloop.Exchange. It schedules the release of the KV state that earlier
-// attempts may have left at engines.
+// attempts may have left at engines. The engine of a waiting attempt counts as unresponsive, so that
+// other engines are called first.
 func (e *exchange) ReleaseKV(action control.ReleaseKV) {
 	if !e.kv.mayRetain {
 		return
@@ -197,7 +198,7 @@
 	timer := &timerwheel.Timer{}
 	timer.Fire = func() {
 		e.cancelPropagating = false
-		if e.client == nil { // the client left during the delay; the exchange was kept for this outcome
+		if e.client == nil { // the client was answered or has left; the exchange was kept for this outcome
 			e.server.exchanges.markEnded(e)
 		}
 		e.server.push(outcome)
--- a/internal/platform/exchangetable.go
+++ b/internal/platform/exchangetable.go
@@ -5,7 +5,7 @@
 // exchangeTable indexes the exchanges of a server.
 type exchangeTable struct {
 	decisionloop.Exchanges[*exchange]
-	byCallID map[string]*exchange // exchanges whose client still waits for the answer, by X-Call-Id
+	byCallID map[string]*exchange // exchanges that still have a client, by X-Call-Id
 }
 
 func newExchangeTable() exchangeTable {
--- a/internal/platform/kvrelease.go
+++ b/internal/platform/kvrelease.go
@@ -68,7 +68,7 @@
 }
 
 // logKVRelease logs a confirmed release or a failed call. It logs nothing if another call has
-// already released the state, or if the release was withdrawn.
+// already released the state, or if the release was withdrawn or dropped.
 func (s *Server) logKVRelease(call kvrelease.Call, completion kvrelease.Completion) {
 	message := "KV release call failed"
 	if completion.Released {
--- a/internal/platform/requesttrace.go
+++ b/internal/platform/requesttrace.go
@@ -6,11 +6,11 @@
 	"martenlock/control"
 )
 
-// attemptsWithoutRetry is the number of attempts of a request that needs no retry: a prefill and a decode.
+// attemptsWithoutRetry is the maximum number of attempts without a retry: a prefill and a decode.
 const attemptsWithoutRetry = 2
 
-// traceRequest logs a request that was retried, was not served or missed its objective for the time to the
-// first token, if the trace is on for requests.
+// traceRequest logs a request that had more than attemptsWithoutRetry attempts, was not served or missed its
+// objective for the time to the first token, if the trace is on for requests.
 func (e *exchange) traceRequest(outcome requestOutcome) {
 	if !e.server.traceRequests {
 		return
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	logBufferLines  = 512                   // further lines are dropped, so that the loop never blocks on the log
+	logBufferLines  = 512                   // further lines overwrite the oldest, so that the loop never blocks on the log
 	logPollInterval = 20 * time.Millisecond // between two writes of the buffered lines
 	signalBuffer    = 16                    // further signals are dropped
 	maxProcs        = 1                     // one goroutine, the event loop, handles all requests
 )
 
 // Serve runs a server until its shutdown by SIGTERM or SIGINT is complete. Its configuration is read as
-// by LoadConfig. Log lines go to stderr. Signals that arrive while the server starts are handled once it
-// serves. An error in the configuration is a *ConfigError.
+// by LoadConfig. Log lines go to stderr, which is closed at the end if it is an io.Closer. Signals that
+// arrive while the server starts are handled once it serves. An error in the configuration is a
+// *ConfigError.
 func Serve(getenv func(string) string, stderr io.Writer) error {
 	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
@@ -49,7 +50,7 @@
 	go s.handleSignals(signals, getenv)
 	err = s.Run()
 	s.counters.appendTo(log.Info()).Msg("server stopped")
-	_ = logBuffer.Close() // flushes the buffered lines; an error can no longer be logged
+	_ = logBuffer.Close() // flushes the buffered lines and closes stderr; its error can't be logged any more
 	return err
 }
 
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -21,8 +21,8 @@
 	"martenlock/internal/timerwheel"
 )
 
-// Server is a router's server. Its state belongs to the event loop. Only Run, Reload and Shutdown may be
-// called from other goroutines.
+// Server is a router's server. Its state belongs to the event loop. Reload, Shutdown and Addr may be called
+// from any goroutine.
 type Server struct {
 	loop   *eventloop.Loop
 	config *Config
@@ -36,7 +36,7 @@
 	exchanges     exchangeTable
 	endpoints     endpointTable
 	kvReleases    kvReleases
-	bufferedBytes int // of request bodies, and of responses before their first event; at most limits.maxBufferedBytes
+	bufferedBytes int // of request bodies, and of streams before their first event; at most limits.maxBufferedBytes
 
 	membership    membership.View
 	discovery     *discoveryClient
@@ -57,7 +57,7 @@
 // Options of the event loop.
 const (
 	highWaterMarkBytes = 32 << 10 // unsent bytes of a connection at which the source of its output is paused
-	maxUnsentBytes     = 1 << 20  // unsent bytes at which a connection is closed, since its source ignores the pause
+	maxUnsentBytes     = 1 << 20  // unsent bytes above which a connection is closed, since its source ignores the pause
 	freeBufferDivisor  = 16       // the free buffers of each size take at most maxBufferedBytes divided by this
 )
 
@@ -107,7 +107,7 @@
 // Run serves until a shutdown is complete. It returns the error of the event loop.
 func (s *Server) Run() error { return s.loop.Run() }
 
-// recordPanic counts and logs a panic in a handler, whose connection the event loop has closed.
+// recordPanic counts and logs a panic in a handler. The event loop then closes the handler's connection.
 func (s *Server) recordPanic(reason any) {
 	s.counters.panics++
 	s.log.Error().Str("panic", fmt.Sprint(reason)).Bytes("stack", debug.Stack()).Msg("handler panicked, connection closed")
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -18,8 +18,7 @@
 const (
 	// traceLevelEngines logs the client connections and each engine at each traceInterval.
 	traceLevelEngines = "1"
-	// traceLevelRequests also logs each request that was retried, was not served or missed its objective.
-	// It is too verbose for production.
+	// traceLevelRequests also logs the requests that traceRequest selects. It is too verbose for production.
 	traceLevelRequests = "2"
 )
 
@@ -33,7 +32,7 @@
 	last  map[control.EndpointID]engineStats // as of the previous interval
 }
 
-// engineStats counts the attempts at one engine since the server's start.
+// engineStats counts the attempts at one engine since it was added to the endpoint table.
 type engineStats struct {
 	attempts            uint64
 	firstEvents         uint64
--- a/internal/platform/watchcall.go
+++ b/internal/platform/watchcall.go
@@ -60,7 +60,7 @@
 	w.conn.Write(request)
 }
 
-// cancel ends the call and aborts its connection. Further calls have no effect.
+// cancel ends the call and aborts its connection. It has no effect on a call that has ended.
 func (w *watchCall) cancel() {
 	if w.hasEnded {
 		return
@@ -172,7 +172,7 @@
 			w.failMessage("not a stream of JSON objects")
 		case jsonObject:
 			w.handleMessage(element.object)
-		case jsonBlankLine: // a heartbeat
+		case jsonBlankLine: // a heartbeat, or the line feed after a message
 			w.recordProgress()
 		case jsonIncomplete:
 		}
