--- a/internal/platform/attemptresponse.go
+++ b/internal/platform/attemptresponse.go
@@ -9,8 +9,8 @@
 	"martenlock/internal/upstream"
 )
 
-// maxBufferedAnswerBytes bounds attempt.buffered.
-const maxBufferedAnswerBytes = 32 << 10
+// maxBufferedResponseBytes bounds attempt.buffered.
+const maxBufferedResponseBytes = 32 << 10
 
 // Connected implements upstream.ResponseHandler. It does nothing: a request counts as possibly
 // executed only once it is written completely.
@@ -35,9 +35,9 @@
 	case a.state == decisionloop.AttemptStreaming:
 		a.forwardEvents(data)
 	case a.status != http.StatusOK: // only the beginning of such a body is used
-		fits := min(len(data), maxBufferedAnswerBytes-len(a.buffered))
+		fits := min(len(data), maxBufferedResponseBytes-len(a.buffered))
 		a.buffered = append(a.buffered, data[:fits]...)
-	case len(a.buffered)+len(data) > maxBufferedAnswerBytes || s.bufferedBytes+len(data) > s.limits.maxBufferedBytes:
+	case len(a.buffered)+len(data) > maxBufferedResponseBytes || s.bufferedBytes+len(data) > s.limits.maxBufferedBytes:
 		a.finish(control.Failed, false)
 	default:
 		a.buffered = append(a.buffered, data...)
@@ -46,7 +46,8 @@
 	}
 }
 
-// checkFirstEvent starts the client's stream if the first event is complete and valid.
+// checkFirstEvent starts the client's stream if the first event is complete and valid, and ends the
+// attempt if it is invalid.
 func (a *attempt) checkFirstEvent() {
 	switch scanFirstEvent(a.buffered) {
 	case firstEventInvalid:
@@ -83,8 +84,8 @@
 	if client == nil || len(data) == 0 {
 		return
 	}
-	isFull := client.writeChunk(data)
-	if isFull {
+	mustPause := client.writeChunk(data)
+	if mustPause {
 		a.conn.Pause()
 		a.exchange.server.loop.StopTimer(&a.streamIdleTimer)
 		return
--- a/internal/platform/clientrequest_test.go
+++ b/internal/platform/clientrequest_test.go
@@ -82,8 +82,8 @@
 	h.expectAttempts(1, 1)
 }
 
-// FuzzParseCall: the values parsed from any request head are within bounds.
-func FuzzParseCall(f *testing.F) {
+// FuzzParseRequestMeta: the values parsed from any request head are within bounds.
+func FuzzParseRequestMeta(f *testing.F) {
 	f.Add([]byte(chatText(f, 1, "ask", "")))
 	f.Add([]byte("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: a\r\nX-Call-Class: note\r\nX-Budget: 1u\r\nX-Call-Info: prompt_len=1e9\r\n\r\n"))
 	cfg := Config{}
--- a/internal/platform/eventlog.go
+++ b/internal/platform/eventlog.go
@@ -13,11 +13,11 @@
 // not served, KV releases, and closed or rejected connections. Lines about requests and lines about
 // connections have separate rate limits, so that a flood of one kind does not suppress the other.
 type eventLog struct {
-	logger        zerolog.Logger
-	now           func() time.Duration
-	requestBudget *rate.Limiter
-	connBudget    *rate.Limiter
-	suppressed    uint64 // lines suppressed since the last line written
+	logger         zerolog.Logger
+	now            func() time.Duration
+	requestLimiter *rate.Limiter
+	connLimiter    *rate.Limiter
+	suppressed     uint64 // lines suppressed since the last line written
 }
 
 const (
@@ -31,24 +31,25 @@
 // newEventLog returns an event log. now is the loop's clock, which is monotonic unlike the wall clock.
 func newEventLog(logger zerolog.Logger, now func() time.Duration) eventLog {
 	return eventLog{
-		logger:        logger,
-		now:           now,
-		requestBudget: rate.NewLimiter(eventLinesPerSecond, eventLineBurst),
-		connBudget:    rate.NewLimiter(eventLinesPerSecond, eventLineBurst),
+		logger:         logger,
+		now:            now,
+		requestLimiter: rate.NewLimiter(eventLinesPerSecond, eventLineBurst),
+		connLimiter:    rate.NewLimiter(eventLinesPerSecond, eventLineBurst),
 	}
 }
 
 // requestLine starts a line about a request. It returns nil, on which all methods are no-ops, if the rate
 // limit is exceeded.
-func (l *eventLog) requestLine() *zerolog.Event { return l.line(l.requestBudget) }
+func (l *eventLog) requestLine() *zerolog.Event { return l.line(l.requestLimiter) }
 
 // connLine starts a line about a connection. It returns nil, on which all methods are no-ops, if the rate
 // limit is exceeded.
-func (l *eventLog) connLine() *zerolog.Event { return l.line(l.connBudget) }
+func (l *eventLog) connLine() *zerolog.Event { return l.line(l.connLimiter) }
 
-// line starts a line if budget allows. The line has the number of lines suppressed since the previous one.
-func (l *eventLog) line(budget *rate.Limiter) *zerolog.Event {
-	if !budget.AllowN(time.Unix(0, 0).Add(l.now()), 1) {
+// line starts a line if limiter allows it. The line has the number of lines suppressed since the previous
+// line, unless there are none.
+func (l *eventLog) line(limiter *rate.Limiter) *zerolog.Event {
+	if !limiter.AllowN(time.Unix(0, 0).Add(l.now()), 1) {
 		l.suppressed++
 		return nil
 	}
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -9,7 +9,7 @@
 	"martenlock/internal/http1"
 )
 
-// This file writes a client's responses.
+// This file writes the answers to clients.
 
 var crlf = []byte("\r\n")
 
@@ -61,9 +61,9 @@
 	c.conn.WriteHead(append(head, crlf...))
 }
 
-// writeChunk writes a piece of the stream. isFull reports that the client reads too slowly: the
+// writeChunk writes a piece of the stream. mustPause reports that the client reads too slowly: the
 // caller then pauses the stream until exchange.clientWritable is called.
-func (c *clientConn) writeChunk(data []byte) (isFull bool) { return c.conn.WriteBody(data) }
+func (c *clientConn) writeChunk(data []byte) (mustPause bool) { return c.conn.WriteBody(data) }
 
 // endStream ends a complete stream.
 func (c *clientConn) endStream() {
