--- a/internal/platform/cancellation_test.go
+++ b/internal/platform/cancellation_test.go
@@ -36,8 +36,8 @@
 }
 
 // TestRetryNeverOvertakesCancellation: after the server aborts an attempt, its engine has time to
-// notice before the request is retried or answered, for each result of an aborted attempt and for
-// idempotent and other requests.
+// notice before the request is retried, for each result of an aborted attempt and for idempotent and
+// other requests.
 func TestRetryNeverOvertakesCancellation(t *testing.T) {
 	for _, class := range []string{"ask", "note"} {
 		for _, result := range []control.Result{control.Cancelled, control.TimedOut, control.Failed} {
@@ -101,8 +101,7 @@
 }
 
 // TestClientCancelEndsAttemptAndReleasesKV: when a client leaves, the connection to its engine is
-// closed and its KV state is released, even if the engine that is called first for the release is
-// unresponsive.
+// closed and its KV state is released, even if the prefill engines do not respond to release calls.
 func TestClientCancelEndsAttemptAndReleasesKV(t *testing.T) {
 	const maxDelay = 500 * time.Millisecond
 	h := startHarness(t, "r1", "r1", "w1")
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -18,7 +18,7 @@
 )
 
 // TestEndpointUpdatesAndNewWatches: a message is applied once its last piece has arrived. A list of an earlier revision
-// and invalid entries change nothing else. After a malformed message or the end of the watch, a new watch requests the
+// and invalid entries change no engine. After a malformed message or the end of the watch, a new watch requests the
 // changes since the latest revision.
 func TestEndpointUpdatesAndNewWatches(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
@@ -40,7 +40,7 @@
 		t.Errorf("%d attempts at a draining engine, want none", n)
 	}
 
-	// A list of an earlier revision and invalid entries change nothing.
+	// A list of an earlier revision and invalid entries change no engine.
 	h.discovery.Send(strings.Replace(h.completeList(), `"revision":5`, `"revision":2`, 1) + "\n")
 	h.revision = 6
 	h.discovery.Send(`{"revision":6,"complete":false,"members":[{"id":"s-9","host_port":"nowhere","flavor":"w1","phase":"in_service"},{"id":"s-8","host_port":"127.0.0.1:1","flavor":"odd","phase":"in_service"}]}` + "\n")
@@ -131,7 +131,7 @@
 	}
 }
 
-// callScript answers a call of discovery.
+// callScript answers a call to discovery.
 type callScript func(net.Conn)
 
 // Faults of a call to discovery.
--- a/internal/platform/forwarding_test.go
+++ b/internal/platform/forwarding_test.go
@@ -15,8 +15,9 @@
 // largeEvent is an event of about 8 kB.
 var largeEvent = `data: {"a":"` + strings.Repeat("x", 8000) + "\"}\n\n"
 
-// TestRequestAndEventsPassUnchanged: a request is forwarded unchanged to a prefill engine and then
-// to a decode engine, and the client receives the events unchanged, on a connection that stays open.
+// TestRequestAndEventsPassUnchanged: the target, id and body of a request are forwarded unchanged to a
+// prefill engine and then to a decode engine, and the client receives the events unchanged, on a
+// connection that stays open.
 func TestRequestAndEventsPassUnchanged(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	if answer := h.roundTrip(healthCheck); answer.Code != http.StatusOK {
--- a/internal/platform/golden_harness_test.go
+++ b/internal/platform/golden_harness_test.go
@@ -211,7 +211,8 @@
 	return cfg
 }
 
-// stop shuts the server down gracefully: it completes open requests and KV releases first.
+// stop closes the clients' connections and shuts the server down gracefully. Pending KV releases are
+// completed first.
 func (g *goldenHarness) stop() {
 	if g.server == nil {
 		return
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -224,7 +224,7 @@
 }
 
 // runInOneIteration runs fn on the loop, so that the loop handles all events that fn causes in its next
-// iteration, in order of arrival. It returns after that iteration.
+// iteration, in order of arrival. It returns after their handlers have run.
 func (h *harness) runInOneIteration(fn func()) {
 	h.Helper()
 	h.runOnLoop(fn)
--- a/internal/platform/limits_test.go
+++ b/internal/platform/limits_test.go
@@ -41,7 +41,7 @@
 		t.Fatalf("answer %+v, want 200", answer)
 	}
 	h.runOnLoop(func() {
-		const ownDescriptors = 19 // listed at reservedDescriptors in package connlimit
+		const ownDescriptors = 19 // for the uses that reservedDescriptors in package connlimit lists
 		listener, limit := h.server.clients.Listener, h.server.config.Limits.Sockets
 		if required := listener.MaxOpen + h.server.limits.maxEngineConns + ownDescriptors; required > limit || listener.Open() > listener.MaxOpen {
 			t.Errorf("%d descriptors required, limit %d; %d client connections, limit %d", required, limit, listener.Open(), listener.MaxOpen)
--- a/internal/platform/retry_test.go
+++ b/internal/platform/retry_test.go
@@ -26,7 +26,7 @@
 		{"503 without the rejection header", platformtest.Respond(platformtest.Status(503, "")), 200, 502},
 		{"rejected", platformtest.Respond(platformtest.Status(503, platformtest.RejectedHeader)), 200, 200},
 		{"KV state missing", platformtest.Respond(platformtest.Status(410, platformtest.RejectedHeader)), 200, 200},
-		{"reset", platformtest.RespondAndClose(""), 200, 502},
+		{"closed without a response", platformtest.RespondAndClose(""), 200, 502},
 		{"malformed event", platformtest.Respond(platformtest.StreamHead + platformtest.Chunk("\x00\xff\x13 no event \n\n")), 200, 502},
 		{"malformed head", platformtest.Respond("\x01\x02\r\n\r\n"), 200, 502},
 		{"endless head", platformtest.Respond("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 64<<10)), 200, 502},
