--- a/internal/fakeengine/conn.go
+++ b/internal/fakeengine/conn.go
@@ -113,7 +113,7 @@
 }
 
 // recordUnread records the start of an attempt whose request arrived at a hung engine. The engine doesn't
-// read the request, but the router has sent it.
+// read the request, but the router has sent it. Its work is unknown and recorded as 0.
 func (c *conn) recordUnread(data []byte) {
 	if c.unreadID != "" {
 		return
--- a/internal/fakeengine/embeddings.go
+++ b/internal/fakeengine/embeddings.go
@@ -12,7 +12,7 @@
 )
 
 // embeddings returns the body of the response to an embeddings request. A vector depends only on its input
-// and has a Euclidean norm of at most 1. The engine's EmbeddingDefect is applied.
+// and the number of dimensions. Its Euclidean norm is at most 1, unless the engine's EmbeddingDefect changes it.
 func (j *job) embeddings() []byte {
 	inputs := embeddingInputs(j.body)
 	defect := j.engine.fault.EmbeddingDefect
@@ -65,8 +65,8 @@
 	return max(j.engine.Spec.Dimensions, 1)
 }
 
-// embedding returns a pseudorandom vector for an input. It has length elements, each between -1 and 1
-// divided by the square root of dimensions.
+// embedding returns a pseudorandom vector for an input. It has length elements, whose absolute values are at
+// most 1/sqrt(dimensions).
 func embedding(input string, dimensions, length int) []float32 {
 	const (
 		// Parameters of the linear congruential generator in Knuth's MMIX.
--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -10,7 +10,7 @@
 )
 
 // Engine is an emulated engine. Its exported methods may be called from any goroutine. All fields except
-// Spec are accessed only on the event loop.
+// Spec and cluster are accessed only on the event loop.
 type Engine struct {
 	Spec     Spec
 	cluster  *Cluster
@@ -81,7 +81,8 @@
 }
 
 // Restart starts the engine's process again, at the same address, in slow start and without a fault.
-// If the process is still running, Restart only clears the fault.
+// If the process is still running, Restart only clears the fault. Connections that a hang has
+// paused then stay paused.
 func (e *Engine) Restart() (err error) {
 	e.cluster.do(func() {
 		if e.fault.Hang {
@@ -106,7 +107,7 @@
 	}
 }
 
-// recordIDSeparator separates the requests of a batch in a recordID.
+// recordIDSeparator separates the ids of the requests of a batch in a recordID.
 const recordIDSeparator = ", "
 
 // observe records an event of a request, or of the engine if recordID is "". If recordID names several
--- a/internal/fakeengine/fakeengine.go
+++ b/internal/fakeengine/fakeengine.go
@@ -29,8 +29,8 @@
 	TokenInterval                time.Duration  // between two tokens of a response
 	DecodeSlots                  int            // maximum number of concurrent decodes
 	MaxWaiting                   int            // maximum number of requests in prefill, or waiting for prefill or a decode slot
-	AnswerTokens                 int            // tokens of a response, unless the request sets a lower limit
-	Dimensions                   int            // of embeddings
+	AnswerTokens                 int            // tokens of a response, unless the request sets a lower limit; 0 means 1
+	Dimensions                   int            // of embeddings, unless the request sets them; 0 means 1
 	SlowStartInitialSpeed        float64        // share of the full speed at the start of a slow start
 	SlowStartDuration            time.Duration  // time from the start of the process to full speed
 }
@@ -41,8 +41,8 @@
 	CrashMarker  = "CRASH ME"  // the engine's process exits
 )
 
-// maxPendingOutput bounds the bytes that a connection buffers for a slow peer.
-const maxPendingOutput = 64 << 20
+// maxUnsentBytes is the number of unsent bytes above which a connection to a slow peer is closed.
+const maxUnsentBytes = 64 << 20
 
 // Cluster is a set of engines that share an event loop.
 type Cluster struct {
@@ -56,7 +56,7 @@
 // NewCluster returns a Cluster without engines and runs its event loop on a new goroutine. The caller must
 // call Close. If recording is not nil, events of the engines are added to it with times of clock.
 func NewCluster(recording *invariant.Recording, clock func() time.Duration) (*Cluster, error) {
-	loop, err := eventloop.New(eventloop.Options{MaxUnsentBytes: maxPendingOutput})
+	loop, err := eventloop.New(eventloop.Options{MaxUnsentBytes: maxUnsentBytes})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fakeengine/fault.go
+++ b/internal/fakeengine/fault.go
@@ -17,8 +17,8 @@
 	ResetBefore     bool          // resets the connection instead of executing a request
 	ResetAfter      int           // resets the connection after this many tokens of a decode; 0 for never, -1 for before the first token
 	StallAfter      int           // sends nothing more after this many tokens of a decode; 0 for never
-	SlowdownFactor  float64       // multiplies prefill times and token intervals; 0 and 1 for full speed
-	PrefillDelay    time.Duration // wait after each prefill, embeddings or rerank request; the next one starts without it
+	SlowdownFactor  float64       // multiplies prefill times and token intervals; has no effect up to 1
+	PrefillDelay    time.Duration // delays the end of each prefill, embeddings or rerank request; the next one starts meanwhile
 	EmbeddingDefect EmbeddingDefect
 	AnswersLost     bool // executes prefills and decodes but sends no response; doesn't affect embeddings and rerank requests
 }
--- a/internal/fakeengine/job.go
+++ b/internal/fakeengine/job.go
@@ -111,8 +111,8 @@
 	return isFailure
 }
 
-// rejectIfUnservable rejects a job if the engine has no capacity for it, or if a decode engine gets a request
-// without KV state. It reports whether it rejected the job.
+// rejectIfUnservable rejects a job if the fault rejects all requests, if the engine has no capacity for it, or
+// if a decode engine gets a request without KV state. It reports whether it rejected the job.
 func (j *job) rejectIfUnservable() bool {
 	e := j.engine
 	switch {
--- a/internal/fakeengine/kvfetch.go
+++ b/internal/fakeengine/kvfetch.go
@@ -92,7 +92,7 @@
 // Writable implements eventloop.Handler. It does nothing, since the whole request was written at once.
 func (f *kvFetch) Writable(*eventloop.Conn) {}
 
-// end closes the connection. It returns false if the fetch had ended before.
+// end ends the fetch and closes its connection. It returns false if the fetch had ended before.
 func (f *kvFetch) end() bool {
 	if f.job.fetch != f {
 		return false
@@ -104,8 +104,8 @@
 
 // fail ends the fetch and fails the job.
 func (f *kvFetch) fail() {
-	wasAwaited := f.end()
-	if wasAwaited {
+	wasInProgress := f.end()
+	if wasInProgress {
 		f.job.failKVMissing(kvFetchFailed)
 	}
 }
@@ -116,8 +116,8 @@
 		f.fail()
 		return
 	}
-	wasAwaited := f.end()
-	if wasAwaited {
+	wasInProgress := f.end()
+	if wasInProgress {
 		f.job.engine.counters.fetchedBytes += len(f.state)
 		f.job.decode()
 	}
--- a/internal/fakeengine/kvstore.go
+++ b/internal/fakeengine/kvstore.go
@@ -20,7 +20,7 @@
 
 	kvBytesPerToken  = 64
 	kvTokensPerBlock = 16
-	maxKVBytes       = 256 << 10 // size of a KV state; more than one read of a socket returns
+	maxKVBytes       = 256 << 10 // maximum size of a KV state; larger than one read of a socket
 	maxKVStates      = 10000     // number of KV states of an engine
 
 	// kvOrphanTimeout is the time after which an engine releases a KV state that nobody fetched or released.
