--- a/internal/invariant/drain.go
+++ b/internal/invariant/drain.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// drainRule checks that an engine gets no attempts once its grace period after a drain notice is over.
+// drainRule checks that an engine gets no attempts once the grace period after the announcement of its drain is over.
 type drainRule struct {
 	verdict     *Verdict
 	grace       time.Duration            // including the skew
-	announcedAt map[string]time.Duration // time of the first drain notice, by draining engine
+	announcedAt map[string]time.Duration // time of the first announcement, by draining engine
 }
 
-// drainAnnounced records that the endpoint list shows an engine as draining or gone. Repeated notices don't extend the
-// grace period.
+// drainAnnounced records that the endpoint list shows an engine as draining or gone. Repeated announcements
+// don't extend the grace period.
 func (r *drainRule) drainAnnounced(event Event) {
 	_, isDraining := r.announcedAt[event.Engine]
 	if isDraining {
--- a/internal/invariant/event.go
+++ b/internal/invariant/event.go
@@ -26,7 +26,7 @@
 	AttemptEnded // attempt ended
 	// KVRetained: an engine retains KV state for a decode engine (Request, Engine).
 	KVRetained // KV state retained
-	// KVReleased: an engine discarded retained KV state that was fetched or released (Request, Engine).
+	// KVReleased: an engine discarded retained KV state that was fetched, released or expired (Request, Engine).
 	KVReleased // KV state released
 	// DrainAnnounced: the endpoint list shows an engine as draining or gone (Engine).
 	DrainAnnounced // drain announced
--- a/internal/invariant/execution.go
+++ b/internal/invariant/execution.go
@@ -3,7 +3,8 @@
 import "time"
 
 // executionRule checks that a request has at most one attempt in flight and is executed only as often as its Effect allows.
-// A request that is not idempotent must not be rejected after an execution. Each shard of a request is checked alone.
+// A request that is not idempotent must not be rejected after an execution. Each shard of a request is checked alone. Engines
+// must not execute requests that no client sent.
 type executionRule struct {
 	verdict *Verdict
 	skew    time.Duration
@@ -60,7 +61,7 @@
 	}
 }
 
-// checkUnsent checks that engines observed nothing of a request that no client sent.
+// checkUnsent checks that a request that no client sent was not executed and has no attempt in flight.
 func (r *executionRule) checkUnsent(request *requestHistory) {
 	if len(request.executions) > 0 || len(request.inFlight) > 0 {
 		r.verdict.addViolation(request.lastEndedAt, "%s: engines saw a request that no client sent", request.id)
--- a/internal/invariant/finalanswer.go
+++ b/internal/invariant/finalanswer.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// finalAnswerRule checks that each request gets exactly one final answer, whose first token meets the deadline. It also
-// counts answers by Result. It ignores shards, which have no answers of their own.
+// finalAnswerRule checks that each request gets exactly one final answer, which is not Malformed and whose first token meets
+// the deadline. It also counts requests by the Result of their first answer. It ignores shards, which have no answers of
+// their own.
 type finalAnswerRule struct {
 	verdict *Verdict
 	report  *Report
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -13,8 +13,8 @@
 
 // Limits are the limits that the rules compare observations with.
 type Limits struct {
-	Skew                  time.Duration // greatest difference between two observers' clocks
-	DrainGrace            time.Duration // time after a drain notice during which an engine may still get attempts
+	Skew                  time.Duration // tolerated error of recorded times, such as that of events recorded late
+	DrainGrace            time.Duration // time after the announcement of a drain during which an engine may still get attempts
 	KVRetentionLimit      time.Duration // maximum time that unused KV state may be retained
 	SlowStartInitialSpeed float64       // speed of an engine at its start, as a share of full speed
 	SlowStartDuration     time.Duration // time from the start of an engine to full speed
--- a/internal/invariant/report.go
+++ b/internal/invariant/report.go
@@ -49,7 +49,7 @@
 // Report is the result of checking a recording.
 type Report struct {
 	Verdicts    [ruleCount]Verdict
-	Results     [resultCount]int // number of requests by Result
+	Results     [resultCount]int // number of requests by the Result of their first answer
 	ClientsLeft int              // number of requests whose client disconnected before a final answer
 	LostEvents  int              // events that the recording dropped; if any, the report proves nothing
 }
--- a/internal/invariant/requesthistory.go
+++ b/internal/invariant/requesthistory.go
@@ -57,7 +57,7 @@
 	r.dedupWindow = event.DedupWindow
 }
 
-// beginAttempt adds an attempt in flight, and stores its start with those already in flight.
+// beginAttempt adds an attempt in flight. Its start becomes the nextBeganAt of attempts in flight that have none.
 func (r *requestHistory) beginAttempt(event Event) {
 	for i := range r.inFlight {
 		r.inFlight[i].nextBeganAt = cmp.Or(r.inFlight[i].nextBeganAt, event.At)
@@ -65,8 +65,8 @@
 	r.inFlight = append(r.inFlight, attempt{engine: event.Engine, beganAt: event.At})
 }
 
-// endAttempt removes the attempt at an index of inFlight. The unused time of retained KV states
-// starts at that end.
+// endAttempt removes the attempt at an index of inFlight. The unused time of retained KV states starts when the
+// attempt ends.
 func (r *requestHistory) endAttempt(index int, at time.Duration) {
 	r.inFlight = slices.Delete(r.inFlight, index, index+1)
 	r.lastEndedAt = at
