--- a/internal/demo/faultscenario.go
+++ b/internal/demo/faultscenario.go
@@ -42,7 +42,7 @@
 	AnswerTokens    int     // maximum length of an answer
 	Items           int     // inputs of an embeddings request or documents of a rerank request
 	DisconnectShare float64 // share of clients that disconnect soon after sending
-	SlowReaderShare float64 // share of clients that read slowly
+	SlowReaderShare float64 // share of clients that read slowly if the answer is streamed
 }
 
 // RunOptions configure the run of a scenario.
@@ -55,8 +55,8 @@
 }
 
 // RunFaultScenario runs the scenario in a file, or the built-in one if path is empty. The report says whether the five rules
-// held. RunFaultScenario returns an error and no report if the file is invalid, a fault can't be injected or the router
-// can't run.
+// held. RunFaultScenario returns an error and no report if the file is invalid, a fault can't be injected, the router
+// can't run or Out fails. If only the stop of the router or the engines fails, it returns both.
 func RunFaultScenario(path string, options RunOptions) (*invariant.Report, error) {
 	scenario, err := loadScenario(path)
 	if err != nil {
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -21,7 +21,7 @@
 	quiesceDelay = 1500 * time.Millisecond
 
 	drainedExitDelay     = 1500 * time.Millisecond // time from the start of a drain to the exit of the engine's process
-	maxDeathListingDelay = 500 * time.Millisecond  // longest time from the exit of a process to its removal from the endpoint list
+	maxDeathListingDelay = 500 * time.Millisecond  // longest time from the exit of a process until the endpoint list shows its engine as gone
 
 	maxIdleClientConns = 4096
 
@@ -126,7 +126,7 @@
 	time.Sleep(time.Until(run.startedAt.Add(at)))
 }
 
-// injectFault injects a fault and returns at its end.
+// injectFault injects a fault and returns when all its steps are done.
 func (run *scenarioRun) injectFault(fault *Fault) {
 	run.sleepUntil(fault.Start)
 	var engines []*fakeengine.Engine
@@ -157,8 +157,8 @@
 	}
 }
 
-// injectDeath ends the engines' processes, removes them from the endpoint list after a delay, and restarts them at the end
-// of the fault.
+// injectDeath ends the engines' processes, sets their state in the endpoint list to Gone after a delay, and restarts them at
+// the end of the fault.
 func (run *scenarioRun) injectDeath(fault *Fault, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
 		engine.Kill()
@@ -200,7 +200,7 @@
 }
 
 // printLatencies prints percentiles of the time to the first token or, if an answer was not streamed, to the complete
-// answer. It also prints by how much requests were sent late at most.
+// answer. It also prints scheduleLag, the greatest delay with which a request was sent.
 func (run *scenarioRun) printLatencies(scheduleLag time.Duration) {
 	p50 := latency.Milliseconds(run.latencies.Percentile(50))
 	p99 := latency.Milliseconds(run.latencies.Percentile(99))
--- a/internal/demo/scenarioclient.go
+++ b/internal/demo/scenarioclient.go
@@ -76,8 +76,8 @@
 	run.latencies.Record(now - sentAt)
 }
 
-// receive sends the request and reads its answer. answered is false if the client disconnected or timed out before the end
-// of the answer, or if it got no response.
+// receive sends the request and reads its answer. answered is false if the client got no response, or if it disconnected or
+// timed out before the end of a response with status 200.
 func (run *scenarioRun) receive(request *http.Request, planned *plannedRequest, onFirstToken func()) (result invariant.Result, answered bool) {
 	response, err := run.client.Do(request)
 	if err != nil {
