--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -156,8 +156,8 @@
 	}, nil
 }
 
-// measureEmbeddings measures short requests with short responses. It returns the highest request rate of each subject, per
-// second.
+// measureEmbeddings measures short requests with short responses. It returns the median request rate of each subject
+// under full load, per second.
 func (b *benchmark) measureEmbeddings() (capacity comparison, err error) {
 	samples, err := measureRounds(b.subjects, func(subject *process) (throughput, error) {
 		return b.measureThroughput(subject, embeddingClients, embeddingRequest, 1)
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// stop ends the process and waits for it. Errors are ignored, as the measurements are complete by then.
+// stop ends the process and waits for it. Errors are ignored, since the process is no longer measured.
 func (p *process) stop() {
 	_ = p.stdin.Close()
 	_ = p.command.Wait()
--- a/internal/clienttest/harness_test.go
+++ b/internal/clienttest/harness_test.go
@@ -1,8 +1,8 @@
 // Package clienttest runs the public clients of OpenAI's API, unmodified, against a router with the
 // demo's fake engines.
 //
-// The clients make each kind of request once or a few times. The tests show that the clients can parse
-// the router's responses and errors. They say nothing about load, latency or the responses of models.
+// Each client makes a few requests of several kinds. The tests show that the clients can parse the
+// router's responses and errors. They say nothing about load, latency or the responses of models.
 package clienttest
 
 import (
--- a/internal/enginetest/engine.go
+++ b/internal/enginetest/engine.go
@@ -34,7 +34,7 @@
 // Reset closes the connection with a TCP reset.
 func (r *Request) Reset() { Reset(r.Conn) }
 
-// AwaitClose waits until the peer has closed or reset the connection. It discards further input.
+// AwaitClose discards further input until the connection is closed or reset, by the peer or at the end of the test.
 func (r *Request) AwaitClose() { AwaitClose(r.Reader) }
 
 // Script writes the response to one request and reports whether the engine keeps the connection open.
--- a/internal/enginetest/listener.go
+++ b/internal/enginetest/listener.go
@@ -134,7 +134,7 @@
 	_ = conn.Close()
 }
 
-// AwaitClose reads and discards input until the peer closes or resets the connection.
+// AwaitClose reads and discards input until the connection is closed or reset, by the peer or at the end of the test.
 func AwaitClose(reader io.Reader) {
 	_, _ = io.Copy(io.Discard, reader)
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// send sends a request and reports whether it was served. due is when the request was scheduled. The recorded latency is the
-// time from due to the first byte of the response's body, so it includes any delay before sending.
+// send sends a request and reports whether it was served. due is the time for which the request was scheduled. For a response
+// with status 200 it records the time from due to the first byte of the body, which includes any delay before sending.
 func (l *loadGenerator) send(path, class string, body []byte, due time.Time) bool {
 	request, err := http.NewRequest(http.MethodPost, l.baseURL+path, bytes.NewReader(body))
 	if err != nil {
