--- a/control/actions.go
+++ b/control/actions.go
@@ -69,7 +69,7 @@
 const (
 	// ReleasedAtFinish means that the request finished before its answer began.
 	ReleasedAtFinish ReleaseReason = iota + 1 // request_finished
-	// ReleasedForLateOutcome means that an attempt ended when its request was no longer known.
+	// ReleasedForLateOutcome means that an Outcome did not match any attempt in flight.
 	ReleasedForLateOutcome // late_outcome
 	// ReleasedAsKVMissing means that a decode engine could not fetch the KV state.
 	ReleasedAsKVMissing // kv_missing
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -25,13 +25,13 @@
 	sentDecay = 0.5
 )
 
-// capacityView estimates the KV memory of all decode and colocated engines together.
+// capacityView estimates the KV memory of all ready decode and colocated engines together.
 type capacityView struct {
 	routers           int                  // number of routers of the service
 	reportFields      []ReportField        // the values of a load report, in order
 	meanDemand        ewma.Average[Tokens] // KV memory of a request
-	memoryTokens      Tokens               // KV memory of all engines, by the settings; 0 for unknown
-	engines           int                  // number of engines
+	memoryTokens      Tokens               // KV memory of these engines, by the settings; 0 for unknown
+	engines           int                  // number of ready decode and colocated engines
 	reportedFree      ewma.Average[Tokens] // free memory of one engine, by load reports
 	reportedAt        Time                 // latest load report; 0 for never
 	sentSinceReport   Tokens               // demand of own attempts that load reports do not include yet
@@ -108,9 +108,10 @@
 	}
 }
 
-// freeMemory returns the free memory of an endpoint by its load report. It uses the capacity formula of the
-// AIBrix request for comments if the report has the fields for it, else the configured memory less the part
-// in use. It returns false if the report has the fields for neither.
+// freeMemory returns the free memory of an endpoint by its load report: 0 if its memory or its queue is full.
+// Otherwise it uses the capacity formula of the AIBrix request for comments if the report has requests in
+// flight and a utilization above 0, else the configured memory less the part in use. It returns false if it
+// can use neither.
 func (c *capacityView) freeMemory(source *endpoint, report loadReport) (free Tokens, known bool) {
 	utilization := report[ReportUtilization]
 	switch {
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -38,7 +38,7 @@
 type endpointLoad struct {
 	attempts     []*request // requests with an attempt in flight there
 	demand       Tokens     // KV memory that these requests need; 0 for prefill engines
-	trafficShare float64    // target share of all requests, set by Router.rebalance
+	trafficShare float64    // target share of all requests, set by Router.rebalance; not for decode engines
 }
 
 // addAttempt starts the next attempt of a request at an endpoint.
@@ -75,7 +75,8 @@
 	e.memoryTokens = kind.MemoryTokens
 }
 
-// endpointTable holds the endpoints that are listed or have an attempt in flight.
+// endpointTable holds the listed endpoints. An endpoint that is gone is kept while it has an attempt in
+// flight, and then until the next call of removeGone.
 type endpointTable struct {
 	byID  map[EndpointID]*endpoint
 	all   []*endpoint // sorted by id
@@ -125,8 +126,8 @@
 	return perRole{RolePrefill: t.medianLoad(RolePrefill), RoleColocated: colocated}
 }
 
-// medianLoad returns the lower median of the loads of a role's endpoints that are ready and not ejected. It
-// returns 0 if there are none.
+// medianLoad returns the median of the loads of a role's endpoints that are ready and not ejected: of an even
+// number of loads, the upper of the middle two. It returns 0 if there are none.
 func (t *endpointTable) medianLoad(role Role) float64 {
 	loads := []float64{}
 	for _, e := range t.ready {
@@ -140,7 +141,7 @@
 }
 
 // nextToCheck returns the endpoint whose latest health check is the oldest, or nil if there is none. It skips
-// endpoints with a health check in flight.
+// endpoints that are gone or have a health check in flight.
 func (t *endpointTable) nextToCheck() *endpoint {
 	var next *endpoint
 	for _, e := range t.all {
@@ -176,7 +177,8 @@
 	r.rebalance()
 }
 
-// expireAndDecay drops idle sessions and updates the rates, decaying counts and traffic shares.
+// expireAndDecay drops idle sessions and updates the dispatch rate, the decaying counts and the traffic
+// shares.
 func (r *Router) expireAndDecay() {
 	r.dispatches.update(r.now.Sub(r.expiredAt))
 	r.expiredAt = r.now
--- a/control/estimate.go
+++ b/control/estimate.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// ignoredQueueLength is the number of queued requests that add no waiting time to the estimate. So short a
-	// queue also forms by chance.
+	// ignoredQueueLength is the number of queued requests that add no waiting time to the estimate. A queue
+	// of this length also forms by chance.
 	ignoredQueueLength = 3
-	// overheadTokens is the fixed cost of a prefill, in prompt tokens.
+	// overheadTokens is the fixed cost of a prefill, or of fetching a KV state, in prompt tokens.
 	overheadTokens = 500
 	// latencyAlpha is the weight of an observation in averages over a role, over an endpoint or of the
 	// dispatch rate.
@@ -101,9 +101,9 @@
 	return r.latency.timeToFirstToken(uncached, request.PromptTokens, r.now)
 }
 
-// missesObjective reports whether a queued request is expected to miss its objective for the first token, or
-// its deadline is too near. A resumed request is checked against its deadline only, since its client already
-// has the first token.
+// missesObjective reports whether a request that is queued or forwarded now is expected to miss its objective
+// for the first token, or its deadline is too near. A resumed request is only checked for a near deadline,
+// since its client already has the first token.
 func (r *Router) missesObjective(request *request) bool {
 	requestsAhead := float64(max(request.heapIndex-ignoredQueueLength, 0))
 	firstToken := r.now.Add(r.estimateFirstToken(request) + r.dispatches.timeFor(requestsAhead))
--- a/control/events.go
+++ b/control/events.go
@@ -25,8 +25,8 @@
 	PriorResets   int  // number of prior attempts with Result Reset
 }
 
-// AnswerStarted reports that the answer's first token is sent to the client. The request then gets no further
-// attempt.
+// AnswerStarted reports that the answer's first token is sent to the client. The Outcome of the attempt must
+// then be Final, since a further attempt would repeat the beginning of the answer.
 type AnswerStarted struct {
 	ID       RequestID
 	Endpoint EndpointID
@@ -128,7 +128,7 @@
 	Gone EndpointState = iota // gone
 	// Ready engines accept requests.
 	Ready // ready
-	// Draining engines complete their requests and accept no new ones.
+	// Draining engines complete their requests and, after Limits.DrainGrace, accept no new ones.
 	Draining // draining
 )
 
--- a/control/health.go
+++ b/control/health.go
@@ -19,8 +19,8 @@
 	// ejectionThreshold is the failure rate above which an endpoint is ejected. One failure with weight
 	// failureAlpha does not reach it, two in a row do.
 	ejectionThreshold = 0.35
-	// maxEjectedShare is the ejection limit: the fraction of a role's endpoints that may be ejected for errors,
-	// slowness or unresponsiveness.
+	// maxEjectedShare is the ejection limit: the fraction of a role's ready endpoints that may be ejected by
+	// failures with a weight below immediateAlpha.
 	maxEjectedShare = 0.5
 	// slowLatency is the relative latency above which an endpoint is slow, which counts as a failure.
 	slowLatency = 3.0
@@ -46,7 +46,7 @@
 	overtakenDivisor = 3
 	// healthCheckInterval is the least time between health checks of one endpoint.
 	healthCheckInterval = time.Second
-	// healthChecksPerRequest is the number of health checks that each new request permits.
+	// healthChecksPerRequest is added to Router.healthCheckBudget for each new request.
 	healthChecksPerRequest = 1.0
 )
 
@@ -54,7 +54,7 @@
 type endpointHealth struct {
 	failureRate     float64               // share of recent attempts that failed, from 0 to 1
 	relativeLatency ewma.Average[float64] // ratio of its times to its peers' mean, following the lower ones
-	lastProgress    Time                  // latest outcome or start of an answer
+	lastProgress    Time                  // latest outcome, start of an answer or finding of unresponsiveness
 	nextProbation   Time                  // earliest next attempt while ejected
 	rejectingUntil  Time                  // earliest next attempt after a rejection
 	checkedAt       Time                  // latest health check
@@ -173,8 +173,8 @@
 	}
 }
 
-// checkProgress cancels overtaken attempts at an endpoint. If the endpoint is unresponsive, it records a
-// failure and cancels all attempts that may be retried elsewhere.
+// checkProgress cancels overtaken attempts at an endpoint. If the endpoint is unresponsive and the ejection
+// limit is not reached, it records a failure and cancels all attempts that may be retried elsewhere.
 func (r *Router) checkProgress(target *endpoint) {
 	r.cancelOvertaken(target)
 	if !r.unresponsive(target) || r.endpoints.ejectionLimitReached(target) {
--- a/control/placement.go
+++ b/control/placement.go
@@ -16,7 +16,8 @@
 	// affinitySpread is the ratio of the traffic share of a prefix's candidates to the prefix's share of
 	// requests. It is above 1 because the candidates also serve requests without this prefix.
 	affinitySpread = 2.0
-	// overloadPenalty is multiplied with the score of an overloaded endpoint to rank it behind the others.
+	// overloadPenalty is multiplied with the score of an endpoint that is overloaded or has no capacity, to
+	// rank it behind the others.
 	overloadPenalty = minWeight
 	// popularityPrior is added to the number of all requests, so that a prefix among the first few requests
 	// does not count as popular.
@@ -27,11 +28,11 @@
 
 // placePrefill returns an endpoint for the prefill of a request. It returns nil if none can take it.
 //
-// It prefers the endpoint of the session's latest prefill, unless that is overloaded. Otherwise it returns
-// the less loaded of two random candidates. The candidates are the endpoints that rank highest by rendezvous
-// hashing of the request's prefix, or of its session if it has no prefix. Their number grows with the
-// prefix's share of all requests, so that a popular prefix does not overload them. All routers select nearly
-// the same candidates.
+// It prefers the endpoint of the session's latest prefill, if mayPrefill holds for it. Otherwise it returns
+// the less loaded of two random candidates. The candidates are the eligible endpoints that rank highest by
+// rendezvous hashing of the request's prefix, or of its session if it has no prefix. Their number grows with
+// the prefix's share of all requests, so that a popular prefix does not overload them. All routers select
+// nearly the same candidates.
 func (r *Router) placePrefill(request *request) *endpoint {
 	medians := r.endpoints.medianLoads()
 	if last := request.session.lastPrefill; last != nil && r.mayPrefill(last, request, medians) {
@@ -90,9 +91,10 @@
 	return nil
 }
 
-// eligible reports whether a request may be forwarded to an endpoint. The endpoint must be ready, not ejected
-// or due for probation, and warmed up or admitted in slow start. Endpoints that recently rejected an attempt,
-// on which the request failed before or that lie outside its deduplication scope are not eligible.
+// eligible reports whether a request may be forwarded to an endpoint. An endpoint is not eligible if it is
+// not ready, recently rejected an attempt, is excluded for the request, or is outside its deduplication
+// scope. An ejected endpoint is eligible only for an attempt on probation, and an endpoint in slow start only
+// for a request that is admitted there.
 func (r *Router) eligible(e *endpoint, request *request) bool {
 	if e.State != Ready || r.now < e.health.rejectingUntil || slices.Contains(request.excluded, e) {
 		return false
@@ -168,7 +170,8 @@
 	}
 }
 
-// share returns the share of all requests that have a prefix, from 0 to 1.
+// share returns the share of recent requests that have the given prefix, from 0 to 1. While there are few
+// requests, popularityPrior lowers it.
 func (p *prefixPopularity) share(prefix uint64) float64 {
 	return p.requests[prefix] / (p.total + popularityPrior)
 }
--- a/control/request.go
+++ b/control/request.go
@@ -9,16 +9,16 @@
 const (
 	// outputShare is the fraction of MaxTokens that an answer is expected to have.
 	outputShare = 0.3
-	// minCrashResets is the least number of attempts with a lost connection from which a request may be
-	// suspected of crashing engines.
+	// minCrashResets is the minimum number of lost connections for a request to be suspected of crashing
+	// engines.
 	minCrashResets = 2
 	// progressTimeoutFactor is the multiple of a request's objective for the first token after which an attempt
 	// without progress times out.
 	progressTimeoutFactor = 1.5
 )
 
-// request is the state of a client's request. It is kept until the request has its final answer and no
-// attempt in flight.
+// request is the state of a client's request. It is kept until the request is finished and has no attempt in
+// flight.
 type request struct {
 	Request
 	class   *Class
@@ -41,7 +41,7 @@
 
 	kv             kvRetention
 	firstExecution execution
-	excluded       []*endpoint // endpoints on which the request failed
+	excluded       []*endpoint // endpoints at which an attempt did not succeed
 }
 
 // attempt is the latest attempt of a request.
@@ -130,8 +130,8 @@
 	return req.connectionsLost >= minCrashResets && req.connectionsLost >= req.maxAttempts+req.PriorAttempts
 }
 
-// sendDeadline returns the time by which the next attempt must be sent in full, or the greatest Time if there
-// is no limit. Without it, slow connections could retain a KV state beyond its retention limit while decode
+// sendDeadline returns the time by which the next attempt must be sent in full, or math.MaxInt64 if there is
+// no limit. Without it, slow connections could retain a KV state beyond its retention limit while decode
 // engines are unreachable, or deliver a repeat after its deduplication window.
 func (req *request) sendDeadline(retentionLimit time.Duration) Time {
 	deadline := Time(math.MaxInt64)
--- a/control/retention.go
+++ b/control/retention.go
@@ -22,8 +22,11 @@
 type kvRetention struct {
 	holder    *endpoint // prefill engine that retains a usable state; nil for none
 	mayRetain bool      // an engine may retain a state, usable or not
-	since     Time      // end of the latest attempt that is known to have reached its engine
 	released  bool      // a release was emitted while the latest attempt was in flight
+
+	// since is the end of the latest attempt with proof of arrival, else of the first attempt that may have left
+	// a state. The age of the states is measured from it.
+	since Time
 }
 
 // provesArrival reports whether the result proves that the attempt reached its engine.
@@ -45,8 +48,9 @@
 	}
 }
 
-// releaseDeadline returns the time by which the release has to be emitted to reach an engine within the
-// retention limit. Without a limit, 0, it returns the greatest Time.
+// releaseDeadline returns the time after which no attempt may be sent to use the state and it has to be
+// released, early enough for the release to reach an engine within the retention limit. For a limit of 0,
+// which means none, it returns math.MaxInt64.
 func (k *kvRetention) releaseDeadline(limit time.Duration) Time {
 	if limit <= 0 {
 		return math.MaxInt64
@@ -92,9 +96,9 @@
 	return nextTick > kv.unprovenDeadline(limit)
 }
 
-// discardStaleKV releases and forgets a request's KV state if its attempt ended without proof of arrival and
-// the state was released during the attempt or is past its release deadline. It reports whether it did.
-// Further attempts must not rely on such a state.
+// discardStaleKV releases and forgets a request's KV state if its attempt may have reached its engine but did
+// not prove it, and the state was released during the attempt or is past its release deadline. It reports
+// whether it did. Further attempts must not rely on such a state.
 func (r *Router) discardStaleKV(request *request, result Result, wasReleased bool) bool {
 	stale := wasReleased || r.now >= request.kv.releaseDeadline(r.settings.Limits.KVRetentionLimit)
 	unproven := result.MayHaveExecuted() && !result.provesArrival()
@@ -105,8 +109,9 @@
 	return true
 }
 
-// releaseBeforePrefill releases the KV state that an earlier prefill may have left before the prompt is
-// computed again. A later release would also release the new state.
+// releaseBeforePrefill is called before the prompt of a request is computed again. With ReleaseSparesAttempts
+// it releases the KV state that an earlier prefill may have left, since a later release would also take the
+// new state.
 func (r *Router) releaseBeforePrefill(request *request) {
 	if r.settings.Caller.ReleaseSparesAttempts && request.kv.mayRetain {
 		r.releaseKV(request, ReleasedBeforeRetry)
--- a/control/retry.go
+++ b/control/retry.go
@@ -195,9 +195,10 @@
 	r.finish(request)
 }
 
-// finish marks a request as finished. If its answer has not begun, it releases the KV states that engines may
-// retain, even if none is known: a KV state that was reported missing may still exist behind a broken
-// network link. If an attempt is still in flight, its outcome releases them again.
+// finish marks a request as finished. If it has had an attempt and its answer has not begun, finish releases
+// the KV states that engines may retain, even if none is known: a KV state that was reported missing may
+// still exist behind a broken network link. If an attempt is still in flight, its outcome releases them
+// again.
 func (r *Router) finish(request *request) {
 	if !request.finished {
 		r.queue.remove(request)
--- a/control/router.go
+++ b/control/router.go
@@ -10,9 +10,9 @@
 const (
 	// tickInterval is the period of the router's timer.
 	tickInterval = 50 * time.Millisecond
-	// finishReserve is how long before its deadline a waiting request is finished without service. Requests
-	// are checked once per tick, so with two ticks the final answer is due at least one tick before the
-	// deadline.
+	// finishReserve is how long before its deadline a queued or parked request is finished without service,
+	// and how long before its retention limit a KV state is released. Both are checked once per tick, so with
+	// two ticks at least one tick remains for the answer or the release.
 	finishReserve = 2 * tickInterval
 )
 
@@ -40,7 +40,7 @@
 	rejectionRates [roleCount]ewma.Average[float64] // share of recent attempts that were rejected, by role
 
 	lastSequence      uint64  // sequence number of the latest request
-	healthCheckBudget float64 // number of health checks that may be sent
+	healthCheckBudget float64 // grows with each request; a health check needs 1 and resets it to 0
 	expiredAt         Time    // time of the latest expireAndDecay
 }
 
--- a/control/session.go
+++ b/control/session.go
@@ -12,7 +12,7 @@
 // session is the state that the requests of one session share.
 type session struct {
 	serviceTime  time.Duration // sum over its answered requests
-	waitTime     time.Duration // sum over its requests' times in the queue
+	waitTime     time.Duration // sum over its forwarded requests' times in the queue
 	lastPrefill  *endpoint     // endpoint that got its latest prompt; nil for none
 	cachedTokens Tokens        // tokens of that prompt
 	seenAt       Time          // arrival of its latest request
--- a/control/settings.go
+++ b/control/settings.go
@@ -41,7 +41,8 @@
 	MustSubscribe  bool // sends the endpoint list only after SubscribeEndpoints
 
 	// ReleaseSparesAttempts is set if ReleaseKV does not take a KV state from an attempt that has reached its
-	// engine and waits for the state. Only then is ReleaseKV emitted while an attempt is in flight.
+	// engine and waits for the state. Without it, ReleaseKV is not emitted while an attempt of an unfinished
+	// request is in flight.
 	ReleaseSparesAttempts bool
 }
 
--- a/control/topology.go
+++ b/control/topology.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxPrefillSkew limits the factor on a prefill engine's traffic share by which skewPrefill moves work. The
+	// maxPrefillSkew limits the factor that skewPrefill applies to the traffic share of a prefill engine. The
 	// factor lies between 1/maxPrefillSkew and maxPrefillSkew.
 	maxPrefillSkew = 1.4
 	// colocatedShare is the share of answers of a colocated engine, relative to a decode engine of the same
@@ -87,8 +87,9 @@
 	r.topology.sumZoneSpares()
 }
 
-// collectReady rebuilds the list of ready endpoints and the totals over them. It sets each endpoint's traffic
-// share to its weight, reduced for decode engines in slow start. It returns the sum of these weights by role.
+// collectReady rebuilds the list of ready endpoints and the totals over them. It sets the traffic share of
+// each ready endpoint to its weight, reduced for decode engines in slow start. It returns the sum of these
+// weights by role.
 func (r *Router) collectReady() (weights perRole) {
 	r.topology = topology{cells: map[uint16]*cellShares{}, zones: map[uint16]*stageShares{}}
 	r.capacity.memoryTokens = 0
@@ -147,7 +148,7 @@
 const (
 	localitySameCell  locality = iota
 	localitySameZone           // cells of the same zone with spare decode capacity
-	localityOtherZone          // cells with spare decode capacity in any zone
+	localityOtherZone          // cells with spare decode capacity in other zones that have some
 	localityAnywhere           // all endpoints that can take the KV state
 	localityCount
 )
