--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -9,8 +9,9 @@
 //
 //   - The outstanding work of large requests is limited to the amount that the pool serves in
 //     Settings.OutstandingWork, or to four times that amount while no small requests arrive. The limit is at
-//     least one unit for each endpoint. Late small requests reduce the share of the limit that large requests
-//     may use. The share rises again with time and with each small request that is on time.
+//     least one mean unit for each endpoint in this router's share. Late small requests reduce the share of
+//     the limit that large requests may use. The share rises again with time and with each small request that
+//     is on time. One outstanding unit is always allowed.
 //   - Tenants are served by start-time fair queueing, and the cost of a unit is its tokens. Within a
 //     tenant, a request that has started goes first, then the one with the fewest waiting tokens.
 //   - A request that cannot end before its deadline at the observed throughput is rejected, on arrival or
--- a/control/admission/share.go
+++ b/control/admission/share.go
@@ -12,7 +12,7 @@
 	lateFraction = 0.5
 	// shareDecrease is the factor by which late small requests lower the share.
 	shareDecrease = 0.7
-	// minShare is the lower bound of the share. With most settings it allows one outstanding unit.
+	// minShare is the lower bound of the share. One outstanding unit is allowed even if it exceeds the limit.
 	minShare = 0.05
 	// shareIncreasePerRequest is added to the share for each small request that is on time.
 	shareIncreasePerRequest = 0.02
@@ -45,8 +45,8 @@
 
 // observe records a small request. A late one lowers the share only while large requests are outstanding,
 // and at most once per interval, so that large requests admitted before the decrease have time to end.
-// Requests with a client time-out below the objective are ignored: otherwise one client could delay all
-// large requests.
+// Requests with a client time-out below the objective do not change the share: otherwise one client could
+// delay all large requests.
 func (s *share) observe(now control.Time, request SmallRequest, hasOutstanding bool, interval time.Duration) {
 	s.lastSmallAt = now
 	if request.ClientTimeout < request.Objective {
--- a/control/admission/throughput.go
+++ b/control/admission/throughput.go
@@ -30,7 +30,8 @@
 // A sample is the number of tokens served in a window, divided by the window's length. If work was waiting
 // during the whole window, the sample measures the pool's capacity and enters the average. Otherwise the
 // pool may have been idle for part of the window, and the sample is only a lower bound: it can raise the
-// throughput but not lower it.
+// throughput but not lower it. A sample of 0, while units were outstanding, halves the throughput in both
+// cases, but not below recoveryUnitsPerSecond.
 type throughput struct {
 	rate               ewma.Average[float64] // tokens per second
 	updatedAt          control.Time
--- a/control/batching/batcher.go
+++ b/control/batching/batcher.go
@@ -20,8 +20,8 @@
 
 // Batcher groups the small requests of one pool into batches, similar to Nagle's algorithm (RFC 896). A
 // request is sent at once if fewer batches of its key are outstanding than this router's share of the
-// endpoints. Otherwise it waits until a batch ends or the waiting requests fill a batch. It waits at most
-// for Settings.MaxWait, and less if its latency objective is near.
+// endpoints. Otherwise it waits until a batch of its key ends or the waiting requests of its key exceed one
+// batch. It waits at most for Settings.MaxWait, and less if its latency objective is near.
 //
 // Each request keeps its own deadline and can be cancelled without affecting the others of its batch. If a
 // batch fails and one of its requests may be the cause, each request is retried by itself, with the
@@ -118,7 +118,7 @@
 	}
 }
 
-// sendBy returns until when a request with the given objective may wait for others.
+// sendBy returns the time until which a request with the given objective may wait for others.
 func (b *Batcher) sendBy(now, objective control.Time) control.Time {
 	slack := time.Duration(objectiveSlack * b.meanDurationSeconds.Value * float64(time.Second))
 	untilObjective := objective.Sub(now)
@@ -241,8 +241,8 @@
 	}
 }
 
-// expire cancels and returns the requests whose deadlines have passed, earliest first. It does so only for
-// batches of more than one request.
+// expire cancels and returns the requests whose deadlines have passed, earliest first. It considers only
+// requests in batches of more than one.
 func (b *Batcher) expire(now control.Time) []RequestID {
 	var expired []RequestID
 	for b.deadlines.Len() > 0 && b.deadlines.Min().Deadline <= now {
--- a/control/batching/batching.go
+++ b/control/batching/batching.go
@@ -16,8 +16,8 @@
 
 //go:generate go tool stringer -linecomment -type=FailureHandling -output=enum_string.go
 
-// ExpiredRetryAfter is the Retry-After of a request that expired while it waited to share a call or a
-// computation with others.
+// ExpiredRetryAfter is the Retry-After of a request that expired while it shared a call or a computation with
+// others.
 const ExpiredRetryAfter = time.Second
 
 // Settings are the settings of a Batcher.
@@ -57,7 +57,8 @@
 type PollResult struct {
 	Batches []Batch // to be sent now
 	// Expired are requests whose deadlines have passed before their batches ended, earliest deadline first.
-	// The batcher has removed them, and the caller must reject them.
+	// The batcher has removed them, and the caller must reject them. Requests that wait for a batch, or are in
+	// a batch of one, do not expire.
 	Expired []RequestID
 }
 
--- a/control/internal/ewma/ewma_test.go
+++ b/control/internal/ewma/ewma_test.go
@@ -44,11 +44,11 @@
 	tests := map[string]struct {
 		before, value, want float64
 	}{
-		"first value":             {before: 0, value: 16, want: 16},
-		"equal value":             {before: 16, value: 16, want: 16},
-		"high value: rise only":   {before: 16, value: 32, want: 18},
-		"low value: fall, rise":   {before: 16, value: 0, want: 7},
-		"low value above average": {before: -16, value: 0, want: -14},
+		"first value":                {before: 0, value: 16, want: 16},
+		"equal value":                {before: 16, value: 16, want: 16},
+		"high value: rise only":      {before: 16, value: 32, want: 18},
+		"low value: fall, rise":      {before: 16, value: 0, want: 7},
+		"0 above a negative average": {before: -16, value: 0, want: -14},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/control/membership/ended.go
+++ b/control/membership/ended.go
@@ -2,8 +2,8 @@
 
 import "martenlock/control"
 
-// endedEndpoints remembers the endpoints that were in the view and have ended, for EndedRetention.
-// It holds at most MaxEndpoints. The zero value is empty and ready for use.
+// endedEndpoints remembers the endpoints that were removed from the view, for EndedRetention. It holds at
+// most MaxEndpoints. The zero value is empty and ready for use.
 type endedEndpoints struct {
 	ends  map[control.EndpointID]endRecord
 	order []control.EndpointID // in the order of their ends; may include endpoints that have started again
@@ -21,7 +21,8 @@
 	return end.startedAt, ok
 }
 
-// record records the end of an endpoint. It ignores the zero Endpoint, which was never in the view.
+// record records the end of an endpoint. It ignores the zero Endpoint, which was never in the view, and all
+// ends beyond MaxEndpoints.
 func (e *endedEndpoints) record(now control.Time, endpoint Endpoint) {
 	if e.ends == nil {
 		e.ends = map[control.EndpointID]endRecord{}
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -2,11 +2,12 @@
 // or changes, and may be out of order or stale. Like package control, the package does no I/O and reads no
 // clock.
 //
-// An update with the view's revision or a later one is applied. An update with an earlier revision is
-// stale. It ends endpoints at once, since a request sent to an endpoint that has ended may be lost, but it
-// adds none. If only stale complete lists arrive for StaleAcceptDelay, discovery is assumed to have lost
-// its later revisions and restarted its count, and the latest of these lists is applied. Even then,
-// endpoints that a later revision ended stay ended until EndedRetention has passed.
+// An endpoint has ended when it is draining or gone. An update with the view's revision or a later one is
+// applied. An update with an earlier revision is stale. It ends endpoints at once, since a request sent to an
+// endpoint that has ended may be lost, but it adds none. If only stale updates arrive for StaleAcceptDelay
+// after a stale complete list, discovery is assumed to have lost its later revisions and restarted its count,
+// and the latest stale complete list is applied. Even then, endpoints that a later revision ended stay ended,
+// until EndedRetention has passed or an update with the accepted revision or a later one lists them as ready.
 //
 // The package also defines the time-outs and the backoff of the connections to discovery.
 package membership
@@ -43,13 +44,13 @@
 func (c Change) IsEmpty() bool { return !c.Full && len(c.Endpoints) == 0 }
 
 const (
-	// StaleAcceptDelay is the time after which a stale complete list is applied if nothing else arrives. A
-	// current list that the stale one has overtaken arrives within this time. The delay must be shorter
+	// StaleAcceptDelay is the time after which a stale complete list is applied if only stale updates arrive.
+	// A current list that the stale one has overtaken arrives within this time. The delay must be shorter
 	// than the drain grace: after an outage of discovery, the platform expects the router to apply the new
 	// list within the drain grace.
 	StaleAcceptDelay = 500 * time.Millisecond
-	// EndedRetention is how long the end of an endpoint is remembered and overrides stale lists. If
-	// nothing else arrives for this time, a stale list is applied in full.
+	// EndedRetention is how long the end of an endpoint is remembered and overrides stale lists. If only
+	// stale updates arrive for this time, a stale list is applied in full.
 	EndedRetention = 10 * time.Second
 	// MaxEndpoints is the maximum number of endpoints in the view, and of those remembered as ended.
 	MaxEndpoints = 20000
@@ -67,8 +68,8 @@
 	stale     staleList
 }
 
-// staleList is a complete list of an earlier revision than the view's. It is applied if nothing else
-// arrives.
+// staleList is a complete list that had an earlier revision than the view when it arrived. It is applied if
+// only stale updates follow.
 type staleList struct {
 	update            *Update // the latest such list; nil for none
 	since             control.Time
--- a/control/membership/replace.go
+++ b/control/membership/replace.go
@@ -42,9 +42,9 @@
 	return endpoint, ok
 }
 
-// usableEndpoint returns the endpoint that an entry describes. If the kind or the address of the entry is
-// unusable, it returns the current endpoint with the state of the entry, or false if the endpoint is
-// unknown.
+// usableEndpoint returns the endpoint that an entry describes. If the kind of the entry is negative, or its
+// address is invalid and its state is not Ready, it returns the current endpoint with the state of the entry,
+// or false if the endpoint is unknown.
 func usableEndpoint(entry, current Endpoint, isKnown bool) (endpoint Endpoint, ok bool) {
 	isUsable := entry.Kind >= 0 && (entry.State == control.Ready || entry.Addr.IsValid())
 	if isUsable {
--- a/control/membership/watch.go
+++ b/control/membership/watch.go
@@ -15,11 +15,12 @@
 	// An incomplete message does not count. A heartbeat may be late by a quarter of its interval.
 	WatchTimeout = HeartbeatInterval + HeartbeatInterval/4
 	// MaxConcurrentCalls is the maximum number of calls in flight while none is answered. A new call does
-	// not wait for a hanging one, and a call made during an outage of discovery may be answered after it.
+	// not wait for a hanging one, and a call made during an outage of discovery may be answered when the
+	// outage ends.
 	MaxConcurrentCalls = 4
-	// MinBackoff is the minimum time between two calls.
+	// MinBackoff is the shortest wait before another call.
 	MinBackoff = 50 * time.Millisecond
-	// MaxBackoff is the maximum time between two calls.
+	// MaxBackoff is the longest wait before another call.
 	MaxBackoff = 200 * time.Millisecond
 	// BackoffResetAfter is how long a watch must last to reset the backoff.
 	BackoffResetAfter = time.Second
--- a/control/outcome/outcome.go
+++ b/control/outcome/outcome.go
@@ -12,10 +12,11 @@
 const (
 	// Served is the outcome of a request whose answer was complete and passed the checks.
 	Served Outcome = iota // served
-	// Rejected is the outcome of a request that the router rejected because of overload or because it would
-	// have missed its deadline. No attempt has had an effect, so a retry is safe.
+	// Rejected is the outcome of a request that the router rejected, for example because of overload or because
+	// it would have missed its deadline. A retry is safe: the request was not executed, or its class permits a
+	// repeat.
 	Rejected // rejected
-	// Failed is the outcome of a request that an engine may have executed.
+	// Failed is the outcome of a request that failed and that an engine may have executed.
 	Failed // failed
 	// InvalidRequest is the outcome of a request that an engine rejected as invalid.
 	InvalidRequest // invalid request
--- a/control/scatter/scatter.go
+++ b/control/scatter/scatter.go
@@ -9,7 +9,7 @@
 
 // Limits bound the shards of a request. A limit of 0 is no bound.
 type Limits struct {
-	ShardTokens float64 // maximum estimated tokens of a shard
+	ShardTokens float64 // maximum mean of the shards' estimated tokens; a shard may have more
 	ShardItems  int     // maximum items of a shard
 	Shards      int     // maximum shards of a request; takes precedence over the other limits
 }
@@ -56,8 +56,8 @@
 	return shards
 }
 
-// shardCount returns the minimum number of shards that satisfies the limits. It is at most Limits.Shards
-// and the number of items, even if the other limits are then exceeded.
+// shardCount returns the minimum number of shards whose mean tokens and mean items are within the limits. It
+// is at most Limits.Shards and the number of items, even if the other limits are then exceeded.
 func shardCount(items int, totalTokens float64, limits Limits) int {
 	count := 1
 	if limits.ShardTokens > 0 {
