--- a/control/actions.go
+++ b/control/actions.go
@@ -6,8 +6,8 @@
 // CancelAttempt, SetTimer, HealthCheck, SubscribeEndpoints or Log.
 type Action interface{ action() }
 
-// Forward starts the next attempt of a request. If the endpoint is a decode engine, it fetches the KV state
-// of the request's latest prefill.
+// Forward starts the next attempt of a request. A decode engine fetches the KV state of the request's latest
+// prefill. A colocated engine may fetch it if there is one, or computes the prompt itself.
 type Forward struct {
 	ID       RequestID
 	Endpoint EndpointID
--- a/control/connreuse/connreuse_test.go
+++ b/control/connreuse/connreuse_test.go
@@ -45,8 +45,8 @@
 }
 
 // TestNotIdempotentNeedsRecentSuccesses: for a request that must not be retried, reuse requires recent
-// successes at a similar idle time, and a single loss prevents it. Other requests need no successes. A
-// connection that ends late does not count as lost.
+// successes at a similar idle time, and a single loss among few requests prevents it. Other requests need no
+// successes. A connection that ends late does not count as lost.
 func TestNotIdempotentNeedsRecentSuccesses(t *testing.T) {
 	var policy Policy
 	checkReuse := func(state string, now, idle time.Duration, notIdempotent, want bool) {
--- a/control/golden_simulation_test.go
+++ b/control/golden_simulation_test.go
@@ -16,7 +16,7 @@
 	tokens    control.Tokens // length of its answer
 	attempts  []*attempt
 	prefilled bool // its KV state is at a prefill engine
-	finished  bool // answered, or its client left
+	finished  bool // has its final answer, or its client left
 	resets    int  // attempts that ended with their connection
 }
 
@@ -285,7 +285,7 @@
 		return
 	}
 	again := &clientRequest{Request: c.Request, router: c.router, tokens: c.tokens}
-	if s.chance(0.2) { // continued as part of a batch
+	if s.chance(0.2) { // as if the earlier attempts had been part of a batch
 		again.PriorAttempts, again.PriorResets = min(len(c.attempts), 2), min(c.resets, len(c.attempts), 2)
 	}
 	s.scheduleStep(c.router, retryAfter, func() control.Event { s.arrive(again); return nil })
--- a/control/manyrouters_test.go
+++ b/control/manyrouters_test.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// timedAction is a function to run at a time of the virtual clock.
-type timedAction struct {
+// scheduledStep is a function to run at a time of the virtual clock.
+type scheduledStep struct {
 	at       Time
-	sequence int // order among actions at the same time
-	act      func()
+	sequence int // order among steps at the same time
+	run      func()
 }
 
-// timedActions is a heap ordered by time, then by sequence. It implements heap.Interface.
-type timedActions []timedAction
+// stepHeap is a heap ordered by time, then by sequence. It implements heap.Interface.
+type stepHeap []scheduledStep
 
-func (h timedActions) Len() int { return len(h) }
-func (h timedActions) Less(i, j int) bool {
+func (h stepHeap) Len() int { return len(h) }
+func (h stepHeap) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].sequence, h[j].sequence)) < 0
 }
-func (h timedActions) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *timedActions) Push(x any) {
-	*h = append(*h, x.(timedAction)) //nolint:forcetypeassert // only simulatedService.after pushes
+func (h stepHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *stepHeap) Push(x any) {
+	*h = append(*h, x.(scheduledStep)) //nolint:forcetypeassert // only simulatedService.schedule pushes
 }
 
-func (h *timedActions) Pop() any {
+func (h *stepHeap) Pop() any {
 	last := len(*h) - 1
 	first := (*h)[last]
 	*h = (*h)[:last]
@@ -55,7 +55,7 @@
 	rng          *rand.Rand
 	startedAt    Time
 	now          Time
-	queue        timedActions
+	queue        stepHeap
 	lastSequence int
 	routers      []*Router
 	starts       []int // number of starts of each router
@@ -93,18 +93,18 @@
 
 func secondsOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// schedule schedules an action.
-func (s *simulatedService) schedule(delay time.Duration, act func()) {
+// schedule runs a step after a delay.
+func (s *simulatedService) schedule(delay time.Duration, step func()) {
 	s.lastSequence++
-	heap.Push(&s.queue, timedAction{s.now.Add(delay), s.lastSequence, act})
+	heap.Push(&s.queue, scheduledStep{s.now.Add(delay), s.lastSequence, step})
 }
 
-// run runs the scheduled actions up to a time after the start.
+// run runs the scheduled steps up to a time after the start.
 func (s *simulatedService) run(duration time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at < s.startedAt.Add(duration) {
-		next := heap.Pop(&s.queue).(timedAction) //nolint:forcetypeassert // Pop returns nothing else
+		next := heap.Pop(&s.queue).(scheduledStep) //nolint:forcetypeassert // Pop returns nothing else
 		s.now = next.at
-		next.act()
+		next.run()
 	}
 }
 
