--- a/control/golden_simulation_test.go
+++ b/control/golden_simulation_test.go
@@ -17,7 +17,7 @@
 	attempts  []*attempt
 	prefilled bool // its KV state is at a prefill engine
 	finished  bool // has its final answer, or its client left
-	resets    int  // attempts that ended with their connection
+	resets    int  // attempts whose connection was lost
 }
 
 // delivery is an event for a router, or a step of the simulation, at a time.
--- a/control/request.go
+++ b/control/request.go
@@ -9,9 +9,9 @@
 const (
 	// outputShare is the fraction of MaxTokens that an answer is expected to have.
 	outputShare = 0.3
-	// minCrashResets is the minimum number of lost connections for a request to be suspected of crashing
+	// minLostConnections is the minimum number of lost connections for a request to be suspected of crashing
 	// engines.
-	minCrashResets = 2
+	minLostConnections = 2
 	// progressTimeoutFactor is the multiple of a request's objective for the first token after which an attempt
 	// without progress times out.
 	progressTimeoutFactor = 1.5
@@ -33,7 +33,7 @@
 
 	attempts        int // made by this router
 	maxAttempts     int
-	connectionsLost int // attempts that ended with their connection, including Request.PriorResets
+	lostConnections int // attempts whose connection was lost, including Request.PriorResets
 	latest          attempt
 	serviceTime     time.Duration // sum over its attempts
 	hasFirstToken   bool          // its answer is being streamed
@@ -71,7 +71,7 @@
 		firstTokenDue:   now.Add(class.FirstTokenObjective(event.PromptTokens)),
 		demand:          event.PromptTokens + outputShare*event.MaxTokens,
 		maxAttempts:     maxAttempts - event.PriorAttempts,
-		connectionsLost: event.PriorResets,
+		lostConnections: event.PriorResets,
 	}
 }
 
@@ -125,10 +125,10 @@
 	return !req.mayHaveExecuted() || class.Idempotency == Idempotent || deduplicated
 }
 
-// mayCrashEngines reports whether the request is suspected of crashing engines: every permitted attempt ended
-// with its connection, and there were at least minCrashResets of them.
+// mayCrashEngines reports whether the request is suspected of crashing engines: every permitted attempt lost
+// its connection, and at least minLostConnections did.
 func (req *request) mayCrashEngines() bool {
-	return req.connectionsLost >= minCrashResets && req.connectionsLost >= req.maxAttempts+req.PriorAttempts
+	return req.lostConnections >= minLostConnections && req.lostConnections >= req.maxAttempts+req.PriorAttempts
 }
 
 // sendDeadline returns the time by which the next attempt must be sent in full, or math.MaxInt64 if there is
--- a/control/retention.go
+++ b/control/retention.go
@@ -8,8 +8,9 @@
 // A retained KV state has to be used or released within the retention limit. An attempt in flight uses the
 // state only once the attempt has reached its engine. Only a response proves this, because a broken
 // connection may accept all written data without delivering it. The age of a state is therefore measured from
-// the latest such proof. When it nears the limit, the state is released even while an attempt is in flight.
-// The release does not affect an engine that has received the attempt and waits for the state.
+// the latest such proof. With Capabilities.ReleaseSparesAttempts, a state that nears the limit is released
+// even while an attempt is in flight: the release does not affect an engine that has received the attempt and
+// waits for the state.
 const (
 	// unprovenReleaseShare is the fraction of the retention limit after which a state is released while an
 	// attempt without proof of arrival is in flight.
--- a/control/retry.go
+++ b/control/retry.go
@@ -93,7 +93,7 @@
 		request.recordExecution(target)
 	}
 	if event.Result == Reset {
-		request.connectionsLost++
+		request.lostConnections++
 	}
 	if event.Result == Rejected && event.KVMissing {
 		r.releaseKV(request, ReleasedAsKVMissing) // it may still exist, unreachable for this engine only
--- a/control/statemachine_test.go
+++ b/control/statemachine_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// endAllAttempts ends every attempt in flight with its connection.
+// endAllAttempts ends every attempt in flight as if its connection was lost.
 func (m *stateMachine) endAllAttempts() {
 	for _, id := range m.requestIDs() {
 		if request := m.requests[id]; request.attemptInFlight {
