--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -77,7 +77,7 @@
 	c.Abort()
 }
 
-// Reset closes at once with a TCP reset (RFC 9293, section 3.10.7). The handler gets no further call.
+// Reset closes at once with a TCP reset (RFC 9293, section 3.10.5). The handler gets no further call.
 func (c *Conn) Reset() {
 	c.resetOnClose()
 	c.release()
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -20,7 +20,7 @@
 	connConnecting // connecting
 	// connCloseOnOpen is a connection on which Close was called before it was established.
 	connCloseOnOpen // close on open
-	// connClosing is a connection on which Close was called and that has output to send.
+	// connClosing is a connection on which Close was called and that may have output to send.
 	connClosing // closing
 	// connAwaitingPeer is a lingering connection that has sent all output and closed its sending half.
 	connAwaitingPeer // awaiting peer
@@ -115,8 +115,8 @@
 // Loop returns the loop that the connection belongs to.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// IsClosed reports whether the connection is closed. After Close it is false until the output is
-// sent.
+// IsClosed reports whether the descriptor is closed. After Close and CloseLingering it is false until
+// the close is complete.
 func (c *Conn) IsClosed() bool { return c.state == connClosed }
 
 // Remote returns the peer's address. On a closed connection it returns the zero address.
@@ -138,7 +138,8 @@
 }
 
 // flushPending is called at the end of an iteration. It redelivers input, sends output, continues a
-// close and updates the events that epoll watches for. Each step may close the connection.
+// close, notifies the writer and updates the events that epoll watches for. Each step may close the
+// connection.
 func (c *Conn) flushPending() {
 	if c.IsClosed() || c.state.connecting() {
 		return
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -4,7 +4,7 @@
 // A program creates a Loop with New, opens listeners and connections on it, and calls Run. A
 // connection reports its events to a Handler. Handlers, timers and posted functions run on the
 // thread of Run, one at a time, and must never block. Only Loop.Post may be called from other
-// goroutines. Before Run is called, the goroutine that will call it may use the loop.
+// goroutines. Until Run is called, the goroutine that created the loop may use it.
 //
 // Readiness is level-triggered (epoll(7)). A handler may leave bytes unconsumed, and a connection
 // whose reading is paused costs nothing until it is resumed. Output is buffered and sent once, at
@@ -50,7 +50,8 @@
 	LowWaterMark   int // unsent bytes at which Handler.Writable tells it to continue [a quarter of the high-water mark]
 	MaxFreeBytes   int // bytes of free buffers of each size that are kept for reuse [4 MiB]
 	// OnPanic is called on the loop with the value of a handler's panic. The panic closes the
-	// handler's connection only. If OnPanic is nil, a panic ends the program.
+	// handler's connection only. If OnPanic is nil, a panic ends the program. A panic in a timer or in a
+	// posted or deferred function always ends it.
 	OnPanic func(reason any)
 }
 
@@ -75,7 +76,7 @@
 	poller  poller
 	mailbox mailbox
 	sources map[int]source         // by descriptor
-	starved map[*Listener]struct{} // listeners that wait for a free descriptor
+	starved map[*Listener]struct{} // listeners that wait for descriptors or memory
 	pending pendingWork
 
 	origin     time.Time
@@ -152,8 +153,8 @@
 // Defer runs a function at the end of this iteration, before output is sent.
 func (l *Loop) Defer(fn func()) { l.pending.deferred = append(l.pending.deferred, fn) }
 
-// StartTimer makes a timer fire on the loop once d has passed, at the next tick at the earliest. The
-// caller owns the timer.
+// StartTimer makes a timer fire on the loop once d has passed since Now, at the next tick at the
+// earliest. The caller owns the timer.
 func (l *Loop) StartTimer(t *timerwheel.Timer, d time.Duration) {
 	when := l.now + max(d, 0)
 	l.wheel.Start(t, uint64((when+tick-1)/tick))
@@ -162,7 +163,7 @@
 // StopTimer stops a timer. It has no effect if the timer is not running.
 func (l *Loop) StopTimer(t *timerwheel.Timer) { l.wheel.Stop(t) }
 
-// RunningTimers returns the number of timers that are started and have not fired.
+// RunningTimers returns the number of timers that were started and have neither fired nor been stopped.
 func (l *Loop) RunningTimers() int { return l.wheel.Len() }
 
 // Iterations returns the number of iterations so far.
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -18,8 +18,8 @@
 	// acceptsPerEvent bounds the connections accepted in one iteration, so that a flood of new ones does
 	// not delay the open ones.
 	acceptsPerEvent = 64
-	// starvedRetryDelay is how long a listener pauses when no descriptor is free. It resumes earlier if
-	// the loop closes a descriptor. The delay covers descriptors that are closed outside the loop.
+	// starvedRetryDelay is how long a listener pauses for lack of descriptors or memory. It resumes
+	// earlier if a connection of the loop closes. The delay covers what is released outside the loop.
 	starvedRetryDelay = 100 * time.Millisecond
 )
 
@@ -40,7 +40,7 @@
 	addr       netip.AddrPort
 	accept     func(*Conn) Handler
 	state      listenerState
-	retryTimer timerwheel.Timer // runs while the listener is starved of descriptors
+	retryTimer timerwheel.Timer // resumes a starved listener
 	open       int              // connections
 	// MaxOpen bounds the listener's open connections. Further ones wait in the kernel's backlog. 0 means
 	// no bound.
@@ -102,8 +102,8 @@
 // Open returns the number of open connections that the listener has accepted.
 func (ln *Listener) Open() int { return ln.open }
 
-// Close accepts the connections in the backlog, which the kernel would reset otherwise, and then stops
-// accepting. Open connections stay open.
+// Close accepts the connections in the backlog, as far as MaxOpen and the free descriptors allow, and
+// then stops accepting. The kernel resets the rest of the backlog. Open connections stay open.
 func (ln *Listener) Close() {
 	if ln.state == listenerClosed {
 		return
@@ -143,7 +143,8 @@
 
 func (ln *Listener) atMax() bool { return ln.MaxOpen > 0 && ln.open >= ln.MaxOpen }
 
-// acceptOne accepts a connection if one is waiting, and reports whether another one may be waiting.
+// acceptOne accepts a connection if one is waiting and MaxOpen allows it. It reports whether another
+// one may be accepted.
 func (ln *Listener) acceptOne() bool {
 	if ln.atMax() {
 		return false
@@ -186,15 +187,15 @@
 	}
 }
 
-// starve pauses a listener because no descriptor is free. The connection stays in the backlog. Without
-// the pause, epoll would report it in each iteration.
+// starve pauses a listener for lack of descriptors or memory. The connection stays in the backlog.
+// Without the pause, epoll would report it in each iteration.
 func (ln *Listener) starve() {
 	ln.watch(0)
 	ln.loop.starved[ln] = struct{}{}
 	ln.loop.StartTimer(&ln.retryTimer, starvedRetryDelay)
 }
 
-// resume ends the pause that starve began. If there is still no free descriptor, the next accept
+// resume ends the pause that starve began. If descriptors or memory are still short, the next accept
 // pauses the listener again.
 func (ln *Listener) resume() {
 	delete(ln.loop.starved, ln)
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -56,7 +56,7 @@
 }
 
 // WriteRef is Write without a copy. The connection takes ownership of b, which must not change any
-// more.
+// more. Options.MaxUnsentBytes does not apply while b is the end of the unsent output.
 func (c *Conn) WriteRef(b []byte) {
 	if c.IsClosed() {
 		return
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -166,7 +166,7 @@
 	c.flushPending()
 }
 
-// resumeStarved resumes the listeners that wait for a free descriptor.
+// resumeStarved resumes the listeners that wait for descriptors or memory.
 func (l *Loop) resumeStarved() {
 	for ln := range l.starved {
 		ln.resume()
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -188,7 +188,7 @@
 	for i, t := range w.expired {
 		w.expired[i] = nil
 		switch {
-		case !t.running || t.level != noLevel: // a timer that fired before has stopped it or started it again
+		case !t.running || t.level != noLevel: // another timer's Fire has stopped it or started it again
 		case t.when > w.now:
 			w.insert(t)
 		default:
