--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -90,7 +90,7 @@
 }
 
 // readLine returns the next line without its CRLF, and its size in bytes including the CRLF. The size
-// is 0 while the line is incomplete. A line longer than limit bytes is an error with the given status.
+// is 0 while the line is incomplete. A size above limit is an error with the given status.
 func (p *Parser) readLine(b []byte, limit, status int) (line []byte, size int, err *Error) {
 	newline := bytes.IndexByte(b[min(p.scanned, len(b)):], '\n')
 	if newline < 0 {
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -5,7 +5,8 @@
 	"net/http"
 )
 
-// unknownLength is the value of Head.ContentLength if there is no Content-Length field.
+// unknownLength is the value of Head.ContentLength until a Content-Length field is found. It stays if the
+// content is chunked or ends with the connection.
 const unknownLength = -1
 
 // parseFraming interprets the fields on the connection and the framing, and determines where the
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -31,7 +31,7 @@
 func (p *Parser) isInterim() bool { return p.isResponse && p.Head.Status < firstFinalStatus }
 
 // scanHead returns the size of the head including the empty line that ends it, or 0 while that line is
-// missing. It searches each byte only once, even over several calls.
+// missing. It searches complete lines only once, even over several calls.
 func (p *Parser) scanHead(b []byte) (int, *Error) {
 	for {
 		newline := bytes.IndexByte(b[p.scanned:], '\n')
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -17,9 +17,9 @@
 // Limits bound what a parser accepts. All must be set. Parsers read the shared value in each call, so
 // it must not change while a parser uses it.
 type Limits struct {
-	Line    int   // bytes of the start line
+	Line    int   // bytes of the start line, and of the line that begins a chunk
 	Headers int   // bytes of the start line and all fields together, and of a trailer
-	Fields  int   // number of fields
+	Fields  int   // number of header fields
 	Body    int64 // bytes of content, without the framing of chunks
 }
 
@@ -56,13 +56,14 @@
 	Status         int    // of a response
 	MinorVersion   int    // 0 or 1, of HTTP/1.0 or HTTP/1.1
 	Fields         []Field
-	ContentLength  int64 // bytes of content; -1 if the head does not state it
+	ContentLength  int64 // bytes of content; -1 if it is chunked or ends with the connection
 	Chunked        bool  // the content is sent in chunks
 	KeepAlive      bool  // the connection may carry another message
 	ExpectContinue bool  // the client waits for 100 (Continue)
 }
 
-// Get returns the value of the first field with the given name, or nil. name must be in lower case.
+// Get returns the value of the first field with the given name. It returns nil if there is none or its
+// value is empty. name must be in lower case.
 func (h *Head) Get(name string) []byte {
 	for i := range h.Fields {
 		if equalFold(h.Fields[i].Name, name) {
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -45,7 +45,7 @@
 	limits      *Limits
 	isResponse  bool // parses responses rather than requests
 	state       state
-	scanned     int   // bytes of the incomplete head or line that were already searched for its end
+	scanned     int   // bytes of the incomplete head or line that need not be searched for its end again
 	remaining   int64 // bytes of the content or the chunk that are not yet consumed
 	contentSize int64 // bytes of content so far
 	trailerSize int   // bytes of the trailer so far
@@ -66,7 +66,8 @@
 // and 2).
 func NewResponseParser(limits *Limits) *Parser { return &Parser{limits: limits, isResponse: true} }
 
-// Idle reports whether the parser is between two messages.
+// Idle reports whether the parser is between two messages. It also returns true while the start line of
+// the next message is incomplete.
 func (p *Parser) Idle() bool { return p.state == stateHead && p.scanned == 0 }
 
 // Next parses b, which begins with the first byte not consumed by earlier calls. It returns how many
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -8,8 +8,8 @@
 	firstFinalStatus = 200 // lower codes are those of interim responses
 )
 
-// StatusText returns the reason phrase of RFC 9110 for the status codes that this program sends, and
-// "Status" for others. Some phrases of net/http are those of older RFCs.
+// StatusText returns the reason phrase in IANA's registry for the status codes that this program sends,
+// and "Status" for others. Some phrases of net/http are those of older RFCs.
 func StatusText(status int) string {
 	switch status {
 	case http.StatusContinue:
--- a/internal/http1/write_test.go
+++ b/internal/http1/write_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestStatusTextFollowsRFC9110: the phrases are those of net/http except for two that RFC 9110 has renamed. Codes
-// that this program does not send get "Status".
+// TestStatusTextFollowsRFC9110: the phrases are those of net/http except for two that RFC 9110 names differently.
+// Codes that this program does not send get "Status".
 func TestStatusTextFollowsRFC9110(t *testing.T) {
 	renamed := map[int]string{
 		http.StatusRequestEntityTooLarge: "Content Too Large",
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -64,7 +64,7 @@
 func (c *Conn) HasAnswered() bool { return c.hasAnswered }
 
 // IsBetweenRequests reports whether the client's next byte begins a new request. Otherwise it
-// continues the current one.
+// continues the current one. It also returns true while the first line of a request is incomplete.
 func (c *Conn) IsBetweenRequests() bool { return c.parser.Idle() }
 
 // Body returns the body of the current request as far as it has arrived. It is valid until the
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -248,8 +248,8 @@
 	})
 }
 
-// writeUntilFull writes to a client that does not read until the buffers of the sockets are full and
-// more than longBody is unsent.
+// writeUntilFull writes until the buffers of the sockets are full and more than longBody is unsent. The
+// client must not read meanwhile.
 func writeUntilFull(s *server, h *testHandler) {
 	s.t.Helper()
 	for range 1000 {
--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -26,8 +26,8 @@
 //   - Limit on connections: on platform, a connection above the limit evicts an idle one or is
 //     rejected. In openaiserver, the last connection within the limit evicts an idle one, and
 //     further ones wait in the backlog.
-//   - 100 Continue: platform sends it for valid calls of engines only, openaiserver for every
-//     request with a body.
+//   - 100 Continue: platform sends it for valid chat requests only, openaiserver for every request
+//     with a body and no invalid deadline.
 //   - Incomplete response: platform omits the last chunk and lingers. openaiserver omits the last
 //     chunk and closes, or resets the connection if the response isn't chunked.
 //   - Shutdown: both call Conns.StopKeepAlive first. openaiserver calls Conns.CloseAfterResponses
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -25,7 +25,7 @@
 	// ClientGone is called while serving, when the client has closed the connection or does not
 	// read the response. The connection is closed after the call.
 	ClientGone()
-	// Closing is called before this package closes the connection by itself, with the reason.
+	// Closing is called before this package closes the connection for one of the CloseReasons.
 	Closing(reason CloseReason)
 }
 
--- a/internal/httpserver/harness_test.go
+++ b/internal/httpserver/harness_test.go
@@ -20,8 +20,8 @@
 // testTimeout bounds each wait in a test.
 const testTimeout = 10 * time.Second
 
-// server answers requests according to their paths, see testHandler.RequestReceived. Its fields must
-// be used on the loop.
+// server answers requests according to their paths, see testHandler.RequestReceived. Its connections,
+// memory and handlers must be used on the loop.
 type server struct {
 	t        *testing.T
 	loop     eventlooptest.Loop
