--- a/cmd/martenlock/check.go
+++ b/cmd/martenlock/check.go
@@ -18,11 +18,11 @@
 		Example: "  martenlock check martenlock.ini",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			settings, endpoints, err := serve.Check(args[0])
+			cfg, endpoints, err := serve.Check(args[0])
 			if err != nil {
 				return err
 			}
-			printf(command.OutOrStdout(), "%s: good: %s; %d nodes\n", args[0], settings.Summary(), len(endpoints))
+			printf(command.OutOrStdout(), "%s: good: %s; %d nodes\n", args[0], cfg.Summary(), len(endpoints))
 			return nil
 		},
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -66,7 +66,7 @@
 }
 
 // Parse parses the text of a file. name is used in errors. The returned error joins one
-// *inifile.Error for each error in the file.
+// *inifile.Error for each error in the file. A syntax error is returned alone, as an *inifile.Error.
 func Parse(name string, text []byte) (*Config, error) {
 	file, err := inifile.Parse(name, text)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,11 +9,11 @@
 	"martenlock/internal/demo"
 )
 
-var settings = fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "info")
+var validConfig = fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "info")
 
 // TestParseErrorsNameSectionAndKey makes one change at a time to a valid configuration.
 func TestParseErrorsNameSectionAndKey(t *testing.T) {
-	if _, err := config.Parse("f.ini", []byte(settings)); err != nil {
+	if _, err := config.Parse("f.ini", []byte(validConfig)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, want string }{
@@ -41,10 +41,10 @@
 		{"[limits]\n", "[limits]\nbody = -1\n", `[limits] body: whole number -1 is out of range`},
 		{"[class ask]", "[request]\nforward = Host\n[class ask]", `[request] forward: invalid field "Host", it belongs to one connection`},
 	} {
-		if !strings.Contains(settings, c.old) {
+		if !strings.Contains(validConfig, c.old) {
 			t.Fatalf("the valid configuration does not contain %q", c.old)
 		}
-		_, err := config.Parse("f.ini", []byte(strings.Replace(settings, c.old, c.new, 1)))
+		_, err := config.Parse("f.ini", []byte(strings.Replace(validConfig, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("with %q: got error %v, want one that contains %q", c.new, err, c.want)
 		}
@@ -54,7 +54,7 @@
 func TestParseRequiresClassPoolAndKind(t *testing.T) {
 	for _, missing := range []string{"[class ", "[pool ", "[kind "} {
 		var kept []string
-		for part := range strings.SplitSeq(settings, "\n\n") {
+		for part := range strings.SplitSeq(validConfig, "\n\n") {
 			if !strings.HasPrefix(part, missing) {
 				kept = append(kept, part)
 			}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -11,7 +11,7 @@
 type Limits struct {
 	HTTP               http1.Limits  // limits on a client's request
 	MaxResponseBytes   int64         // body of an engine's response
-	MaxBufferedBytes   int           // of an answer that is buffered to allow a retry; a longer answer is forwarded and not retried after that
+	MaxBufferedBytes   int           // of a chat or completions answer that is not streamed, buffered to allow a retry; a longer one is forwarded and no longer retried
 	IdleTimeout        time.Duration // of a client's connection without a request
 	RequestTimeout     time.Duration // from a request's first byte to its last
 	WriteStallTimeout  time.Duration // within which a client must accept more of its answer
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -7,7 +7,8 @@
 	"martenlock/internal/inifile"
 )
 
-// parseRules parses the section [rules], which sets limits and capabilities of the decision module.
+// parseRules parses the section [rules], which sets limits and capabilities of the decision module, and the
+// slow start of engines.
 func (c *Config) parseRules(section *inifile.Section) {
 	c.Control.Limits = control.Limits{
 		MaxAttempts:      section.Int("max_attempts", 5, 1, 100),
--- a/internal/config/tenant.go
+++ b/internal/config/tenant.go
@@ -21,7 +21,7 @@
 }
 
 // FairShareTenant returns the name that identifies a tenant in fair queueing. If the configuration has
-// tenants, all others are treated as one tenant with the name "". Otherwise a client could get a larger
+// tenants, all others are treated as one tenant with the name "", so that a client can't get a larger
 // share by sending several made-up names.
 func (c *Config) FairShareTenant(name string) string {
 	if len(c.Tenants) > 0 && !slices.Contains(c.Tenants, name) {
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -46,7 +46,7 @@
 
 // Parse parses the text of a list and checks it against the configuration. name is used in errors.
 // If the list has errors Parse returns no endpoints. The returned error joins one *inifile.Error for
-// each error in the list.
+// each error in the list. A syntax error is returned alone, as an *inifile.Error.
 func Parse(name string, text []byte, c *config.Config) ([]Endpoint, error) {
 	file, err := inifile.Parse(name, text)
 	if err != nil {
@@ -107,7 +107,8 @@
 	return endpoint
 }
 
-// checkIdentity checks that the endpoint has a name and that no earlier one has the same id or address.
+// checkIdentity checks that the endpoint has a name, and that no earlier one has the same address or, with
+// another name, the same id. Package inifile reports two endpoints with the same name.
 func (p *parser) checkIdentity(section *inifile.Section, endpoint *Endpoint) {
 	section.RequireName()
 	idOwner, isUsed := p.nameByID[endpoint.ID]
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -10,11 +10,11 @@
 	"martenlock/internal/endpointlist"
 )
 
-// settings is the text of a valid configuration.
-var settings = fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "info")
+// validConfig is the text of a valid configuration.
+var validConfig = fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "info")
 
-// list is a valid endpoint list.
-const list = `[node r1]
+// validList is a valid endpoint list.
+const validList = `[node r1]
 pool = chat
 address = 127.0.0.1:9001
 kind = reader
@@ -28,7 +28,7 @@
 start = 2026-12-01T08:00:00Z
 `
 
-func parseSettings(t *testing.T, text string) *config.Config {
+func parseConfig(t *testing.T, text string) *config.Config {
 	t.Helper()
 	c, err := config.Parse("f.ini", []byte(text))
 	if err != nil {
@@ -37,25 +37,25 @@
 	return c
 }
 
-func TestParseReturnsNodesOfValidList(t *testing.T) {
-	valid, err := endpointlist.Parse("n.ini", []byte(list), parseSettings(t, settings))
+func TestParseReturnsEndpointsOfValidList(t *testing.T) {
+	valid, err := endpointlist.Parse("n.ini", []byte(validList), parseConfig(t, validConfig))
 	if err != nil || len(valid) != 2 || valid[0].ID == valid[1].ID || valid[1].StartedAt.IsZero() {
 		t.Fatalf("got %+v (error %v), want two endpoints with different ids, the second with a start time", valid, err)
 	}
 }
 
 func TestParseRejectsPrefillEngineInPoolOfEmbeddings(t *testing.T) {
-	withEmbeddings := parseSettings(t, strings.Replace(settings, "apis = chat", "apis = embeddings, chat", 1))
-	if _, err := endpointlist.Parse("n.ini", []byte(list), withEmbeddings); err == nil || !strings.Contains(err.Error(), `[node r1] kind: invalid kind "reader", want one of role mixed: [pool chat]`) {
+	withEmbeddings := parseConfig(t, strings.Replace(validConfig, "apis = chat", "apis = embeddings, chat", 1))
+	if _, err := endpointlist.Parse("n.ini", []byte(validList), withEmbeddings); err == nil || !strings.Contains(err.Error(), `[node r1] kind: invalid kind "reader", want one of role mixed: [pool chat]`) {
 		t.Errorf("got error %v, want one that names node, kind and pool", err)
 	}
 }
 
 // TestParseErrorsNameNodeAndKey makes one change at a time to a valid list.
 func TestParseErrorsNameNodeAndKey(t *testing.T) {
-	cfg := parseSettings(t, settings)
+	cfg := parseConfig(t, validConfig)
 	for _, c := range []struct{ old, new, want string }{
-		{list, "", "n.ini: missing section [node NAME]"},
+		{validList, "", "n.ini: missing section [node NAME]"},
 		{"[node w1]", "[node r1]", "n.ini: [node r1]: duplicate section"},
 		{"[node w1]", "[node]", "[node]: missing name, want [node NAME]"},
 		{"9002", "9001", "[node w1] address: duplicate address 127.0.0.1:9001, node r1 has it too"},
@@ -68,7 +68,7 @@
 		{"state = draining", "weight = 0", `[node w1] weight: number 0 is out of range`},
 		{"zone = a", "zome = a", "[node r1] zome: unknown key"},
 	} {
-		if _, err := endpointlist.Parse("n.ini", []byte(strings.Replace(list, c.old, c.new, 1)), cfg); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := endpointlist.Parse("n.ini", []byte(strings.Replace(validList, c.old, c.new, 1)), cfg); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("with %q: got error %v, want one that contains %q", c.new, err, c.want)
 		}
 	}
--- a/internal/endpointlist/watch_test.go
+++ b/internal/endpointlist/watch_test.go
@@ -9,8 +9,8 @@
 	"martenlock/internal/endpointlist"
 )
 
-// TestWatchReportsOnlyWholeFiles checks that a file that is written in pieces is reported once, after it is closed,
-// that its replacement by a rename is reported, and that other files in the directory are not.
+// TestWatchReportsOnlyWholeFiles: a file that is written in pieces is reported once, after it is closed. Its
+// replacement by a rename is reported, and other files in the directory are not.
 func TestWatchReportsOnlyWholeFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "nodes.ini")
--- a/internal/inifile/errors.go
+++ b/internal/inifile/errors.go
@@ -60,7 +60,7 @@
 
 // Err returns all errors of the file, joined with errors.Join. Each is an *Error. It adds an error for
 // each section whose kind is not in kinds and for each key that was not read, so it must be called
-// after all values were read.
+// once, after all values were read.
 func (f *File) Err(kinds ...string) error {
 	for _, s := range f.sections {
 		if !slices.Contains(kinds, s.Kind) {
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -29,7 +29,7 @@
 }
 
 // loadOptions make the INI library accept duplicate sections and keys, because Parse reports them with
-// file, section and key.
+// file, section and key. A comment symbol within a line begins a comment only after a space.
 var loadOptions = ini.LoadOptions{
 	AllowNonUniqueSections:     true,
 	AllowShadows:               true,
--- a/internal/inifile/values.go
+++ b/internal/inifile/values.go
@@ -55,8 +55,8 @@
 	return index
 }
 
-// Bool returns a boolean, or fallback if the key is missing. For any other value it records an error
-// and returns false.
+// Bool returns a boolean that strconv.ParseBool accepts, or fallback if the key is missing. For any
+// other value it records an error and returns false.
 func (s *Section) Bool(key string, fallback bool) bool {
 	text := s.Text(key, strconv.FormatBool(fallback))
 	value, err := strconv.ParseBool(text)
--- a/internal/platformsettings/object.go
+++ b/internal/platformsettings/object.go
@@ -25,7 +25,7 @@
 	Share              float64
 }
 
-// familyObject describes the engines and what they do with KV state.
+// familyObject describes the engines, their latency objectives and what they do with KV state.
 type familyObject struct {
 	TTFTUsPer1000PromptTokens []float64 `json:"AimUsPer1000PromptTokens"`
 	ITLObjectiveUs            []float64 `json:"TokenAimUs"`
@@ -65,7 +65,7 @@
 	DedupScope      string
 }
 
-// rulesObject describes how engines start, drain and fail under overload.
+// rulesObject describes how engines start, drain and fail under overload, and how late a final answer may come.
 type rulesObject struct {
 	SlowStartShare   float64 `json:"ColdFrom"`
 	SlowStartUs      float64 `json:"ColdUs"`
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -24,7 +24,7 @@
 
 // Error reports an invalid value in the settings object.
 type Error struct {
-	Key string // path of the value's key, such as "FamilyInfo.KindRole"; empty for the object as a whole
+	Key string // path in the object, such as "FamilyInfo.KindRole" or "RequestClasses[0]"; empty for the whole object
 	Err error  // an *UnknownValueError, or the error of the JSON decoder
 }
 
--- a/internal/serve/log.go
+++ b/internal/serve/log.go
@@ -56,7 +56,7 @@
 	return l, nil
 }
 
-// openLogFile opens a file for appending. A relative name is relative to the configuration's folder.
+// openLogFile opens a file for appending. A relative name is relative to the configuration's directory.
 func openLogFile(name, configPath string) (*os.File, error) {
 	if !filepath.IsAbs(name) {
 		name = filepath.Join(filepath.Dir(configPath), name)
--- a/internal/simwire/coder.go
+++ b/internal/simwire/coder.go
@@ -70,7 +70,7 @@
 	*value = T(converted)
 }
 
-// index encodes or decodes a position in a list, in the width of W.
+// index encodes or decodes an index or an attempt number, in the width of W.
 func index[W unsigned, T ~int](c *codec, value *T) {
 	converted := W(*value)
 	integer(c, &converted)
@@ -106,7 +106,8 @@
 	*value = converted != 0
 }
 
-// byteString encodes or decodes bytes, preceded by their number in the width of W.
+// byteString encodes or decodes bytes, preceded by their number in the width of W. More bytes than W can count
+// would make the frame unreadable.
 func byteString[W unsigned](c *codec, value *[]byte) {
 	length := W(len(*value))
 	integer(c, &length)
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -49,7 +49,8 @@
 	integer(c, &b.Number)
 }
 
-// ParseBatch decodes a complete batch frame. It returns a *RecordError if a record can't be decoded.
+// ParseBatch decodes a complete batch frame. It returns a *LengthError if the length in the header is wrong, and a
+// *RecordError if a record can't be decoded.
 func ParseBatch(frame []byte) (Batch, error) {
 	c := &codec{buf: frame}
 	var b Batch
