--- a/internal/httpserver/close.go
+++ b/internal/httpserver/close.go
@@ -42,7 +42,7 @@
 	if deliveryTime == 0 || !c.hasAnswered {
 		return false
 	}
-	return c.conns.loop.Now()-c.lastAnswerAt < deliveryTime || c.conn.UnsentBytes() > 0
+	return c.conns.loop.Now()-c.lastResponseAt < deliveryTime || c.conn.UnsentBytes() > 0
 }
 
 // CloseLingering closes the connection once the output is sent, for a client that may still be
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -46,9 +46,9 @@
 	keepAlive    bool   // the connection stays open after the response
 	framing      Framing
 
-	acceptedAt   time.Duration
-	hasAnswered  bool          // at least one response was finished
-	lastAnswerAt time.Duration // when the latest response was finished
+	acceptedAt     time.Duration
+	hasAnswered    bool          // at least one response was finished
+	lastResponseAt time.Duration // when the latest response was finished
 }
 
 // Handler returns the connection's handler.
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -125,7 +125,7 @@
 func (c *Conn) FinishResponse() {
 	c.discardBody()
 	c.hasAnswered = true
-	c.lastAnswerAt = c.conns.loop.Now()
+	c.lastResponseAt = c.conns.loop.Now()
 	if c.state == Closed {
 		return
 	}
