--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -58,10 +58,10 @@
 // checkClass records an error if keys of a class are missing or contradict each other. It records only the first
 // such error.
 func (c *Config) checkClass(section *inifile.Section, stream, unary *control.Class) {
-	const notBelowDeadlineFormat = "%s %v is %w, want less than the deadline, %v"
+	const notBelowDeadlineFormat = "%s %v is %w, want less than the deadline (%v)"
 	switch {
 	case stream.TTFTObjective <= 0 || stream.Deadline <= 0:
-		section.AddError("aim", "%w value, aim and deadline must both be longer than 0", inifile.ErrMissing)
+		section.AddError("aim", "%w value, aim and deadline must both be greater than 0", inifile.ErrMissing)
 	case stream.TTFTObjective >= stream.Deadline:
 		section.AddError("aim", notBelowDeadlineFormat, "aim", stream.TTFTObjective, inifile.ErrOutOfRange, stream.Deadline)
 	case unary.TTFTObjective >= stream.Deadline:
@@ -69,7 +69,7 @@
 	case stream.Idempotency == control.IdempotentWithKey && stream.DedupWindow <= 0:
 		section.AddError("window", "%w value, must be set if effect is keyed", inifile.ErrMissing)
 	case stream.Deadline <= c.Limits.DeadlineMargin:
-		section.AddError("deadline", "deadline %v is %w, want more than answer_margin, %v", stream.Deadline, inifile.ErrOutOfRange, c.Limits.DeadlineMargin)
+		section.AddError("deadline", "deadline %v is %w, want more than answer_margin (%v)", stream.Deadline, inifile.ErrOutOfRange, c.Limits.DeadlineMargin)
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -122,7 +122,7 @@
 	identity.Routers = section.Int("routers", 1, 1, maxRouters)
 	identity.Rank = section.Int("rank", 0, 0, maxRouters)
 	if identity.Rank >= identity.Routers {
-		section.AddError("rank", "rank %d is %w, want less than routers, %d", identity.Rank, inifile.ErrOutOfRange, identity.Routers)
+		section.AddError("rank", "rank %d is %w, want less than routers (%d)", identity.Rank, inifile.ErrOutOfRange, identity.Routers)
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,29 +17,29 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, want string }{
-		{"[router]", "[rooter]", "f.ini: [rooter]: unknown section, known are router, limits"},
+		{"[router]", "[rooter]", "f.ini: [rooter]: unknown section, want one of router, limits"},
 		{"[router]", "x = 1\n[router]", `f.ini: invalid key "x" before the first section`},
 		{"listen = 127.0.0.1:0", "listen = localhost", `f.ini: [router] listen: invalid address "localhost", want IP address and port`},
 		{"nodes = nodes.ini", "", "f.ini: [router] nodes: missing value"},
 		{"zone = a", "zone = a\nzoen = b", "f.ini: [router] zoen: unknown key"},
 		{"zone = a", "zone = a\nzone = b", "f.ini: [router] zone: duplicate key, set 2 times"},
-		{"zone = a", "rank = 1", "[router] rank: rank 1 is out of range, want less than routers, 1"},
+		{"zone = a", "rank = 1", "[router] rank: rank 1 is out of range, want less than routers (1)"},
 		{"pin_limit = 1s", "pin_limit = 1", `[rules] pin_limit: invalid duration "1", want one from 100ms to 1m0s`},
 		{"pin_limit = 1s", "pin_limit = 5h", `[rules] pin_limit: duration 5h is out of range, want one from 100ms to 1m0s`},
 		{"cold_from = 0.3", "cold_from = NaN", `[rules] cold_from: number NaN is out of range`},
-		{"role = reader", "role = leader", `[kind reader] role: unknown role "leader", known are reader, writer, mixed`},
+		{"role = reader", "role = leader", `[kind reader] role: unknown role "leader", want one of reader, writer, mixed`},
 		{"[kind mixed]", "[kind reader]", "f.ini: [kind reader]: duplicate section"},
 		{"[kind mixed]", "[kind]", "[kind]: missing name, want [kind NAME]"},
-		{"aim = 1s", "aim = 9s", "[class ask] aim: aim 9s is out of range, want less than the deadline, 5s"},
+		{"aim = 1s", "aim = 9s", "[class ask] aim: aim 9s is out of range, want less than the deadline (5s)"},
 		{"whole_aim = 1s", "whole_aim = 3s", "[class search] whole_aim: whole_aim 3s is out of range, want less than the deadline"},
 		{"window = 3s", "", "[class job] window: missing value, must be set if effect is keyed"},
-		{"effect = unsafe", "effect = dangerous", `[class note] effect: unknown effect "dangerous", known are safe, keyed, unsafe`},
+		{"effect = unsafe", "effect = dangerous", `[class note] effect: unknown effect "dangerous", want one of safe, keyed, unsafe`},
 		{"class = ask", "class = mask", `[pool chat] class: unknown class "mask", there is no section [class mask]`},
-		{"apis = chat, completions", "apis = chat, smalltalk", `[pool chat] apis: unknown operation "smalltalk", known are chat, completions`},
-		{"apis = rerank", "apis = rerank, embeddings\nmodels = demo-embed\n#", "[pool rerank] models: duplicate model, pool embeddings serves embeddings for it too"},
+		{"apis = chat, completions", "apis = chat, smalltalk", `[pool chat] apis: unknown API "smalltalk", want one of chat, completions`},
+		{"apis = rerank", "apis = rerank, embeddings\nmodels = demo-embed\n#", "[pool rerank] models: duplicate model, pool embeddings also serves embeddings for the same model"},
 		{"num_requests_running:in_flight", "num_requests_running:speed", `[pool chat] report: invalid metric "num_requests_running:speed", want METRIC:FIELD`},
 		{"[limits]\n", "[limits]\nbody = -1\n", `[limits] body: whole number -1 is out of range`},
-		{"[class ask]", "[request]\nforward = Host\n[class ask]", `[request] forward: invalid field "Host", it belongs to one connection`},
+		{"[class ask]", "[request]\nforward = Host\n[class ask]", `[request] forward: invalid header field "Host", it applies to a single connection`},
 	} {
 		if !strings.Contains(validConfig, c.old) {
 			t.Fatalf("the valid configuration does not contain %q", c.old)
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -64,18 +64,18 @@
 	for _, name := range section.List("apis") {
 		api, isKnown := openai.ParseAPI(name)
 		if !isKnown {
-			section.AddError("apis", "%w operation %q, known are %s", inifile.ErrUnknown, name, known)
+			section.AddError("apis", "%w API %q, want one of %s", inifile.ErrUnknown, name, known)
 			continue
 		}
 		pool.APIs = append(pool.APIs, api)
 		for _, other := range c.Pools {
 			if slices.Contains(other.APIs, api) && pool.sharesModelWith(&other) {
-				section.AddError("models", "%w model, pool %s serves %s for it too", inifile.ErrDuplicate, other.Name, api)
+				section.AddError("models", "%w model, pool %s also serves %s for the same model", inifile.ErrDuplicate, other.Name, api)
 			}
 		}
 	}
 	if len(pool.APIs) == 0 {
-		section.AddError("apis", "%w operation, known are %s", inifile.ErrMissing, known)
+		section.AddError("apis", "%w API, want at least one of %s", inifile.ErrMissing, known)
 	}
 }
 
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -57,7 +57,7 @@
 	for _, name := range names {
 		field := strings.ToLower(name)
 		if slices.Contains(neverForwarded, field) {
-			section.AddError("forward", "%w field %q, it belongs to one connection or is set by the router", inifile.ErrInvalid, name)
+			section.AddError("forward", "%w header field %q, it applies to a single connection or is set by the router", inifile.ErrInvalid, name)
 		}
 		fields = append(fields, field)
 	}
--- a/internal/demo/faultscenario_test.go
+++ b/internal/demo/faultscenario_test.go
@@ -134,10 +134,10 @@
 
 func TestScenarioErrorsNameFileSectionAndKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{"what = hang", "what = melt", `s.ini: [fault cut] what: unknown fault "melt", known are burst, die, errors`},
-		{"engines = zone:b", "", "[fault cut] engines: missing value, want names"},
-		{"prompt = 50-600", "prompt = 600-50", `[load ask] prompt: invalid range "600-50", want tokens such as 100-1000`},
-		{"api = rerank", "api = rank", `[load rank] api: unknown api "rank", known are chat`},
+		{"what = hang", "what = melt", `s.ini: [fault cut] what: unknown fault "melt", want one of burst, die, errors`},
+		{"engines = zone:b", "", "[fault cut] engines: missing value, want names of engines"},
+		{"prompt = 50-600", "prompt = 600-50", `[load ask] prompt: invalid range "600-50", want numbers of tokens such as 100-1000`},
+		{"api = rerank", "api = rank", `[load rank] api: unknown api "rank", want one of chat`},
 		{"[day]", "[night]", "s.ini: [night]: unknown section"},
 	} {
 		_, err := ParseScenario("s.ini", []byte(strings.Replace(shortScenario, c.old, c.new, 1)))
--- a/internal/demo/parsescenario.go
+++ b/internal/demo/parsescenario.go
@@ -58,7 +58,7 @@
 	var isRange bool
 	load.MinPromptTokens, load.MaxPromptTokens, isRange = parsePromptRange(promptRange)
 	if !isRange {
-		section.AddError("prompt", "%w range %q, want tokens such as 100-1000", inifile.ErrInvalid, promptRange)
+		section.AddError("prompt", "%w range %q, want numbers of tokens such as 100-1000", inifile.ErrInvalid, promptRange)
 	}
 	return load
 }
@@ -89,11 +89,11 @@
 	}
 	kind, ok := parseFaultKind(kindName)
 	if !ok {
-		section.AddError("what", "%w fault %q, known are %s", inifile.ErrUnknown, kindName, sortedFaultNames())
+		section.AddError("what", "%w fault %q, want one of %s", inifile.ErrUnknown, kindName, sortedFaultNames())
 	}
 	fault.Kind = kind
 	if len(fault.Targets) == 0 && fault.Kind != FaultBurst {
-		section.AddError("engines", "%w value, want names, zone:NAME, kind:NAME or pool:NAME", inifile.ErrMissing)
+		section.AddError("engines", "%w value, want names of engines, zone:NAME, kind:NAME or pool:NAME", inifile.ErrMissing)
 	}
 	return fault
 }
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -133,7 +133,7 @@
 	for _, target := range fault.Targets {
 		found := run.cluster.findEngines(target)
 		if len(found) == 0 {
-			run.fail(fmt.Errorf("fault %q: no engine %q", fault.Name, target))
+			run.fail(fmt.Errorf("fault %q: no engine matches %q", fault.Name, target))
 		}
 		engines = append(engines, found...)
 	}
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -149,7 +149,7 @@
 	endpoint.Kind = kind
 	endpoint.Role = p.config.Control.Engines.Kinds[i].Role
 	if pool != nil && endpoint.Role != control.RoleColocated && slices.ContainsFunc(pool.APIs, openai.API.HasOneStage) {
-		const format = "%w kind %q, want one of role mixed: [pool %s] serves embeddings or rerank, which have one stage"
+		const format = "%w kind %q, want a kind with role mixed: [pool %s] serves embeddings or rerank, which have no separate prefill and decode stages"
 		section.AddError("kind", format, inifile.ErrInvalid, kind, endpoint.Pool)
 	}
 }
@@ -162,7 +162,7 @@
 	}
 	start, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		section.AddError("start", "%w time %q, want one such as 2026-12-01T08:30:00Z", inifile.ErrInvalid, text)
+		section.AddError("start", "%w time %q, want an RFC 3339 time such as 2026-12-01T08:30:00Z", inifile.ErrInvalid, text)
 	}
 	return start
 }
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -46,7 +46,7 @@
 
 func TestParseRejectsPrefillEngineInPoolOfEmbeddings(t *testing.T) {
 	withEmbeddings := parseConfig(t, strings.Replace(validConfig, "apis = chat", "apis = embeddings, chat", 1))
-	if _, err := endpointlist.Parse("n.ini", []byte(validList), withEmbeddings); err == nil || !strings.Contains(err.Error(), `[node r1] kind: invalid kind "reader", want one of role mixed: [pool chat]`) {
+	if _, err := endpointlist.Parse("n.ini", []byte(validList), withEmbeddings); err == nil || !strings.Contains(err.Error(), `[node r1] kind: invalid kind "reader", want a kind with role mixed: [pool chat]`) {
 		t.Errorf("got error %v, want one that names node, kind and pool", err)
 	}
 }
@@ -63,7 +63,7 @@
 		{"pool = chat", "pool = chatter", `[node r1] pool: unknown pool "chatter", there is no section [pool chatter] in f.ini`},
 		{"kind = writer", "kind = scribe", `[node w1] kind: unknown kind "scribe", there is no section [kind scribe] in f.ini`},
 		{"kind = writer", "", "[node w1] kind: missing value"},
-		{"state = draining", "state = tired", `[node w1] state: unknown state "tired", known are gone, ready, draining`},
+		{"state = draining", "state = tired", `[node w1] state: unknown state "tired", want one of gone, ready, draining`},
 		{"2026-12-01T08:00:00Z", "yesterday", `[node w1] start: invalid time "yesterday"`},
 		{"state = draining", "weight = 0", `[node w1] weight: number 0 is out of range`},
 		{"zone = a", "zome = a", "[node r1] zome: unknown key"},
--- a/internal/inifile/errors.go
+++ b/internal/inifile/errors.go
@@ -64,7 +64,7 @@
 func (f *File) Err(kinds ...string) error {
 	for _, s := range f.sections {
 		if !slices.Contains(kinds, s.Kind) {
-			s.AddError("", "%w section, known are %s", ErrUnknown, strings.Join(kinds, ", "))
+			s.AddError("", "%w section, want one of %s", ErrUnknown, strings.Join(kinds, ", "))
 			continue
 		}
 		for _, key := range s.unusedKeys() {
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -33,7 +33,7 @@
 		{"[pool chat]", "class", ErrMissing, "f.ini: [pool chat] class: missing value"},
 		{"", "", ErrMissing, "f.ini: missing section [class NAME]"},
 		{"[pool chat]", "unused", ErrUnknown, "f.ini: [pool chat] unused: unknown key"},
-		{"[other]", "", ErrUnknown, "f.ini: [other]: unknown section, known are router, pool"},
+		{"[other]", "", ErrUnknown, "f.ini: [other]: unknown section, want one of router, pool"},
 	}
 	got := joined.Unwrap()
 	if len(got) != len(want) {
@@ -73,7 +73,7 @@
 		{"k = 2s", func(s *Section) { s.Duration("k", 0, 0, time.Second) }, ErrOutOfRange, "f.ini: [s] k: duration 2s is out of range, want one from 0s to 1s"},
 		{"k = maybe", func(s *Section) { s.Bool("k", true) }, ErrInvalid, `f.ini: [s] k: invalid boolean "maybe", want true or false`},
 		{"k = host:1", func(s *Section) { s.Address("k", "") }, ErrInvalid, `f.ini: [s] k: invalid address "host:1", want IP address and port such as 127.0.0.1:8080`},
-		{"k = c", func(s *Section) { s.Choice("k", "", "a", "b") }, ErrUnknown, `f.ini: [s] k: unknown k "c", known are a, b`},
+		{"k = c", func(s *Section) { s.Choice("k", "", "a", "b") }, ErrUnknown, `f.ini: [s] k: unknown k "c", want one of a, b`},
 		{"k = 1", func(s *Section) { s.Text("k", ""); s.RequireName() }, ErrMissing, "f.ini: [s]: missing name, want [s NAME]"},
 	} {
 		file, err := Parse("f.ini", []byte("[s]\n"+c.line+"\n"))
--- a/internal/inifile/values.go
+++ b/internal/inifile/values.go
@@ -49,7 +49,7 @@
 	value := s.Text(key, fallback)
 	index := slices.Index(choices, value)
 	if index < 0 {
-		s.AddError(key, "%w %s %q, known are %s", ErrUnknown, key, value, strings.Join(choices, ", "))
+		s.AddError(key, "%w %s %q, want one of %s", ErrUnknown, key, value, strings.Join(choices, ", "))
 		return 0
 	}
 	return index
