--- a/cmd/martenlock/demo.go
+++ b/cmd/martenlock/demo.go
@@ -13,7 +13,7 @@
 )
 
 // errRuleBroken is the result of the command if a rule was broken in a fault scenario.
-var errRuleBroken = errors.New("a rule was broken")
+var errRuleBroken = errors.New("at least one rule was broken in the fault scenario")
 
 const demoHelp = `Run a router and 17 fake engines in one process: prefill, decode, embeddings and rerank
 engines with made-up answers. Without further flags the demo prints example requests and
--- a/cmd/martenlock/measure.go
+++ b/cmd/martenlock/measure.go
@@ -28,7 +28,7 @@
 		RunE: func(command *cobra.Command, args []string) error {
 			options.Out = command.OutOrStdout()
 			if args[0] != "embeddings" {
-				return fmt.Errorf("unknown experiment %q, known is embeddings", args[0])
+				return fmt.Errorf("unknown experiment %q, want embeddings", args[0])
 			}
 			return experiment.Embeddings(options)
 		},
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -39,7 +39,7 @@
 )
 
 // errTooFewCores is returned on a machine with a single core.
-var errTooFewCores = errors.New("the benchmark needs two cores")
+var errTooFewCores = errors.New("the benchmark needs at least two CPU cores")
 
 // streamCounts are the numbers of concurrent streams to measure.
 var streamCounts = []int{32, 256}
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -119,7 +119,7 @@
 		case parseError != nil:
 			return used, false, parseError
 		case kind == http1.HeadDone && parser.Head.Status != http.StatusOK:
-			return used, false, fmt.Errorf("status %d", parser.Head.Status)
+			return used, false, fmt.Errorf("response has status %d, want %d", parser.Head.Status, http.StatusOK)
 		case kind == http1.End:
 			return used, true, nil
 		case kind == http1.NeedMore:
--- a/internal/enginetest/engine.go
+++ b/internal/enginetest/engine.go
@@ -147,7 +147,7 @@
 	}
 	parsed, err := http.ReadRequest(bufio.NewReader(strings.NewReader(raw)))
 	if err != nil {
-		return nil, fmt.Errorf("%q: %w", raw, err)
+		return nil, fmt.Errorf("parse request %q: %w", raw, err)
 	}
 	_, body, _ := strings.Cut(raw, "\r\n\r\n")
 	return &Request{
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -27,7 +27,7 @@
 	}
 	if p.isInterim() {
 		if h.Status == http.StatusSwitchingProtocols {
-			return malformed("unrequested switch of protocols")
+			return malformed("unexpected status 101 (Switching Protocols)")
 		}
 		return nil
 	}
