--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -94,7 +94,7 @@
 		return membership.Endpoint{}, e.fieldError("host_port", fmt.Sprintf("invalid address %.60q", e.HostPort))
 	}
 	if state == control.Ready && kind < 0 {
-		return membership.Endpoint{}, e.fieldError("flavor", fmt.Sprintf("unknown %.40q", e.Kind))
+		return membership.Endpoint{}, e.fieldError("flavor", fmt.Sprintf("unknown value %.40q", e.Kind))
 	}
 	return membership.Endpoint{
 		Endpoint: control.Endpoint{
@@ -121,7 +121,7 @@
 	case phaseGone:
 		return control.Gone, nil
 	}
-	return control.Gone, e.fieldError("phase", fmt.Sprintf("unknown %.40q", e.Phase))
+	return control.Gone, e.fieldError("phase", fmt.Sprintf("unknown value %.40q", e.Phase))
 }
 
 func (e *endpointEntry) fieldError(field, reason string) error {
