--- a/control/admission/queue_test.go
+++ b/control/admission/queue_test.go
@@ -352,9 +352,9 @@
 	}
 }
 
-// TestStartedThenSmallestRequestFirst: within a tenant, a request that has started comes first, then the
-// smallest.
-func TestStartedThenSmallestRequestFirst(t *testing.T) {
+// TestStartedThenSmallestRequestIsAdmittedFirst: within a tenant, a request that has started comes first,
+// then the smallest.
+func TestStartedThenSmallestRequestIsAdmittedFirst(t *testing.T) {
 	s := newSimulation(1, 10000, Settings{LargeTokens: 1})
 	s.enqueue(1, 1, 6, 1000, time.Hour)
 	s.run(150 * time.Millisecond)
@@ -374,10 +374,10 @@
 	}
 }
 
-// TestRequestsRejectedByThroughput: the queue learns the throughput and keeps the endpoints busy. It
-// rejects a request that cannot end in time, on arrival or after the endpoints have become slower, and
+// TestRequestsThatCannotEndInTimeAreRejected: the queue learns the throughput and keeps the endpoints busy.
+// It rejects a request that cannot end in time, on arrival or after the endpoints have become slower, and
 // accepts requests again after the endpoints have recovered.
-func TestRequestsRejectedByThroughput(t *testing.T) {
+func TestRequestsThatCannotEndInTimeAreRejected(t *testing.T) {
 	s := newSimulation(4, 20000, Settings{LargeTokens: 1, OutstandingWork: 250 * time.Millisecond})
 
 	// The queue learns the throughput, without and with small requests.
@@ -427,10 +427,10 @@
 	}
 }
 
-// TestLateSmallRequestsLowerShare: late small requests lower the share of large requests, down to one unit
-// at a time. The share recovers when small requests are on time again. A late small request has no effect
-// while no large request is outstanding.
-func TestLateSmallRequestsLowerShare(t *testing.T) {
+// TestLateSmallRequestsLowerShareOfLargeOnes: late small requests lower the share of large requests, down to
+// one unit at a time. The share recovers when small requests are on time again. A late small request has no
+// effect while no large request is outstanding.
+func TestLateSmallRequestsLowerShareOfLargeOnes(t *testing.T) {
 	s := newSimulation(8, 10000, Settings{LargeTokens: 1, OutstandingWork: 50 * time.Millisecond})
 
 	s.observeSmall(second)
@@ -461,9 +461,9 @@
 	}
 }
 
-// TestClientCannotHoldBackOthers: one client cannot delay the large requests of another, neither by
+// TestClientCannotDelayRequestsOfOthers: one client cannot delay the large requests of another, neither by
 // cancelling its own early nor by sending small requests with a short client time-out.
-func TestClientCannotHoldBackOthers(t *testing.T) {
+func TestClientCannotDelayRequestsOfOthers(t *testing.T) {
 	s := newSimulation(2, 10000, Settings{LargeTokens: 1, OutstandingWork: 100 * time.Millisecond})
 	s.enqueue(1, 1, 60, 1000, time.Hour)
 	s.run(3 * second)
--- a/control/batching/sequentialretry_test.go
+++ b/control/batching/sequentialretry_test.go
@@ -8,9 +8,9 @@
 	_ "martenlock/internal/proptest"
 )
 
-// TestRetriesSequentialUntilCauseFound: requests are retried one at a time until one has lost its connection.
-// Each is retried once, and cancelled requests do not delay the others.
-func TestRetriesSequentialUntilCauseFound(t *testing.T) {
+// TestRetriesAreSequentialUntilOneLosesItsConnection: requests are retried one at a time until one has lost
+// its connection. Each is retried once, and cancelled requests do not delay the others.
+func TestRetriesAreSequentialUntilOneLosesItsConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var retry SequentialRetry
 		count := rapid.IntRange(0, 8).Draw(t, "requests")
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestCellListedInTwoZonesIsHarmless(t *testing.T) {
+func TestCellListedInTwoZonesServesRequests(t *testing.T) {
 	h := startRouter(t, testSettings())
 	h.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
 		{ID: 1, State: Ready, Kind: int(RolePrefill), Weight: 1},
--- a/control/connlimit/idlelist_test.go
+++ b/control/connlimit/idlelist_test.go
@@ -9,9 +9,9 @@
 	_ "martenlock/internal/proptest"
 )
 
-// TestLongestIdleMatchesPlainList: after any sequence of changes, LongestIdle returns the first element
-// of a slice of idle connections, kept in the order in which they became idle.
-func TestLongestIdleMatchesPlainList(t *testing.T) {
+// TestLongestIdleReturnsFirstThatBecameIdle: after any sequence of changes, LongestIdle returns the
+// first element of a slice of idle connections, kept in the order in which they became idle.
+func TestLongestIdleReturnsFirstThatBecameIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list IdleList[int]
 		var idle []int
--- a/control/health_test.go
+++ b/control/health_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestUnresponsiveEndpointIsEjectedAndItsPrefillsMove(t *testing.T) {
+func TestUnresponsiveEndpointIsEjectedAndItsPrefillsAreRetried(t *testing.T) {
 	h := startRouter(t, testSettings(), RolePrefill, RolePrefill, RoleDecode)
 	prefill := h.arrive(0, h.request(1, classIdempotent))
 
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestFirstSlowPrefillIsNotUnresponsive(t *testing.T) {
+func TestFirstSlowPrefillDoesNotEjectItsEndpoint(t *testing.T) {
 	h := startRouter(t, testSettings(), RolePrefill, RolePrefill, RoleDecode)
 	h.handle(0, h.request(1, classIdempotent))
 	if logs := actionsOf[Log](h.ticks(700 * ms)); len(logs) != 0 {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestStreamingEndpointIsNotUnresponsive(t *testing.T) {
+func TestStreamingEndpointIsNotEjected(t *testing.T) {
 	h := startRouter(t, testSettings(), RolePrefill, RoleDecode, RoleDecode)
 	decode := h.arriveAndPrefill(0, h.request(1, classIdempotent))
 	h.startAnswer(10*ms, decode)
@@ -176,9 +176,9 @@
 	}
 }
 
-// TestQueueingBehindOthersIsNotSlowness: two short prefills in a row that waited behind long prefills of
+// TestQueueingBehindOthersEjectsNoEndpoint: two short prefills in a row that waited behind long prefills of
 // other routers do not eject their engine. TestSlowEndpointIsEjected checks the opposite case.
-func TestQueueingBehindOthersIsNotSlowness(t *testing.T) {
+func TestQueueingBehindOthersEjectsNoEndpoint(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[classIdempotent].TTFTObjective = 10 * time.Second // nothing is rejected for its objective
 	h := startRouter(t, settings, RolePrefill, RolePrefill, RolePrefill, RoleDecode)
@@ -252,10 +252,10 @@
 	}
 }
 
-// TestOvertakenAttemptIsCancelled: a prefill is cancelled if two later prefills at its engine finish first,
-// and the engine is not ejected. With fewer, it is not cancelled. A request that is not idempotent is never
-// cancelled at a decode engine.
-func TestOvertakenAttemptIsCancelled(t *testing.T) {
+// TestPrefillOvertakenByLaterOnesIsCancelled: a prefill is cancelled if two later prefills at its engine
+// finish first, and the engine is not ejected. With fewer, it is not cancelled. A request that is not
+// idempotent is never cancelled at a decode engine.
+func TestPrefillOvertakenByLaterOnesIsCancelled(t *testing.T) {
 	for later := range 4 {
 		h := startRouter(t, testSettings(), RolePrefill, RoleDecode)
 		h.arrive(0, h.request(1, classIdempotent))
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -227,9 +227,9 @@
 	}
 }
 
-// TestLaterEntryForAnEndpointCounts: if an update has two entries for one endpoint, the later one counts, in
-// the view and in the change.
-func TestLaterEntryForAnEndpointCounts(t *testing.T) {
+// TestLaterOfTwoEntriesForAnEndpointApplies: if an update has two entries for one endpoint, the later one
+// counts, in the view and in the change.
+func TestLaterOfTwoEntriesForAnEndpointApplies(t *testing.T) {
 	var view View
 
 	change := apply(t, &view, 1, Update{1, true, []Endpoint{
--- a/control/membership/watch_test.go
+++ b/control/membership/watch_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestChangesAreKnownInTimeDespiteFailedCalls: a change reaches the router within the time that the
+// TestChangesArriveInTimeDespiteFailedCalls: a change reaches the router within the time that the
 // platform allows, even if two calls to discovery in a row become unresponsive.
-func TestChangesAreKnownInTimeDespiteFailedCalls(t *testing.T) {
+func TestChangesArriveInTimeDespiteFailedCalls(t *testing.T) {
 	const allowed = 6 * time.Second
 	backoff := NextBackoff(0)
 	worst := WatchTimeout + backoff + WatchTimeout + NextBackoff(backoff) + MaxBackoff
--- a/control/placement_test.go
+++ b/control/placement_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestColocatedEngineTakesKVStateThatNoDecodeEngineCan(t *testing.T) {
+func TestColocatedEngineDecodesIfThereIsNoDecodeEngine(t *testing.T) {
 	h := startRouter(t, testSettings(), RolePrefill)
 	prefill := h.arrive(0, h.request(1, classIdempotent))
 	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Kind: int(RoleColocated), Weight: 1}}})
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestCellWithoutDecodeEnginesUsesWhatOthersSpare(t *testing.T) {
+func TestCellWithoutDecodeEnginesUsesSpareCapacityOfOthers(t *testing.T) {
 	list := testEndpoints(8, 8)
 	for i := range list[8:] { // all decode engines are in cells 4 to 7
 		list[8+i].Cell = uint16(4 + i%4)
--- a/control/retention_test.go
+++ b/control/retention_test.go
@@ -15,9 +15,9 @@
 	return startRouter(t, settings, roles...)
 }
 
-// TestKVStateIsReleasedDuringUnprovenAttempt: while nothing proves that a decode attempt has reached its
-// engine, the release is emitted exactly once, early enough to arrive within the retention limit.
-func TestKVStateIsReleasedDuringUnprovenAttempt(t *testing.T) {
+// TestKVStateIsReleasedWhileArrivalOfAttemptIsUnknown: while nothing proves that a decode attempt has reached
+// its engine, the release is emitted exactly once, early enough to arrive within the retention limit.
+func TestKVStateIsReleasedWhileArrivalOfAttemptIsUnknown(t *testing.T) {
 	for class := range 3 {
 		h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode)
 		h.arriveAndPrefill(0, h.request(1, class))
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestAgeOfKVStateCountsFromTheLatestProof: an attempt that ends without proof of arrival does not reset the
-// age of the KV state. An attempt that got a response does.
-func TestAgeOfKVStateCountsFromTheLatestProof(t *testing.T) {
+// TestAgeOfKVStateCountsFromLatestProvenArrival: an attempt that ends without proof of arrival does not reset
+// the age of the KV state. An attempt that got a response does.
+func TestAgeOfKVStateCountsFromLatestProvenArrival(t *testing.T) {
 	for result, isProof := range map[Result]bool{Reset: false, Cancelled: false, ConnectFailed: false, NotSent: false, Failed: true, Rejected: true} {
 		h := startReleasing(t, RolePrefill, RoleDecode, RoleDecode, RoleDecode)
 		decode := h.arriveAndPrefill(0, h.request(1, classIdempotent))
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestDecodeEngineThatMissedKVStateIsExcluded: a decode engine that could not fetch a KV state may be unable
-// to fetch the next one too, so the request goes to another.
-func TestDecodeEngineThatMissedKVStateIsExcluded(t *testing.T) {
+// TestDecodeEngineThatCouldNotFetchKVStateIsExcluded: a decode engine that could not fetch a KV state may be
+// unable to fetch the next one too, so the request goes to another.
+func TestDecodeEngineThatCouldNotFetchKVStateIsExcluded(t *testing.T) {
 	for id := RequestID(1); id <= 10; id++ {
 		h := startRouter(t, testSettings(), RolePrefill, RoleDecode, RoleDecode)
 		decode := h.arriveAndPrefill(0, h.request(id, classIdempotent))
@@ -131,9 +131,10 @@
 	}
 }
 
-// TestPriorAttemptsAndResetsCount: the attempts of a request as part of a batch count towards its maximum. If
-// all of its attempts lost their connection, it ends with Fail, since a repeat could crash more engines.
-func TestPriorAttemptsAndResetsCount(t *testing.T) {
+// TestPriorAttemptsAndResetsAreCounted: the attempts of a request as part of a batch count towards its
+// maximum. If all of its attempts lost their connection, it ends with Fail, since a repeat could crash more
+// engines.
+func TestPriorAttemptsAndResetsAreCounted(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[classIdempotent].MaxAttempts = 2
 	for _, c := range []struct {
--- a/control/statemachine_test.go
+++ b/control/statemachine_test.go
@@ -364,10 +364,10 @@
 	})
 }
 
-// TestRandomEventsKeepTheRules passes random events to the modules, whose actions the stateMachine checks. At
-// the end every request must have exactly one final answer or have lost its client, and every table must be
-// empty.
-func TestRandomEventsKeepTheRules(t *testing.T) {
+// TestInvariantsHoldForRandomEvents passes random events to the modules, whose actions the stateMachine
+// checks. At the end every request must have exactly one final answer or have lost its client, and every
+// table must be empty.
+func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newStateMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
