--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -17,10 +17,10 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestEndpointUpdatesAndNewWatches: a message is applied once its last piece has arrived. A list of an earlier revision
-// and invalid entries change no engine. After a malformed message or the end of the watch, a new watch requests the
-// changes since the latest revision.
-func TestEndpointUpdatesAndNewWatches(t *testing.T) {
+// TestWatchAppliesValidUpdatesAndRestartsAfterErrors: a message is applied once its last piece has arrived. A list of an
+// earlier revision and invalid entries change no engine. After a malformed message or the end of the watch, a new watch
+// requests the changes since the latest revision.
+func TestWatchAppliesValidUpdatesAndRestartsAfterErrors(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
 	draining, other := h.engines[1], h.engines[2]
 	callsBefore := h.discovery.Calls()
--- a/internal/platform/draining_test.go
+++ b/internal/platform/draining_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestPendingSendEndsWithDrainGrace: an attempt whose connection is not established when the drain
-// grace of its engine ends is retried at another engine.
-func TestPendingSendEndsWithDrainGrace(t *testing.T) {
+// TestPendingAttemptIsRetriedWhenDrainGraceEnds: an attempt whose connection is not established
+// when the drain grace of its engine ends is retried at another engine.
+func TestPendingAttemptIsRetriedWhenDrainGraceEnds(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
 	connecting, other := h.engines[1], h.engines[2]
 	connecting.ListedAddress = enginetest.UnreachableAddress(t).String()
--- a/internal/platform/forwarding_test.go
+++ b/internal/platform/forwarding_test.go
@@ -15,10 +15,10 @@
 // largeEvent is an event of about 8 kB.
 var largeEvent = `data: {"a":"` + strings.Repeat("x", 8000) + "\"}\n\n"
 
-// TestRequestAndEventsPassUnchanged: the target, id and body of a request are forwarded unchanged to a
-// prefill engine and then to a decode engine, and the client receives the events unchanged, on a
-// connection that stays open.
-func TestRequestAndEventsPassUnchanged(t *testing.T) {
+// TestRequestAndEventsAreForwardedUnchanged: the target, id and body of a request are forwarded
+// unchanged to a prefill engine and then to a decode engine, and the client receives the events
+// unchanged, on a connection that stays open.
+func TestRequestAndEventsAreForwardedUnchanged(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	if answer := h.roundTrip(healthCheck); answer.Code != http.StatusOK {
 		t.Fatalf("health check: answered %+v, want status 200", answer)
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestEventsAreForwardedSinglyAndAtOnce: each event is forwarded without waiting for the next one,
-// while another client reads nothing and further requests keep the server busy.
-func TestEventsAreForwardedSinglyAndAtOnce(t *testing.T) {
+// TestEventsAreForwardedOneByOneWithoutDelay: each event is forwarded without waiting for the next
+// one, while another client reads nothing and further requests keep the server busy.
+func TestEventsAreForwardedOneByOneWithoutDelay(t *testing.T) {
 	const maxDelay = 300 * time.Millisecond
 	const eventCount = 10
 	h := startHarness(t, "r1", "w1")
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestStreamIsTheSameWhereverItIsCut: a client receives the same stream wherever the engine's
+// TestStreamDoesNotDependOnSplitOfResponse: a client receives the same stream wherever the engine's
 // response is split into two writes, also within the head and the first event.
-func TestStreamIsTheSameWhereverItIsCut(t *testing.T) {
+func TestStreamDoesNotDependOnSplitOfResponse(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	stream := platformtest.Stream()
 	cuts, testEnded := make(chan int, 1), make(chan struct{})
--- a/internal/platform/kvretention_test.go
+++ b/internal/platform/kvretention_test.go
@@ -41,21 +41,21 @@
 	waitFor(c.T, "the prefill", func() bool { return c.retainedFor(requestID) > 0 })
 }
 
-// TestKVStateReleasedBehindSilentConnections: if decode engines become unresponsive while their
-// connections stay open, decode attempts are written completely but never processed. The KV state at
-// the prefill engine is still released within its limit.
-func TestKVStateReleasedBehindSilentConnections(t *testing.T) {
+// TestKVStateReleasedWhileDecodeEnginesAreUnresponsive: if decode engines become unresponsive while
+// their connections stay open, decode attempts are written completely but never processed. The KV
+// state at the prefill engine is still released within its limit.
+func TestKVStateReleasedWhileDecodeEnginesAreUnresponsive(t *testing.T) {
 	for name, test := range map[string]struct {
 		class     string
 		isWarm    bool // attempts use idle connections, else new ones
 		isProxied bool // the connections are cut, else the processes are stopped
 	}{
-		"process stopped, new connections":          {class: "ask"},
-		"process stopped, idle connections":         {class: "ask", isWarm: true},
-		"process stopped, not idempotent":           {class: "note", isWarm: true},
-		"connection cut, new connections":           {class: "ask", isProxied: true},
-		"connection cut, idle connections":          {class: "ask", isProxied: true, isWarm: true},
-		"connection cut, request is not idempotent": {class: "note", isProxied: true, isWarm: true},
+		"process stopped, new connections":  {class: "ask"},
+		"process stopped, idle connections": {class: "ask", isWarm: true},
+		"process stopped, not idempotent":   {class: "note", isWarm: true},
+		"connection cut, new connections":   {class: "ask", isProxied: true},
+		"connection cut, idle connections":  {class: "ask", isProxied: true, isWarm: true},
+		"connection cut, not idempotent":    {class: "note", isProxied: true, isWarm: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -110,12 +110,12 @@
 		"router shuts down": {engines: []engineSpec{prefill, decode, decode}, disturb: func(c *cluster, _ net.Conn) {
 			c.signal(syscall.SIGTERM)
 		}},
-		"connection reset late, next engine silent": {engines: []engineSpec{prefill, proxied, proxied}, class: "ask", disturb: func(c *cluster, _ net.Conn) {
+		"connection reset late, next engine unresponsive": {engines: []engineSpec{prefill, proxied, proxied}, class: "ask", disturb: func(c *cluster, _ net.Conn) {
 			time.Sleep(200 * time.Millisecond)
 			c.engines[1].proxy.reset()
 			c.engines[2].proxy.reset()
 		}},
-		"five of six engines silent": {engines: []engineSpec{prefill, decode, decode, decode, decode, decode}},
+		"five of six engines unresponsive": {engines: []engineSpec{prefill, decode, decode, decode, decode, decode}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -191,11 +191,11 @@
 	}
 }
 
-// TestKVStateReleasedUnderRandomSilence: in a cluster of two routers and nine engines under load, of
-// which up to five of the six decode engines are unresponsive at a time, no KV state is retained past
-// its limit and every client is answered in time. MARTENLOCK_TEST_SECONDS sets the duration of the
-// load in seconds.
-func TestKVStateReleasedUnderRandomSilence(t *testing.T) {
+// TestKVStateReleasedWhileRandomEnginesAreUnresponsive: in a cluster of two routers and nine engines
+// under load, of which up to five of the six decode engines are unresponsive at a time, no KV state is
+// retained past its limit and every client is answered in time. MARTENLOCK_TEST_SECONDS sets the
+// duration of the load in seconds.
+func TestKVStateReleasedWhileRandomEnginesAreUnresponsive(t *testing.T) {
 	const requestInterval = 25 * time.Millisecond
 	seconds, err := strconv.Atoi(cmp.Or(os.Getenv("MARTENLOCK_TEST_SECONDS"), "4"))
 	if err != nil {
--- a/internal/platform/outcome_test.go
+++ b/internal/platform/outcome_test.go
@@ -7,8 +7,8 @@
 	"martenlock/internal/upstream"
 )
 
-// TestResultFollowsResponseAndConnError checks the table of outcomes in docs/platform-design.md.
-func TestResultFollowsResponseAndConnError(t *testing.T) {
+// TestResultDependsOnResponseAndConnError checks the table of outcomes in docs/platform-design.md.
+func TestResultDependsOnResponseAndConnError(t *testing.T) {
 	for _, test := range []struct {
 		role       control.Role
 		status     int
--- a/internal/platform/retry_test.go
+++ b/internal/platform/retry_test.go
@@ -12,9 +12,9 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestRetryFollowsClassAndEngineResponse: the engine's response and the class of the request decide
+// TestRetryDependsOnClassAndEngineResponse: the engine's response and the class of the request decide
 // whether the request is retried at another engine, and which status its client receives.
-func TestRetryFollowsClassAndEngineResponse(t *testing.T) {
+func TestRetryDependsOnClassAndEngineResponse(t *testing.T) {
 	stream := platformtest.Stream()
 	for _, test := range []struct {
 		name      string
@@ -30,7 +30,7 @@
 		{"malformed event", platformtest.Respond(platformtest.StreamHead + platformtest.Chunk("\x00\xff\x13 no event \n\n")), 200, 502},
 		{"malformed head", platformtest.Respond("\x01\x02\r\n\r\n"), 200, 502},
 		{"endless head", platformtest.Respond("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 64<<10)), 200, 502},
-		{"bad chunk", platformtest.Respond(platformtest.StreamHead + "zz\r\n"), 200, 502},
+		{"malformed chunk size", platformtest.Respond(platformtest.StreamHead + "zz\r\n"), 200, 502},
 		{"enormous chunk", platformtest.Respond(platformtest.StreamHead + "c0000000\r\n" + platformtest.FirstEvent), 200, 502},
 		{"stream without events", platformtest.Respond(platformtest.StreamHead + platformtest.LastChunk), 200, 502},
 		{"200 without a stream", platformtest.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi\n"), 200, 502},
@@ -78,7 +78,7 @@
 func TestTruncatedStreamEndsConnectionAndIsNotRetried(t *testing.T) {
 	for name, script := range map[string]platformtest.Script{
 		"connection closed":          platformtest.RespondAndClose(platformtest.TruncatedStream()),
-		"bad chunk":                  platformtest.Respond(platformtest.TruncatedStream() + "zz\r\n"),
+		"malformed chunk size":       platformtest.Respond(platformtest.TruncatedStream() + "zz\r\n"),
 		"chunk longer than its size": platformtest.Respond(platformtest.TruncatedStream() + "5\r\nabcdefgh\r\n"),
 		"enormous chunk":             platformtest.Respond(platformtest.TruncatedStream() + "c0000000\r\nxxx"),
 	} {
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestServersInOneProcessActByTheirOwnSettings: servers that run in one process with different names,
-// idempotencies, deadlines and limits each follow their own settings.
-func TestServersInOneProcessActByTheirOwnSettings(t *testing.T) {
+// TestServersInOneProcessFollowTheirOwnSettings: servers that run in one process with different
+// names, idempotencies, deadlines and limits each follow their own settings.
+func TestServersInOneProcessFollowTheirOwnSettings(t *testing.T) {
 	for _, test := range []struct {
 		hasOtherSettings bool
 		class            string
