--- a/internal/enginecall/call_test.go
+++ b/internal/enginecall/call_test.go
@@ -212,9 +212,9 @@
 	f.expectRemaining(0, 0, 0)
 }
 
-// TestCallWithoutConnectionEndsWithinStart: if the pool can make no connection, OnDone is called before
-// Start returns.
-func TestCallWithoutConnectionEndsWithinStart(t *testing.T) {
+// TestCallWithoutConnectionEndsBeforeStartReturns: if the pool can make no connection, OnDone is called
+// before Start returns.
+func TestCallWithoutConnectionEndsBeforeStartReturns(t *testing.T) {
 	f := newCallFixture(t, enginetest.RefusingAddress(t))
 	f.pool.Options.MaxPerEngine = 0
 	f.loop.Do(func() {
--- a/internal/enginetest/enginetest_test.go
+++ b/internal/enginetest/enginetest_test.go
@@ -12,7 +12,7 @@
 )
 
 // A dial to a refusing address fails with ECONNREFUSED, one to an unreachable address only by its timeout.
-func TestRefusingAndUnreachableAddresses(t *testing.T) {
+func TestDialOfRefusingAndUnreachableAddressesFails(t *testing.T) {
 	const timeout = 200 * time.Millisecond
 	dial := func(address string) error {
 		conn, err := net.DialTimeout("tcp", address, timeout)
--- a/internal/eventloop/run_test.go
+++ b/internal/eventloop/run_test.go
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestLateLoopReadsBeforeTimersFire: a delayed loop reads all bytes that arrived meanwhile before it
+// TestDelayedLoopReadsBeforeTimersFire: a delayed loop reads all bytes that arrived meanwhile before it
 // fires the timers that became due, even if that takes several iterations. Otherwise it would time
 // out peers whose bytes arrived in time.
-func TestLateLoopReadsBeforeTimersFire(t *testing.T) {
+func TestDelayedLoopReadsBeforeTimersFire(t *testing.T) {
 	l, err := New(Options{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fakeengine/fault_test.go
+++ b/internal/fakeengine/fault_test.go
@@ -27,12 +27,12 @@
 		isBroken bool   // the connection ends before the end of the response
 		contains string // a substring of the response
 	}{
-		{"none", Fault{}, chatPath, stream, http.StatusOK, false, "data: [DONE]"},
-		{"errors", Fault{ErrorRate: 1}, chatPath, stream, http.StatusInternalServerError, false, "made to fail"},
+		{"no fault", Fault{}, chatPath, stream, http.StatusOK, false, "data: [DONE]"},
+		{"all requests fail", Fault{ErrorRate: 1}, chatPath, stream, http.StatusInternalServerError, false, "made to fail"},
 		{"rejects everything", Fault{RejectAll: true}, chatPath, stream, http.StatusServiceUnavailable, false, "overloaded"},
 		{"reset before execution", Fault{ResetBefore: true}, chatPath, stream, 0, true, ""},
 		{"reset before the first token", Fault{ResetAfter: -1}, chatPath, stream, 0, true, ""},
-		{"request that no engine takes", Fault{}, chatPath, chatBody(`,"user":"` + RejectMarker + `"`), http.StatusBadRequest, false, "invalid_input"},
+		{"request with the reject marker", Fault{}, chatPath, chatBody(`,"user":"` + RejectMarker + `"`), http.StatusBadRequest, false, "invalid_input"},
 		{"well-formed embeddings", Fault{}, embeddingsPath, inputs, http.StatusOK, false, `"index":1`},
 		{"numbers out of range", Fault{EmbeddingDefect: EmbeddingInfinite}, embeddingsPath, inputs, http.StatusOK, false, "e999"},
 		{"embedding in invalid base64", Fault{EmbeddingDefect: EmbeddingInvalidBase64}, embeddingsPath, inBase64, http.StatusOK, false, "a*b"},
--- a/internal/httpserver/conns_test.go
+++ b/internal/httpserver/conns_test.go
@@ -137,7 +137,7 @@
 	client.expectEnd()
 }
 
-func TestTakenBodyStaysReserved(t *testing.T) {
+func TestMemoryOfTakenBodyStaysReserved(t *testing.T) {
 	s := startServer(t, longTimeouts())
 	client, h := s.dial()
 	client.sendAndServe(h, postHead("/later", "4"), "body")
--- a/internal/invariant/execution_test.go
+++ b/internal/invariant/execution_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestRequestIsExecutedTwiceOnlyIfItMayBe(t *testing.T) {
+func TestSecondExecutionIsAllowedOnlyIfIdempotentOrKeyed(t *testing.T) {
 	checkRule(t, executionIndex, []testCase{
 		{"not idempotent, twice", concat(served("q", NotIdempotent), executed(400, "q", "v")), "executed at v"},
 		{"idempotent, twice", concat(served("q", Idempotent), executed(400, "q", "v")), ""},
@@ -11,7 +11,7 @@
 	})
 }
 
-func TestRejectionPromisesThatNothingWasExecuted(t *testing.T) {
+func TestRejectionAfterExecutionIsAViolation(t *testing.T) {
 	attempted := concat(list(sent(0, "q", NotIdempotent)), list(at(5, AttemptBegan, "q", "w"), at(6, Executed, "q", "w"), at(7, AttemptEnded, "q", "w")))
 	checkRule(t, executionIndex, []testCase{
 		{"rejected after execution", concat(attempted, list(answer(9, "q", Rejected))), "harmless"},
--- a/internal/openaiserver/service_test.go
+++ b/internal/openaiserver/service_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestLimitsOnOpenRequestsBufferingAndShutdown: a request above the limit "held" is rejected at once, an answer longer
-// than "hold_back" is streamed, and a stream that is still open after the time-out "shutdown" is aborted.
-func TestLimitsOnOpenRequestsBufferingAndShutdown(t *testing.T) {
+// TestLimitsOnOpenRequestsBufferingAndShutdownApply: a request above the limit "held" is rejected at once, an answer
+// longer than "hold_back" is streamed, and a stream that is still open after the time-out "shutdown" is aborted.
+func TestLimitsOnOpenRequestsBufferingAndShutdownApply(t *testing.T) {
 	specs := prefillDecodeSpecs(1, 1)
 	specs[1].TokenInterval, specs[1].AnswerTokens = 20*ms, 10_000
 	h := startHarness(t, specs, "[limits]\n", "[limits]\nheld = 1\nhold_back = 10\nshutdown = 300ms\n")
--- a/internal/proptest/proptest_test.go
+++ b/internal/proptest/proptest_test.go
@@ -77,8 +77,9 @@
 	return imports, nil
 }
 
-// TestEnvironmentVariableOfFlag: the names of environment variables are those that rapid documents.
-func TestEnvironmentVariableOfFlag(t *testing.T) {
+// TestEnvironmentVariablesHaveNamesThatRapidDocuments: the names of environment variables are those
+// that rapid documents.
+func TestEnvironmentVariablesHaveNamesThatRapidDocuments(t *testing.T) {
 	if name := environmentVariable("rapid.nofailfile"); name != "RAPID_NOFAILFILE" {
 		t.Errorf("rapid.nofailfile is set by %s, want RAPID_NOFAILFILE", name)
 	}
--- a/internal/upstream/connerror_test.go
+++ b/internal/upstream/connerror_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestConnErrorTextTellsHowFarTheRequestGot: each stage at which a request can fail has its own text.
-func TestConnErrorTextTellsHowFarTheRequestGot(t *testing.T) {
+// TestConnErrorTextNamesStageOfFailure: each stage at which a request can fail has its own text.
+func TestConnErrorTextNamesStageOfFailure(t *testing.T) {
 	for want, err := range map[string]ConnError{
 		"upstream: connection not established":                         {},
 		"upstream: connection closed before the request was written":   {Established: true},
