--- a/control/membership/example_test.go
+++ b/control/membership/example_test.go
@@ -19,17 +19,17 @@
 	var view membership.View
 	current := membership.Update{
 		Revision:  7,
-		Complete:  true,
+		Full:      true,
 		Endpoints: []membership.Endpoint{endpoint(1, control.Ready)},
 	}
 	if _, err := view.Apply(now, current); err != nil {
 		fmt.Println(err)
 	}
 
-	// A stale complete list with another endpoint changes nothing at first.
+	// A stale full list with another endpoint changes nothing at first.
 	stale := membership.Update{
 		Revision:  3,
-		Complete:  true,
+		Full:      true,
 		Endpoints: []membership.Endpoint{endpoint(2, control.Ready)},
 	}
 	change, err := view.Apply(now, stale)
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -1,12 +1,12 @@
-// Package membership maintains the endpoint list from the updates of discovery. Updates are complete lists
+// Package membership maintains the endpoint list from the updates of discovery. Updates are full lists
 // or changes, and may be out of order or stale. Like package control, the package does no I/O and reads no
 // clock.
 //
 // An endpoint has ended when it is draining or gone. An update with the view's revision or a later one is
 // applied. An update with an earlier revision is stale. It ends endpoints at once, since a request sent to an
 // endpoint that has ended may be lost, but it adds none. If only stale updates arrive for StaleAcceptDelay
-// after a stale complete list, discovery is assumed to have lost its later revisions and restarted its count,
-// and the latest stale complete list is applied. Even then, endpoints that a later revision ended stay ended,
+// after a stale full list, discovery is assumed to have lost its later revisions and restarted its count,
+// and the latest stale full list is applied. Even then, endpoints that a later revision ended stay ended,
 // until EndedRetention has passed or an update with the accepted revision or a later one lists them as ready.
 //
 // The package also defines the time-outs and the backoff of the connections to discovery.
@@ -31,7 +31,7 @@
 // Update is one message of discovery.
 type Update struct {
 	Revision  uint64
-	Complete  bool // a full list: endpoints that are not in Endpoints are gone
+	Full      bool // a full list: endpoints that are not in Endpoints are gone
 	Endpoints []Endpoint
 }
 
@@ -44,7 +44,7 @@
 func (c Change) IsEmpty() bool { return !c.Full && len(c.Endpoints) == 0 }
 
 const (
-	// StaleAcceptDelay is the time after which a stale complete list is applied if only stale updates arrive.
+	// StaleAcceptDelay is the time after which a stale full list is applied if only stale updates arrive.
 	// A current list that the stale one has overtaken arrives within this time. The delay must be shorter
 	// than the drain grace: after an outage of discovery, the platform expects the router to apply the new
 	// list within the drain grace.
@@ -68,7 +68,7 @@
 	stale     staleList
 }
 
-// staleList is a complete list that had an earlier revision than the view when it arrived. It is applied if
+// staleList is a full list that had an earlier revision than the view when it arrived. It is applied if
 // only stale updates follow.
 type staleList struct {
 	update            *Update // the latest such list; nil for none
@@ -98,7 +98,7 @@
 		v.stale.update = nil
 		return v.replace(now, update), nil
 	}
-	if update.Complete {
+	if update.Full {
 		v.keepStale(now, update)
 	}
 	return v.replace(now, v.withEndsOnly(update)), nil
@@ -109,10 +109,10 @@
 	if len(update.Endpoints) > MaxEndpoints {
 		return true
 	}
-	return !update.Complete && len(v.endpoints)+len(update.Endpoints) > MaxEndpoints
+	return !update.Full && len(v.endpoints)+len(update.Endpoints) > MaxEndpoints
 }
 
-// keepStale keeps a stale complete list for Poll. The delay starts with the first of several such lists.
+// keepStale keeps a stale full list for Poll. The delay starts with the first of several such lists.
 func (v *View) keepStale(now control.Time, update Update) {
 	if v.stale.update == nil {
 		v.stale.since = now
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestStaleListsDoNotBringBackEndedEndpoints: an endpoint that a later revision ended stays ended despite
-// stale complete lists, until nothing else has arrived for EndedRetention. The steps are complete lists and
+// stale full lists, until nothing else has arrived for EndedRetention. The steps are full lists and
 // changes, in and out of order, and with a restarted count of revisions.
 func TestStaleListsDoNotBringBackEndedEndpoints(t *testing.T) {
 	const pollOnly = 1 << 40 // revision of a step that only polls the view, without an update
@@ -163,7 +163,7 @@
 			true,
 			[]control.EndpointID{1, 4},
 		},
-		{"an empty complete list", 30 * time.Second, Update{3, true, nil}, true, nil},
+		{"a full list without entries", 30 * time.Second, Update{3, true, nil}, true, nil},
 	}
 	for _, step := range steps {
 		now := control.Time(1000).Add(step.at)
--- a/control/membership/replace.go
+++ b/control/membership/replace.go
@@ -12,11 +12,11 @@
 	v.revision = update.Revision
 	v.ended.expire(now)
 	previous := v.endpoints
-	if v.endpoints == nil || update.Complete {
+	if v.endpoints == nil || update.Full {
 		v.endpoints = make(map[control.EndpointID]Endpoint, len(update.Endpoints))
 	}
 	var change Change
-	change.Full = update.Complete
+	change.Full = update.Full
 	for _, entry := range update.Endpoints {
 		current, isKnown := v.latest(entry.ID, previous)
 		endpoint, ok := usableEndpoint(entry, current, isKnown)
@@ -26,7 +26,7 @@
 		v.set(now, endpoint, current)
 		change.add(endpoint.Endpoint)
 	}
-	if update.Complete {
+	if update.Full {
 		v.recordMissing(now, previous)
 	}
 	return change
@@ -68,7 +68,7 @@
 	}
 }
 
-// recordMissing records the ends of the endpoints that are missing in a complete list.
+// recordMissing records the ends of the endpoints that are missing in a full list.
 func (v *View) recordMissing(now control.Time, previous map[control.EndpointID]Endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(previous)) {
 		_, isListed := v.endpoints[id]
--- a/control/statemachine_test.go
+++ b/control/statemachine_test.go
@@ -58,7 +58,7 @@
 		m.listed[id] = m.listEntry(id)
 	}
 	m.revision = 1
-	m.apply(membership.Update{Revision: m.revision, Complete: true, Endpoints: m.listedEndpoints()})
+	m.apply(membership.Update{Revision: m.revision, Full: true, Endpoints: m.listedEndpoints()})
 	return m
 }
 
@@ -331,7 +331,7 @@
 	age := uint64(rapid.IntRange(1, 3).Draw(m.t, "revisions back"))
 	m.apply(membership.Update{
 		Revision:  m.revision - min(m.revision, age),
-		Complete:  rapid.Bool().Draw(m.t, "complete"),
+		Full:      rapid.Bool().Draw(m.t, "full"),
 		Endpoints: []membership.Endpoint{m.drawEntry()},
 	})
 }
@@ -409,7 +409,7 @@
 			},
 			"whole list": func(*rapid.T) {
 				m.revision++
-				m.apply(membership.Update{Revision: m.revision, Complete: true, Endpoints: m.listedEndpoints()})
+				m.apply(membership.Update{Revision: m.revision, Full: true, Endpoints: m.listedEndpoints()})
 			},
 			"": func(t *rapid.T) {
 				if n := len(m.calls); n > maxCalls {
@@ -435,7 +435,7 @@
 		}
 	}
 	only := membership.Endpoint{Addr: engineAddr, Endpoint: control.Endpoint{ID: 9, State: control.Ready, Weight: 1}}
-	m.apply(membership.Update{Revision: m.revision + 1, Complete: true, Endpoints: []membership.Endpoint{only}})
+	m.apply(membership.Update{Revision: m.revision + 1, Full: true, Endpoints: []membership.Endpoint{only}})
 	for range 70 {
 		m.advance(time.Second)
 		m.completeCalls()
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -60,7 +60,7 @@
 // update converts the message to an update of the membership view. Invalid entries are left out; the
 // error joins one error for each of them.
 func (m *endpointListMessage) update(settings *platformsettings.Settings, toControlTime controlTimeFunc) (membership.Update, error) {
-	update := membership.Update{Revision: m.Revision, Complete: m.Complete}
+	update := membership.Update{Revision: m.Revision, Full: m.Complete}
 	var skipped error
 	for i := range m.Entries {
 		endpoint, err := m.Entries[i].endpoint(settings, toControlTime)
--- a/internal/platform/endpointlist_test.go
+++ b/internal/platform/endpointlist_test.go
@@ -25,7 +25,7 @@
 
 		update, err := message.update(settings, noStart)
 
-		if len(update.Endpoints) != 1 || update.Endpoints[0].ID != good.endpointID() || update.Endpoints[0].Zone != 1 || update.Revision != 3 || !update.Complete {
+		if len(update.Endpoints) != 1 || update.Endpoints[0].ID != good.endpointID() || update.Endpoints[0].Zone != 1 || update.Revision != 3 || !update.Full {
 			t.Errorf("invalid entry %+v: update %+v, want the valid entry alone", c, update)
 		}
 		var entryErr *endpointEntryError
