--- a/control/admission/queue.go
+++ b/control/admission/queue.go
@@ -149,7 +149,7 @@
 }
 
 // Poll returns the units that are admitted now and the requests that can no longer end before their
-// deadlines. It must be called after every event, and at NextDeadline.
+// deadlines. It must be called after every event, and at NextPoll.
 func (q *Queue) Poll(now control.Time) PollResult {
 	var result PollResult
 	q.lastPoll = now
@@ -179,9 +179,9 @@
 	return result
 }
 
-// NextDeadline returns when Poll must be called if no event occurs before. It returns false while no request
+// NextPoll returns when Poll must be called if no event occurs before. It returns false while no request
 // waits.
-func (q *Queue) NextDeadline() (deadline control.Time, ok bool) {
+func (q *Queue) NextPoll() (next control.Time, ok bool) {
 	return q.lastPoll.Add(pollInterval), q.waitingTenants.Len() > 0
 }
 
--- a/control/admission/queue_test.go
+++ b/control/admission/queue_test.go
@@ -274,9 +274,9 @@
 	if difference := m.queue.waitingTokens - waitingTokens; difference > 1e-6 || difference < -1e-6 {
 		m.t.Fatalf("the queue counts %v waiting tokens, want %v", m.queue.waitingTokens, waitingTokens)
 	}
-	deadline, ok := m.queue.NextDeadline()
-	if ok != (waitingUnits > 0) || deadline != at(m.now+pollInterval) {
-		m.t.Fatalf("NextDeadline returned %v, %v while %d units wait", deadline, ok, waitingUnits)
+	next, ok := m.queue.NextPoll()
+	if ok != (waitingUnits > 0) || next != at(m.now+pollInterval) {
+		m.t.Fatalf("NextPoll returned %v, %v while %d units wait", next, ok, waitingUnits)
 	}
 }
 
--- a/control/batching/batcher.go
+++ b/control/batching/batcher.go
@@ -129,7 +129,7 @@
 }
 
 // Poll returns the batches to send now and the requests that have expired. It must be called after every
-// event, and at NextDeadline.
+// event, and at NextPoll.
 func (b *Batcher) Poll(now control.Time) PollResult {
 	return PollResult{
 		Batches: b.startDueBatches(now),
@@ -137,18 +137,18 @@
 	}
 }
 
-// NextDeadline returns when Poll must be called if no event occurs before. It returns false while no request
+// NextPoll returns when Poll must be called if no event occurs before. It returns false while no request
 // waits and none can expire.
-func (b *Batcher) NextDeadline() (deadline control.Time, ok bool) {
+func (b *Batcher) NextPoll() (next control.Time, ok bool) {
 	for _, queue := range b.waitingQueues {
-		if len(queue.waiting) > 0 && (!ok || queue.sendBy < deadline) {
-			deadline, ok = queue.sendBy, true
+		if len(queue.waiting) > 0 && (!ok || queue.sendBy < next) {
+			next, ok = queue.sendBy, true
 		}
 	}
-	if b.deadlines.Len() > 0 && (!ok || b.deadlines.Min().Deadline < deadline) {
-		deadline, ok = b.deadlines.Min().Deadline, true
+	if b.deadlines.Len() > 0 && (!ok || b.deadlines.Min().Deadline < next) {
+		next, ok = b.deadlines.Min().Deadline, true
 	}
-	return deadline, ok
+	return next, ok
 }
 
 // startDueBatches starts and returns all batches that are due.
--- a/control/batching/batcher_test.go
+++ b/control/batching/batcher_test.go
@@ -179,8 +179,8 @@
 			m.t.Fatalf("request %d has waited since %v, objective %v, %d batches outstanding, now %v",
 				request.ID, request.arrivedAt, request.Objective, outstanding[request.key], m.now)
 		}
-		if deadline, ok := m.batcher.NextDeadline(); !ok || deadline > latest {
-			m.t.Fatalf("NextDeadline returned %v, %v, want at most %v", deadline, ok, latest)
+		if next, ok := m.batcher.NextPoll(); !ok || next > latest {
+			m.t.Fatalf("NextPoll returned %v, %v, want at most %v", next, ok, latest)
 		}
 	}
 }
--- a/control/coalesce/coalesce.go
+++ b/control/coalesce/coalesce.go
@@ -153,7 +153,7 @@
 	return current.leader.id, true
 }
 
-// Poll removes and returns the followers whose deadlines have passed. It must be called at NextDeadline.
+// Poll removes and returns the followers whose deadlines have passed. It must be called at NextPoll.
 func (g *Group) Poll(now control.Time) PollResult {
 	var result PollResult
 	for g.deadlines.Len() > 0 && g.deadlines.Min().deadline <= now {
@@ -164,9 +164,9 @@
 	return result
 }
 
-// NextDeadline returns when Poll must be called if no event occurs before. It returns false while there are
+// NextPoll returns when Poll must be called if no event occurs before. It returns false while there are
 // no followers.
-func (g *Group) NextDeadline() (deadline control.Time, ok bool) {
+func (g *Group) NextPoll() (next control.Time, ok bool) {
 	if g.deadlines.Len() == 0 {
 		return 0, false
 	}
--- a/control/coalesce/coalesce_test.go
+++ b/control/coalesce/coalesce_test.go
@@ -147,10 +147,10 @@
 // advance lets a random time pass. Followers expire at their deadlines, neither earlier nor later.
 func (m *model) advance() {
 	m.now += control.Time(rapid.IntRange(0, 20).Draw(m.t, "time"))
-	deadline, ok := m.group.NextDeadline()
+	next, ok := m.group.NextPoll()
 	expired := m.group.Poll(m.now).Expired
-	if ok != (deadline > 0) || (len(expired) > 0) != (ok && deadline <= m.now) {
-		m.t.Fatalf("NextDeadline returned %d, %v; at %d the requests %v expired", deadline, ok, m.now, expired)
+	if ok != (next > 0) || (len(expired) > 0) != (ok && next <= m.now) {
+		m.t.Fatalf("NextPoll returned %d, %v; at %d the requests %v expired", next, ok, m.now, expired)
 	}
 	for _, id := range expired {
 		if request := m.requests[id]; request != nil && (request.deadline > m.now || request.isLeader) {
--- a/control/kvrelease/example_test.go
+++ b/control/kvrelease/example_test.go
@@ -19,12 +19,12 @@
 	fmt.Printf("%+v\n", first)
 
 	// Engine 2 does not respond, so engine 1 is called as well.
-	deadline, _ := scheduler.NextDeadline()
-	fmt.Println("next after", deadline.Sub(now))
-	second := scheduler.Poll(deadline)
+	next, _ := scheduler.NextPoll()
+	fmt.Println("next after", next.Sub(now))
+	second := scheduler.Poll(next)
 	fmt.Printf("%+v\n", second)
 
-	scheduler.Complete(deadline, second[0], true)
+	scheduler.Complete(next, second[0], true)
 	fmt.Println("pending:", scheduler.Len())
 	// Output:
 	// [{Key:request-7 Endpoint:2 Timeout:125ms}]
--- a/control/kvrelease/kvrelease.go
+++ b/control/kvrelease/kvrelease.go
@@ -175,7 +175,7 @@
 }
 
 // Poll returns the calls to make now, those for the oldest releases first. It must be called after every
-// event, and at NextDeadline.
+// event, and at NextPoll.
 func (s *Scheduler) Poll(now control.Time) []Call {
 	var calls []Call
 	for _, release := range slices.Clone(s.queue) {
@@ -195,16 +195,16 @@
 	return calls
 }
 
-// NextDeadline returns when Poll must be called if no event occurs before. It returns false while
+// NextPoll returns when Poll must be called if no event occurs before. It returns false while
 // no release is pending.
-func (s *Scheduler) NextDeadline() (deadline control.Time, ok bool) {
+func (s *Scheduler) NextPoll() (next control.Time, ok bool) {
 	for _, release := range s.queue {
-		if !ok || release.nextCallAt < deadline {
-			deadline = release.nextCallAt
+		if !ok || release.nextCallAt < next {
+			next = release.nextCallAt
 			ok = true
 		}
 	}
-	return deadline, ok
+	return next, ok
 }
 
 func (s *Scheduler) isDue(now control.Time, release *pendingRelease) bool {
--- a/control/membership/example_test.go
+++ b/control/membership/example_test.go
@@ -36,9 +36,9 @@
 	fmt.Println("unchanged:", change.IsEmpty(), err)
 
 	// It is applied if nothing else arrives for StaleAcceptDelay.
-	deadline, _ := view.NextDeadline()
-	change = view.Poll(deadline)
-	fmt.Println("after", deadline.Sub(now), "revision", view.Revision(), "endpoint", change.Endpoints[0].ID)
+	next, _ := view.NextPoll()
+	change = view.Poll(next)
+	fmt.Println("after", next.Sub(now), "revision", view.Revision(), "endpoint", change.Endpoints[0].ID)
 	// Output:
 	// unchanged: true <nil>
 	// after 500ms revision 3 endpoint 2
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -137,10 +137,10 @@
 	return ends
 }
 
-// Poll applies a stale list if it is due, and returns what has changed. It must be called at NextDeadline.
+// Poll applies a stale list if it is due, and returns what has changed. It must be called at NextPoll.
 func (v *View) Poll(now control.Time) Change {
-	deadline, ok := v.NextDeadline()
-	if !ok || now < deadline {
+	next, ok := v.NextPoll()
+	if !ok || now < next {
 		return Change{}
 	}
 	update := *v.stale.update
@@ -153,9 +153,9 @@
 	return v.replace(now, update)
 }
 
-// NextDeadline returns when Poll must be called if no update arrives before. It returns false while
+// NextPoll returns when Poll must be called if no update arrives before. It returns false while
 // no stale list is kept.
-func (v *View) NextDeadline() (deadline control.Time, ok bool) {
+func (v *View) NextPoll() (next control.Time, ok bool) {
 	if v.stale.update == nil {
 		return 0, false
 	}
--- a/internal/openaiserver/admissionqueue.go
+++ b/internal/openaiserver/admissionqueue.go
@@ -8,7 +8,7 @@
 
 // admissionQueue holds a pool's large requests. Package admission decides when each of their shards may start.
 type admissionQueue struct {
-	*deadlineTimer
+	*pollTimer
 	pool     *pool
 	queue    *admission.Queue
 	requests map[admission.RequestID]*scatteredRequest // all requests that have not ended
@@ -28,7 +28,7 @@
 		queue:    admission.NewQueue(settings),
 		requests: map[admission.RequestID]*scatteredRequest{},
 	}
-	q.deadlineTimer = newDeadlineTimer(p.server, q.poll, q.queue.NextDeadline)
+	q.pollTimer = newPollTimer(p.server, q.poll, q.queue.NextPoll)
 	return q
 }
 
--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -39,7 +39,7 @@
 
 // batchScheduler starts a pool's batches. Package batching decides which requests share a batch and when it starts.
 type batchScheduler struct {
-	*deadlineTimer
+	*pollTimer
 	pool            *pool
 	batcher         *batching.Batcher
 	members         map[batching.RequestID]*batchMember
@@ -58,7 +58,7 @@
 		members:  map[batching.RequestID]*batchMember{},
 		inFlight: map[batching.BatchID]*batch{},
 	}
-	b.deadlineTimer = newDeadlineTimer(p.server, b.poll, b.batcher.NextDeadline)
+	b.pollTimer = newPollTimer(p.server, b.poll, b.batcher.NextPoll)
 	return b
 }
 
--- a/internal/openaiserver/deadlinetimer.go
+++ b/internal/openaiserver/deadlinetimer.go
@@ -5,26 +5,26 @@
 	"martenlock/internal/timerwheel"
 )
 
-// deadlineTimer calls a queue's poll function at the queue's next deadline, and at the end of an event loop iteration
-// in which schedulePoll was called.
-type deadlineTimer struct {
+// pollTimer calls a queue's poll function at the time of the queue's next poll, and at the end of an event loop
+// iteration in which schedulePoll was called.
+type pollTimer struct {
 	server        *Server
 	poll          func()
-	nextDeadline  func() (control.Time, bool) // returns false if there is no deadline
+	nextPoll      func() (control.Time, bool) // returns false if the queue needs no poll
 	timer         timerwheel.Timer
 	pollScheduled bool // poll runs at the end of this iteration
 }
 
-// newDeadlineTimer returns a timer that has not been started.
-func newDeadlineTimer(s *Server, poll func(), nextDeadline func() (control.Time, bool)) *deadlineTimer {
-	t := &deadlineTimer{server: s, poll: poll, nextDeadline: nextDeadline}
+// newPollTimer returns a timer that has not been started.
+func newPollTimer(s *Server, poll func(), nextPoll func() (control.Time, bool)) *pollTimer {
+	t := &pollTimer{server: s, poll: poll, nextPoll: nextPoll}
 	t.timer.Fire = t.fire
 	return t
 }
 
 // schedulePoll schedules a poll at the end of this event loop iteration. Further calls in the same iteration have no
 // effect.
-func (t *deadlineTimer) schedulePoll() {
+func (t *pollTimer) schedulePoll() {
 	if t.pollScheduled {
 		return
 	}
@@ -35,18 +35,18 @@
 	})
 }
 
-// fire polls the queue and starts the timer for the next deadline.
-func (t *deadlineTimer) fire() {
+// fire polls the queue and starts the timer for the next poll.
+func (t *pollTimer) fire() {
 	t.poll()
 	t.restart()
 }
 
-// restart sets the timer to the next deadline, or stops it if there is none.
-func (t *deadlineTimer) restart() {
-	deadline, hasDeadline := t.nextDeadline()
-	if !hasDeadline {
+// restart sets the timer to the time of the next poll, or stops it if the queue needs none.
+func (t *pollTimer) restart() {
+	next, isSet := t.nextPoll()
+	if !isSet {
 		t.server.loop.StopTimer(&t.timer)
 		return
 	}
-	t.server.loop.StartTimer(&t.timer, deadline.Sub(t.server.now()))
+	t.server.loop.StartTimer(&t.timer, next.Sub(t.server.now()))
 }
--- a/internal/openaiserver/embeddingcache.go
+++ b/internal/openaiserver/embeddingcache.go
@@ -14,7 +14,7 @@
 // embeddingCache holds a pool's cached embeddings and its computations in flight, both by input. If several requests
 // wait for the same input, package coalesce decides which of them computes it.
 type embeddingCache struct {
-	*deadlineTimer
+	*pollTimer
 	pool      *pool
 	group     *coalesce.Group
 	entries   *otter.Cache[coalesce.Key, openai.EmbeddingResult] // nil if cache_bytes is 0
@@ -37,7 +37,7 @@
 // newEmbeddingCache returns an empty cache. It uses the pool's settings.
 func newEmbeddingCache(p *pool) *embeddingCache {
 	c := &embeddingCache{pool: p, group: coalesce.NewGroup(), pending: map[coalesce.RequestID]inputRef{}}
-	c.deadlineTimer = newDeadlineTimer(p.server, c.expire, c.group.NextDeadline)
+	c.pollTimer = newPollTimer(p.server, c.expire, c.group.NextPoll)
 	if p.settings.CacheBytes > 0 {
 		c.entries = newEntries(uint64(p.settings.CacheBytes))
 	}
--- a/internal/platform/endpointupdates.go
+++ b/internal/platform/endpointupdates.go
@@ -40,9 +40,9 @@
 		s.updateEndpoints(change.EndpointUpdate)
 	}
 	s.loop.StopTimer(&s.listPollTimer)
-	deadline, isSet := s.membership.NextDeadline()
+	next, isSet := s.membership.NextPoll()
 	if isSet {
-		s.loop.StartTimer(&s.listPollTimer, deadline.Sub(s.now()))
+		s.loop.StartTimer(&s.listPollTimer, next.Sub(s.now()))
 	}
 }
 
--- a/internal/platform/kvrelease.go
+++ b/internal/platform/kvrelease.go
@@ -11,7 +11,7 @@
 // kvReleases schedules the calls to engines that release retained KV state.
 type kvReleases struct {
 	scheduler *kvrelease.Scheduler
-	pollTimer timerwheel.Timer // runs until the scheduler's next deadline
+	pollTimer timerwheel.Timer // runs until scheduler.NextPoll
 }
 
 func newKVReleases(s *Server) kvReleases {
@@ -34,9 +34,9 @@
 		s.startKVRelease(call)
 	}
 	s.loop.StopTimer(&s.kvReleases.pollTimer)
-	deadline, isSet := scheduler.NextDeadline()
+	next, isSet := scheduler.NextPoll()
 	if isSet {
-		s.loop.StartTimer(&s.kvReleases.pollTimer, deadline.Sub(s.now()))
+		s.loop.StartTimer(&s.kvReleases.pollTimer, next.Sub(s.now()))
 	}
 }
 
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -40,7 +40,7 @@
 
 	membership    membership.View
 	discovery     *discoveryClient
-	listPollTimer timerwheel.Timer // runs until membership.NextDeadline
+	listPollTimer timerwheel.Timer // runs until membership.NextPoll
 	warnings      warningLimiter
 
 	reloadGeneration atomic.Uint64 // of the latest call to Reload
