--- a/control/events.go
+++ b/control/events.go
@@ -20,9 +20,9 @@
 	PromptTokens Tokens // length of the prompt, including the prefix
 	MaxTokens    Tokens // maximum length of the answer
 
-	Resumed       bool // continues an answer whose stream broke, so the client already has the first token
-	PriorAttempts int  // earlier attempts as part of a batch, which count towards the maximum
-	PriorResets   int  // number of prior attempts with Result Reset
+	Resumed              bool // continues an answer whose stream broke; the client already has the first token
+	PriorAttempts        int  // earlier attempts as part of a batch, which count towards the maximum
+	PriorLostConnections int  // prior attempts with Result Reset
 }
 
 // AnswerStarted reports that the answer's first token is sent to the client. The Outcome of the attempt must
--- a/control/golden_simulation_test.go
+++ b/control/golden_simulation_test.go
@@ -286,7 +286,7 @@
 	}
 	again := &clientRequest{Request: c.Request, router: c.router, tokens: c.tokens}
 	if s.chance(0.2) { // as if the earlier attempts had been part of a batch
-		again.PriorAttempts, again.PriorResets = min(len(c.attempts), 2), min(c.resets, len(c.attempts), 2)
+		again.PriorAttempts, again.PriorLostConnections = min(len(c.attempts), 2), min(c.resets, len(c.attempts), 2)
 	}
 	s.scheduleStep(c.router, retryAfter, func() control.Event { s.arrive(again); return nil })
 }
--- a/control/request.go
+++ b/control/request.go
@@ -33,7 +33,7 @@
 
 	attempts        int // made by this router
 	maxAttempts     int
-	lostConnections int // attempts whose connection was lost, including Request.PriorResets
+	lostConnections int // attempts whose connection was lost, including Request.PriorLostConnections
 	latest          attempt
 	serviceTime     time.Duration // sum over its attempts
 	hasFirstToken   bool          // its answer is being streamed
@@ -71,7 +71,7 @@
 		firstTokenDue:   now.Add(class.FirstTokenObjective(event.PromptTokens)),
 		demand:          event.PromptTokens + outputShare*event.MaxTokens,
 		maxAttempts:     maxAttempts - event.PriorAttempts,
-		lostConnections: event.PriorResets,
+		lostConnections: event.PriorLostConnections,
 	}
 }
 
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -131,20 +131,20 @@
 	}
 }
 
-// TestPriorAttemptsAndResetsAreCounted: the attempts of a request as part of a batch count towards its
+// TestPriorAttemptsAndLostConnectionsAreCounted: the attempts of a request as part of a batch count towards its
 // maximum. If all of its attempts lost their connection, it ends with Fail, since a repeat could crash more
 // engines.
-func TestPriorAttemptsAndResetsAreCounted(t *testing.T) {
+func TestPriorAttemptsAndLostConnectionsAreCounted(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[classIdempotent].MaxAttempts = 2
 	for _, c := range []struct {
-		attempts, resets int
-		result           Result
-		fails            bool
+		attempts, lostConnections int
+		result                    Result
+		fails                     bool
 	}{{1, 1, Reset, true}, {1, 0, Reset, false}, {1, 1, Rejected, false}} {
 		h := startRouter(t, settings, RoleColocated, RoleColocated, RoleColocated, RoleColocated)
 		request := h.request(1, classIdempotent)
-		request.PriorAttempts, request.PriorResets = c.attempts, c.resets
+		request.PriorAttempts, request.PriorLostConnections = c.attempts, c.lostConnections
 		actions := h.end(ms, h.arrive(0, request), 0, c.result)
 		if count[Forward](actions) > 0 || count[Fail](actions) > 0 != c.fails || count[Reject](actions) > 0 == c.fails {
 			t.Errorf("%+v: want no Forward and one Fail or Reject, got %v", c, actions)
--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -110,7 +110,7 @@
 func (m *batchMember) startRetry(client responder, batchAnswer answer) {
 	request := *m.request
 	request.moduleRequest.PriorAttempts = batchAnswer.attempts
-	request.moduleRequest.PriorResets = batchAnswer.lostConnections
+	request.moduleRequest.PriorLostConnections = batchAnswer.lostConnections
 	m.retryExchange = request.startExchange(client, request.pool.server.requestIDs.next())
 }
 
