--- a/control/batching/batcher.go
+++ b/control/batching/batcher.go
@@ -273,7 +273,7 @@
 }
 
 // handlingOf returns how to handle the requests of a batch after its end.
-func handlingOf(result BatchResult, hadSeveralRequests bool) FailureHandling {
+func handlingOf(result BatchResult, hadSeveralRequests bool) Handling {
 	mayBeCausedByRequest := false
 	switch result.Outcome {
 	case outcome.Failed, outcome.InvalidRequest:
--- a/control/batching/batcher_test.go
+++ b/control/batching/batcher_test.go
@@ -241,7 +241,7 @@
 	for _, c := range []struct {
 		requests, cancelled, attempts, lostConnections int
 		outcome                                        outcome.Outcome
-		handling                                       FailureHandling
+		handling                                       Handling
 	}{
 		{3, 0, 1, 0, outcome.Failed, RetrySeparately},
 		{3, 0, 1, 1, outcome.Failed, RetrySequentially},
--- a/control/batching/batching.go
+++ b/control/batching/batching.go
@@ -14,7 +14,7 @@
 	"martenlock/control/outcome"
 )
 
-//go:generate go tool stringer -linecomment -type=FailureHandling -output=enum_string.go
+//go:generate go tool stringer -linecomment -type=Handling -output=enum_string.go
 
 // ExpiredRetryAfter is the Retry-After of a request that expired while it shared a call or a computation with
 // others.
@@ -73,16 +73,16 @@
 // Completion tells how to handle the requests of a batch that has ended.
 type Completion struct {
 	Requests []RequestID // not cancelled or expired before, in the order of the batch
-	Handling FailureHandling
+	Handling Handling
 }
 
-// FailureHandling is how the requests of a batch are handled after its end.
-type FailureHandling uint8
+// Handling is how the requests of a batch are handled after its end.
+type Handling uint8
 
 // The ways to handle the requests of a batch.
 const (
 	// ShareResult gives each request the result of the batch, or its part of the result.
-	ShareResult FailureHandling = iota // share result
+	ShareResult Handling = iota // share result
 	// RetrySeparately retries each request by itself, all at once.
 	RetrySeparately // retry separately
 	// RetrySequentially retries each request by itself, in the order of a SequentialRetry.
--- a/control/batching/failurehandling_test.go
+++ b/control/batching/failurehandling_test.go
@@ -5,14 +5,14 @@
 // TestStringNamesEachHandling: each handling has a name of its own, also an unknown one.
 func TestStringNamesEachHandling(t *testing.T) {
 	seen := map[string]bool{}
-	for value := FailureHandling(0); value <= RetrySequentially+1; value++ {
+	for value := Handling(0); value <= RetrySequentially+1; value++ {
 		name := value.String()
 		if name == "" || seen[name] {
 			t.Errorf("handling %d has the name %q, want a unique one", uint8(value), name)
 		}
 		seen[name] = true
 	}
-	if got, want := (RetrySequentially + 1).String(), "FailureHandling(3)"; got != want {
+	if got, want := (RetrySequentially + 1).String(), "Handling(3)"; got != want {
 		t.Errorf("an unknown handling has the name %q, want %q", got, want)
 	}
 }
