--- a/internal/demo/engines.go
+++ b/internal/demo/engines.go
@@ -10,7 +10,7 @@
 
 // The slow start of the demo's engines. Settings has the same values.
 const (
-	slowStartInitialSpeed = 0.3             // speed at the start, as a share of full speed
+	slowStartInitialShare = 0.3             // speed at the start, as a share of full speed
 	slowStartDuration     = 6 * time.Second // time from the start of the process to full speed
 )
 
@@ -61,7 +61,7 @@
 			spec.Role = group.role
 			spec.Zone = zones[i%len(zones)]
 			spec.Cell = "1"
-			spec.SlowStartInitialSpeed = slowStartInitialSpeed
+			spec.SlowStartInitialShare = slowStartInitialShare
 			spec.SlowStartDuration = slowStartDuration
 			specs = append(specs, spec)
 		}
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -98,10 +98,10 @@
 	Skew:                  50 * time.Millisecond,
 	DrainGrace:            250 * time.Millisecond,
 	KVRetentionLimit:      time.Second,
-	SlowStartInitialSpeed: slowStartInitialSpeed,
+	SlowStartInitialShare: slowStartInitialShare,
 	SlowStartDuration:     slowStartDuration,
-	OverloadFactor:        2.5,
-	OverloadWindow:        time.Second,
+	OverloadMultiple:      2.5,
+	OverloadDuration:      time.Second,
 }
 
 // ExampleRequests returns shell commands that send example requests to the router at an address.
--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -127,7 +127,7 @@
 	share := 1.0
 	if e.startedInSlowStart && e.Spec.SlowStartDuration > 0 {
 		progress := (e.cluster.loop.Now() - e.startedAt).Seconds() / e.Spec.SlowStartDuration.Seconds()
-		share = e.Spec.SlowStartInitialSpeed + (1-e.Spec.SlowStartInitialSpeed)*min(progress, 1)
+		share = e.Spec.SlowStartInitialShare + (1-e.Spec.SlowStartInitialShare)*min(progress, 1)
 	}
 	return share / max(e.fault.SlowdownFactor, 1)
 }
--- a/internal/fakeengine/fakeengine.go
+++ b/internal/fakeengine/fakeengine.go
@@ -31,7 +31,7 @@
 	MaxWaiting                   int            // maximum number of requests in prefill, or waiting for prefill or a decode slot
 	AnswerTokens                 int            // tokens of a response, unless the request sets a lower limit; 0 means 1
 	Dimensions                   int            // of embeddings, unless the request sets them; 0 means 1
-	SlowStartInitialSpeed        float64        // share of the full speed at the start of a slow start
+	SlowStartInitialShare        float64        // share of the full speed at the start of a slow start
 	SlowStartDuration            time.Duration  // time from the start of the process to full speed
 }
 
--- a/internal/invariant/histories_test.go
+++ b/internal/invariant/histories_test.go
@@ -12,10 +12,10 @@
 	Skew:                  20 * ms,
 	DrainGrace:            250 * ms,
 	KVRetentionLimit:      time.Second,
-	SlowStartInitialSpeed: 0.25,
+	SlowStartInitialShare: 0.25,
 	SlowStartDuration:     10 * time.Second,
-	OverloadFactor:        2,
-	OverloadWindow:        time.Second,
+	OverloadMultiple:      2,
+	OverloadDuration:      time.Second,
 }
 
 // at returns an event.
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -16,10 +16,10 @@
 	Skew                  time.Duration // tolerated error of recorded times, such as that of events recorded late
 	DrainGrace            time.Duration // time after the announcement of a drain during which an engine may still get attempts
 	KVRetentionLimit      time.Duration // maximum time that unused KV state may be retained
-	SlowStartInitialSpeed float64       // speed of an engine at its start, as a share of full speed
+	SlowStartInitialShare float64       // speed of an engine at its start, as a share of full speed
 	SlowStartDuration     time.Duration // time from the start of an engine to full speed
-	OverloadFactor        float64       // maximum load during slow start, as a multiple of the engine's capacity
-	OverloadWindow        time.Duration // period over which load is summed and compared with capacity
+	OverloadMultiple      float64       // maximum load during slow start, as a multiple of the engine's capacity
+	OverloadDuration      time.Duration // period over which load is summed and compared with capacity
 }
 
 // Check applies the rules to a recording that ended at the given time.
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -12,8 +12,8 @@
 	minSlowStartSeconds = 1e-9
 )
 
-// slowStartRule checks that an engine in slow start is not overloaded. Within OverloadWindow it may get OverloadFactor times
-// the work that it can do in that time, plus slackRequests times its mean work.
+// slowStartRule checks that an engine in slow start is not overloaded. Within OverloadDuration it may get
+// OverloadMultiple times the work that it can do in that time, plus slackRequests times its mean work.
 type slowStartRule struct {
 	verdict *Verdict
 	limits  Limits
@@ -24,7 +24,7 @@
 type engineLoad struct {
 	inSlowStart    bool
 	startedAt      time.Duration
-	recentAttempts []Event // attempts of the latest OverloadWindow; empty after slow start
+	recentAttempts []Event // attempts of the latest OverloadDuration; empty after slow start
 	meanWork       float64 // moving average of the work of attempts, in seconds
 }
 
@@ -47,7 +47,7 @@
 	r.verdict.Checked++
 }
 
-// attemptBegan adds the work of an attempt and compares the work of the latest OverloadWindow with its budget.
+// attemptBegan adds the work of an attempt and compares the work of the latest OverloadDuration with its budget.
 func (r *slowStartRule) attemptBegan(event Event) {
 	load := r.load(event.Engine)
 	if load.meanWork == 0 {
@@ -58,21 +58,21 @@
 		load.recentAttempts = nil
 		return
 	}
-	work := load.addRecent(event, r.limits.OverloadWindow)
+	work := load.addRecent(event, r.limits.OverloadDuration)
 	age := (event.At - load.startedAt).Seconds()
 	budget := r.allowedWork(age) + slackRequests*load.meanWork
 	if work > budget {
 		r.verdict.addViolation(event.At, "%s, %.1fs after its start: %.3fs of work within %v, budget %.3fs",
-			event.Engine, age, work, r.limits.OverloadWindow, budget)
+			event.Engine, age, work, r.limits.OverloadDuration, budget)
 	}
 }
 
-// allowedWork returns the work that an engine may get within OverloadWindow, in seconds. age is the time since the engine's
-// start, in seconds.
+// allowedWork returns the work that an engine may get within OverloadDuration, in seconds. age is the time since the
+// engine's start, in seconds.
 func (r *slowStartRule) allowedWork(age float64) float64 {
 	progress := min(age/max(r.limits.SlowStartDuration.Seconds(), minSlowStartSeconds), 1)
-	share := r.limits.SlowStartInitialSpeed + (1-r.limits.SlowStartInitialSpeed)*progress
-	return r.limits.OverloadFactor * share * r.limits.OverloadWindow.Seconds()
+	share := r.limits.SlowStartInitialShare + (1-r.limits.SlowStartInitialShare)*progress
+	return r.limits.OverloadMultiple * share * r.limits.OverloadDuration.Seconds()
 }
 
 // addRecent adds an attempt and returns the work of the window that ends with it, in seconds.
--- a/internal/openaiserver/drain_test.go
+++ b/internal/openaiserver/drain_test.go
@@ -14,7 +14,7 @@
 	specs := prefillDecodeSpecs(2, 2)
 	indexByName := map[string]int{}
 	for i := range specs {
-		specs[i].SlowStartInitialSpeed, specs[i].SlowStartDuration = 0.3, 6*time.Second
+		specs[i].SlowStartInitialShare, specs[i].SlowStartDuration = 0.3, 6*time.Second
 		indexByName[specs[i].Name] = i
 	}
 	h := startHarness(t, specs)
