--- a/cmd/martenlock/demo.go
+++ b/cmd/martenlock/demo.go
@@ -70,7 +70,7 @@
 // was broken.
 func runFaultScenario(options demoOptions, out io.Writer) error {
 	report, err := demo.RunFaultScenario(options.script, demo.RunOptions{
-		Rules:    demo.Rules,
+		Limits:   demo.Limits,
 		Listen:   options.listen,
 		LogLevel: options.logLevel,
 		Log:      os.Stderr,
--- a/internal/demo/faultscenario.go
+++ b/internal/demo/faultscenario.go
@@ -47,7 +47,7 @@
 
 // RunOptions configure the run of a scenario.
 type RunOptions struct {
-	Rules    invariant.Limits // limits for checking the rules, usually the variable Rules
+	Limits   invariant.Limits // limits for checking the rules, usually the variable Limits
 	Listen   string           // address of the router
 	LogLevel string           // log level of the router
 	Log      io.Writer        // gets the router's log
--- a/internal/demo/faultscenario_test.go
+++ b/internal/demo/faultscenario_test.go
@@ -115,9 +115,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rules := Rules
-	rules.Skew *= 4 // on a loaded machine, events are recorded late
-	report, err := scenario.Run(RunOptions{Rules: rules, Listen: "127.0.0.1:0", LogLevel: "error", Log: io.Discard, Out: io.Discard})
+	limits := Limits
+	limits.Skew *= 4 // on a loaded machine, events are recorded late
+	report, err := scenario.Run(RunOptions{Limits: limits, Listen: "127.0.0.1:0", LogLevel: "error", Log: io.Discard, Out: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -16,8 +16,8 @@
 const (
 	maxRecordedEvents = 4 << 20 // a run with more events counts as failed
 
-	// quiesceDelay is the wait between the last answer and the check. It is longer than Rules.KVRetentionLimit, so that the
-	// check detects KV state that is never released.
+	// quiesceDelay is the wait between the last answer and the check. It is longer than Limits.KVRetentionLimit, so that
+	// the check detects KV state that is never released.
 	quiesceDelay = 1500 * time.Millisecond
 
 	drainedExitDelay     = 1500 * time.Millisecond // time from the start of a drain to the exit of the engine's process
@@ -80,7 +80,7 @@
 	run.tasks.Wait()
 	time.Sleep(quiesceDelay)
 	run.client.CloseIdleConnections()
-	report := invariant.Check(recording, options.Rules, cluster.Clock())
+	report := invariant.Check(recording, options.Limits, cluster.Clock())
 	run.printLatencies(scheduleLag)
 	run.printTimeline()
 	err = errors.Join(run.err, out.Err())
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -93,8 +93,8 @@
 parts = 256
 `
 
-// Rules are the limits for package invariant. They match Settings.
-var Rules = invariant.Limits{
+// Limits are the limits for package invariant. They match Settings.
+var Limits = invariant.Limits{
 	Skew:                  50 * time.Millisecond,
 	DrainGrace:            250 * time.Millisecond,
 	KVRetentionLimit:      time.Second,
--- a/internal/openaiserver/harness_test.go
+++ b/internal/openaiserver/harness_test.go
@@ -72,9 +72,9 @@
 // without requests.
 func (h *harness) checkInvariants() {
 	h.t.Helper()
-	rules := demo.Rules
-	rules.Skew = 200 * ms // allows for scheduling delays on a loaded machine
-	report := invariant.Check(h.recording, rules, h.Clock())
+	limits := demo.Limits
+	limits.Skew = 200 * ms // allows for scheduling delays on a loaded machine
+	report := invariant.Check(h.recording, limits, h.Clock())
 	if !report.Kept() && report.Verdicts[0].Checked > 0 {
 		h.t.Errorf("an invariant was violated or events were lost:\n%s", report)
 	}
