--- a/internal/openai/enginebody_test.go
+++ b/internal/openai/enginebody_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if request.Model != "m" || !request.Stream || request.MaxTokens != 14 || request.User != "me" || request.CacheKey != "k" ||
+	if request.Model != "m" || !request.Stream || request.MaxTokens != 14 || request.User != "me" || request.PromptCacheKey != "k" ||
 		request.PrefixHash == 0 || request.PrefixTokens >= request.PromptTokens {
 		t.Errorf("decoded %+v", request)
 	}
--- a/internal/openai/items.go
+++ b/internal/openai/items.go
@@ -91,7 +91,7 @@
 	batch := r.Shard(items, tokens)
 	batch.members = slices.DeleteFunc(batch.members, func(m member) bool { return m.name == userMember })
 	batch.User = ""
-	batch.CacheKey = ""
+	batch.PromptCacheKey = ""
 	return batch
 }
 
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -33,7 +33,7 @@
 	PrefixHash         uint64  // hash of the prefix that requests of other sessions may share; 0 for none
 	PrefixTokens       float64 // tokens of that prefix; 0 for none
 	User               string
-	CacheKey           string // prompt_cache_key
+	PromptCacheKey     string // prompt_cache_key
 	ItemCount          int    // inputs of an embeddings request, prompts of a completion, or documents of a rerank request
 	TopN               int    // most results of a rerank response; 0 for all
 	Dimensions         int    // requested length of an embedding; 0 for the model's default
@@ -143,6 +143,6 @@
 	if err != nil {
 		return err
 	}
-	r.CacheKey, err = decodeString("prompt_cache_key", fields.promptCacheKey)
+	r.PromptCacheKey, err = decodeString("prompt_cache_key", fields.promptCacheKey)
 	return err
 }
--- a/internal/openaiserver/dispatch.go
+++ b/internal/openaiserver/dispatch.go
@@ -171,7 +171,7 @@
 	event.PromptTokens = control.Tokens(call.PromptTokens * correction)
 	event.MaxTokens = control.Tokens(call.MaxTokens)
 	event.Deadline = s.now().Add(max(request.timeBudget-s.config.Limits.DeadlineMargin, 0))
-	event.SessionID = sessionID(c.request.tenant, c.request.session, call.CacheKey, call.User)
+	event.SessionID = sessionID(c.request.tenant, c.request.session, call.PromptCacheKey, call.User)
 	return request
 }
 
