--- a/internal/openaiserver/attemptresponse.go
+++ b/internal/openaiserver/attemptresponse.go
@@ -37,7 +37,7 @@
 	a.loadReport = openai.ParseLoadReport(head.Get("endpoint-load-metrics"), a.exchange.pool.settings.ReportMetrics)
 }
 
-// Data implements upstream.ResponseHandler. It buffers the body up to attempt.maxBufferedBytes. If the body is longer,
+// Data implements upstream.ResponseHandler. It buffers the body up to attempt.bufferLimit. If the body is longer,
 // it is streamed, or an error response is truncated, or the attempt fails. The attempt ends with control.NotSent if the
 // server's memory for buffers is exhausted.
 func (a *attempt) Data(data []byte) {
@@ -47,7 +47,7 @@
 	case a.state == decisionloop.AttemptEnded:
 	case a.state == decisionloop.AttemptStreaming:
 		a.forwardData(data)
-	case len(a.buffered)+len(data) <= a.maxBufferedBytes():
+	case len(a.buffered)+len(data) <= a.bufferLimit():
 		if server.bufferedBytes+int64(len(data)) > maxBufferedBytes {
 			a.finish(control.NotSent, false)
 			return
@@ -64,8 +64,8 @@
 	}
 }
 
-// maxBufferedBytes returns the limit on the buffered part of the response body, in bytes.
-func (a *attempt) maxBufferedBytes() int {
+// bufferLimit returns the limit on the buffered part of the response body, in bytes.
+func (a *attempt) bufferLimit() int {
 	limits := &a.exchange.pool.server.config.Limits
 	call := a.exchange.call
 	switch {
@@ -78,7 +78,7 @@
 	case call.NeedsResponseCheck(): // the check needs the whole body
 		return int(limits.MaxResponseBytes)
 	}
-	return limits.MaxBufferedBytes
+	return limits.MaxRetryBufferBytes
 }
 
 // Complete implements upstream.ResponseHandler. It ends the attempt according to its response.
