--- a/control/connlimit/timeouts.go
+++ b/control/connlimit/timeouts.go
@@ -32,11 +32,11 @@
 	// several round trips between zones. Actions that depend on this wait for at least as long.
 	CancelPropagationDelay = 5 * time.Millisecond
 
-	// defaultEngineIdleTimeout is the assumed idle time-out of engines if none is configured.
-	defaultEngineIdleTimeout = 30 * time.Second
+	// defaultEngineKeepAliveTimeout is the assumed keep-alive time-out of engines if none is configured.
+	defaultEngineKeepAliveTimeout = 30 * time.Second
 
-	// engineIdleDivisor divides the engine's idle time-out to get the router's, so that the router closes
-	// an idle connection before the engine does.
+	// engineIdleDivisor divides the engine's keep-alive time-out to get the router's idle time-out, so that the
+	// router closes an idle connection before the engine does.
 	engineIdleDivisor = 2
 
 	// ShutdownAcceptWindow is how long a router still accepts connections and requests after its shutdown
@@ -53,11 +53,11 @@
 )
 
 // EngineIdleTimeout returns how long a connection to an engine may be idle before the router closes it.
-// engineTimeout is the engine's own idle time-out, or 0 if it is unknown. The result is less than
-// engineTimeout, because a request written to a connection that the engine has closed is lost.
-func EngineIdleTimeout(engineTimeout time.Duration) time.Duration {
-	if engineTimeout <= 0 {
-		engineTimeout = defaultEngineIdleTimeout
+// keepAliveTimeout is the time after which the engine closes it, or 0 if it is unknown. The result is
+// less than keepAliveTimeout, because a request written to a connection that the engine has closed is lost.
+func EngineIdleTimeout(keepAliveTimeout time.Duration) time.Duration {
+	if keepAliveTimeout <= 0 {
+		keepAliveTimeout = defaultEngineKeepAliveTimeout
 	}
-	return engineTimeout / engineIdleDivisor
+	return keepAliveTimeout / engineIdleDivisor
 }
--- a/internal/platform/endpointtable.go
+++ b/internal/platform/endpointtable.go
@@ -28,7 +28,7 @@
 		connOptions: upstream.Options{
 			Limits:         http1.Limits{Line: maxLineBytes, Headers: maxHeadBytes, Fields: maxHeaderFields, Body: maxResponseBodyBytes},
 			ConnectTimeout: settings.Control.Limits.ConnectTimeout,
-			IdleTimeout:    connlimit.EngineIdleTimeout(settings.EngineIdleTimeout),
+			IdleTimeout:    connlimit.EngineIdleTimeout(settings.EngineKeepAliveTimeout),
 			MaxPerEngine:   s.limits.maxEngineConns,
 			MaxTotal:       s.limits.maxEngineConns,
 			ReusePolicy:    clockedReusePolicy{server: s},
--- a/internal/platform/golden_sites_test.go
+++ b/internal/platform/golden_sites_test.go
@@ -71,36 +71,36 @@
 
 // goldenConfig is a configuration in a golden file. Its JSON names are independent of the code's names.
 type goldenConfig struct {
-	Seed              string        `json:"seed"`
-	Name              string        `json:"router_name"`
-	Cores             float64       `json:"cores"`
-	MemoryMB          float64       `json:"memory_mb"`
-	Sockets           int           `json:"sockets"`
-	Routers           int           `json:"routers"`
-	Rank              int           `json:"rank"`
-	Zone              uint16        `json:"zone"`
-	Zones             []string      `json:"zones"`
-	Classes           []goldenClass `json:"classes"`
-	Kinds             []goldenKind  `json:"engine_kinds"`
-	ReportFields      int           `json:"load_report_fields"`
-	Tenants           int           `json:"tenants"`
-	CanHealthCheck    bool          `json:"probes"`
-	CanCancel         bool          `json:"cancel"`
-	MustSubscribe     bool          `json:"engine_list_is_asked_for"`
-	DecodeCanPrefill  bool          `json:"decode_engines_prefill"`
-	ResumesStreams    bool          `json:"resume"`
-	MaxAttempts       int           `json:"max_attempts"`
-	MaxRequests       int           `json:"max_held_requests"`
-	MaxRetryAfter     string        `json:"max_retry_after"`
-	ConnectTimeout    string        `json:"connect_timeout"`
-	EngineIdleTimeout string        `json:"connection_idle"`
-	KVRetentionLimit  string        `json:"held_state_limit"`
-	DrainGrace        string        `json:"drain_grace"`
-	AnswerGrace       string        `json:"answer_grace"`
-	InitialShare      float64       `json:"cold_start_share"`
-	SlowStartDuration string        `json:"cold_start_time"`
-	OverloadMultiple  float64       `json:"overload_multiple"`
-	OverloadDuration  string        `json:"overload_time"`
+	Seed                   string        `json:"seed"`
+	Name                   string        `json:"router_name"`
+	Cores                  float64       `json:"cores"`
+	MemoryMB               float64       `json:"memory_mb"`
+	Sockets                int           `json:"sockets"`
+	Routers                int           `json:"routers"`
+	Rank                   int           `json:"rank"`
+	Zone                   uint16        `json:"zone"`
+	Zones                  []string      `json:"zones"`
+	Classes                []goldenClass `json:"classes"`
+	Kinds                  []goldenKind  `json:"engine_kinds"`
+	ReportFields           int           `json:"load_report_fields"`
+	Tenants                int           `json:"tenants"`
+	CanHealthCheck         bool          `json:"probes"`
+	CanCancel              bool          `json:"cancel"`
+	MustSubscribe          bool          `json:"engine_list_is_asked_for"`
+	DecodeCanPrefill       bool          `json:"decode_engines_prefill"`
+	ResumesStreams         bool          `json:"resume"`
+	MaxAttempts            int           `json:"max_attempts"`
+	MaxRequests            int           `json:"max_held_requests"`
+	MaxRetryAfter          string        `json:"max_retry_after"`
+	ConnectTimeout         string        `json:"connect_timeout"`
+	EngineKeepAliveTimeout string        `json:"connection_idle"`
+	KVRetentionLimit       string        `json:"held_state_limit"`
+	DrainGrace             string        `json:"drain_grace"`
+	AnswerGrace            string        `json:"answer_grace"`
+	InitialShare           float64       `json:"cold_start_share"`
+	SlowStartDuration      string        `json:"cold_start_time"`
+	OverloadMultiple       float64       `json:"overload_multiple"`
+	OverloadDuration       string        `json:"overload_time"`
 }
 
 // dumpConfig returns the parsed configuration in the form of the golden files.
@@ -112,7 +112,7 @@
 		Routers: ctl.Identity.Routers, Rank: ctl.Identity.Rank, Zone: ctl.Identity.Zone, Zones: settings.ZoneNames, Classes: dumpClasses(settings), Kinds: dumpKinds(settings),
 		ReportFields: len(ctl.Engines.ReportFields), Tenants: len(ctl.Tenants), CanHealthCheck: ctl.Caller.CanHealthCheck, CanCancel: ctl.Caller.CanCancel, MustSubscribe: ctl.Caller.MustSubscribe,
 		DecodeCanPrefill: ctl.Engines.DecodeCanPrefill, ResumesStreams: settings.ResumesStreams, MaxAttempts: ctl.Limits.MaxAttempts, MaxRequests: settings.MaxRequests,
-		MaxRetryAfter: ctl.Limits.MaxRetryAfter.String(), ConnectTimeout: ctl.Limits.ConnectTimeout.String(), EngineIdleTimeout: settings.EngineIdleTimeout.String(),
+		MaxRetryAfter: ctl.Limits.MaxRetryAfter.String(), ConnectTimeout: ctl.Limits.ConnectTimeout.String(), EngineKeepAliveTimeout: settings.EngineKeepAliveTimeout.String(),
 		KVRetentionLimit: ctl.Limits.KVRetentionLimit.String(), DrainGrace: ctl.Limits.DrainGrace.String(), AnswerGrace: ctl.Limits.AnswerGrace.String(),
 		InitialShare: ctl.SlowStart.InitialShare, SlowStartDuration: ctl.SlowStart.Duration.String(), OverloadMultiple: ctl.SlowStart.OverloadMultiple, OverloadDuration: ctl.SlowStart.OverloadDuration.String(),
 	}
--- a/internal/platformsettings/object.go
+++ b/internal/platformsettings/object.go
@@ -40,14 +40,14 @@
 
 // limitsObject holds the limits and capabilities of a router.
 type limitsObject struct {
-	MaxAttempts         int     `json:"AttemptsCap"`
-	CanCancel           bool    `json:"Cancelling"`
-	EngineIdleTimeoutUs float64 `json:"ConnIdleUs"`
-	ConnectTimeoutUs    float64
-	MaxRequests         int `json:"MostHeld"`
-	MaxRetryAfterUs     float64
-	CanHealthCheck      bool `json:"Probes"`
-	SendsRetryAfter     bool `json:"RetryAfter"`
+	MaxAttempts              int     `json:"AttemptsCap"`
+	CanCancel                bool    `json:"Cancelling"`
+	EngineKeepAliveTimeoutUs float64 `json:"ConnIdleUs"`
+	ConnectTimeoutUs         float64
+	MaxRequests              int `json:"MostHeld"`
+	MaxRetryAfterUs          float64
+	CanHealthCheck           bool `json:"Probes"`
+	SendsRetryAfter          bool `json:"RetryAfter"`
 }
 
 // loadReportObject holds the names of the fields of an engine's load report, in the order of the report.
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -13,13 +13,13 @@
 // Settings holds the settings of the decision module and of the rest of the router. The decision module
 // identifies classes, kinds and zones by number only; their names are here.
 type Settings struct {
-	Control           control.Settings
-	ClassNames        []string      // indexed by control.Request.Class
-	KindNames         []string      // indexed by control.Endpoint.Kind
-	ZoneNames         []string      // indexed by control.Endpoint.Zone
-	EngineIdleTimeout time.Duration // after which engines close an idle connection; 0 if it is unknown
-	MaxRequests       int           // open requests of one router; 0 for no limit
-	ResumesStreams    bool          // clients may resume a truncated stream
+	Control                control.Settings
+	ClassNames             []string      // indexed by control.Request.Class
+	KindNames              []string      // indexed by control.Endpoint.Kind
+	ZoneNames              []string      // indexed by control.Endpoint.Zone
+	EngineKeepAliveTimeout time.Duration // after which engines close an idle connection; 0 if it is unknown
+	MaxRequests            int           // open requests of one router; 0 for no limit
+	ResumesStreams         bool          // clients may resume a truncated stream
 }
 
 // Error reports an invalid value in the settings object.
@@ -60,12 +60,12 @@
 		return Settings{}, err
 	}
 	settings := Settings{
-		Control:           controlSettings,
-		KindNames:         decoded.KindNames,
-		ZoneNames:         decoded.ZoneNames,
-		EngineIdleTimeout: microseconds(decoded.Limits.EngineIdleTimeoutUs),
-		MaxRequests:       decoded.Limits.MaxRequests,
-		ResumesStreams:    decoded.Family.ResumesStreams,
+		Control:                controlSettings,
+		KindNames:              decoded.KindNames,
+		ZoneNames:              decoded.ZoneNames,
+		EngineKeepAliveTimeout: microseconds(decoded.Limits.EngineKeepAliveTimeoutUs),
+		MaxRequests:            decoded.Limits.MaxRequests,
+		ResumesStreams:         decoded.Family.ResumesStreams,
 	}
 	for _, class := range decoded.Classes {
 		settings.ClassNames = append(settings.ClassNames, class.Name)
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -24,15 +24,15 @@
 	}
 
 	for name, c := range map[string]struct{ got, want any }{
-		"routers":             {settings.Control.Identity.Routers, 2},
-		"seed":                {settings.Control.Identity.Seed, uint64(4)},
-		"max Retry-After":     {settings.Control.Limits.MaxRetryAfter, time.Duration(0)}, // RetryAfter is not set
-		"idempotency":         {settings.Control.Classes[0].Idempotency, control.NotIdempotent},
-		"TTFT objective":      {settings.Control.Classes[0].TTFTObjective, time.Millisecond},
-		"engine idle timeout": {settings.EngineIdleTimeout, 7 * time.Millisecond},
-		"class names":         {settings.ClassNames, []string{"talk"}},
-		"kind names":          {settings.KindNames, []string{"r", "b"}},
-		"zone names":          {settings.ZoneNames, []string{"x"}},
+		"routers":                   {settings.Control.Identity.Routers, 2},
+		"seed":                      {settings.Control.Identity.Seed, uint64(4)},
+		"max Retry-After":           {settings.Control.Limits.MaxRetryAfter, time.Duration(0)}, // RetryAfter is not set
+		"idempotency":               {settings.Control.Classes[0].Idempotency, control.NotIdempotent},
+		"TTFT objective":            {settings.Control.Classes[0].TTFTObjective, time.Millisecond},
+		"engine keep-alive timeout": {settings.EngineKeepAliveTimeout, 7 * time.Millisecond},
+		"class names":               {settings.ClassNames, []string{"talk"}},
+		"kind names":                {settings.KindNames, []string{"r", "b"}},
+		"zone names":                {settings.ZoneNames, []string{"x"}},
 		"kinds": {settings.Control.Engines.Kinds, []control.EngineKind{
 			{Role: control.RolePrefill, MemoryTokens: 5},
 			{Role: control.RoleColocated, MemoryTokens: 0},
