--- a/internal/enginecall/call.go
+++ b/internal/enginecall/call.go
@@ -39,14 +39,14 @@
 
 // Call is a request to an engine. It must be idempotent, because it may be sent over a reused connection.
 type Call struct {
-	Head, Body []byte            // as in upstream.Pool.Start
+	Head, Body []byte            // as in upstream.ConnPool.Start
 	Timeout    time.Duration     // from Start until the response is complete
 	OnHead     func(*http1.Head) // receives the response's head, valid only during the call; may be nil
 	OnDone     func(Result)      // receives the result, once, possibly before Start returns
 }
 
 // Start sends the call over a connection of pool.
-func (c Call) Start(pool *upstream.Pool) {
+func (c Call) Start(pool *upstream.ConnPool) {
 	running := &runningCall{Call: c, pool: pool}
 	conn, err := pool.Start(running, c.Head, c.Body, false)
 	if err != nil {
@@ -61,7 +61,7 @@
 // runningCall is a Call that has been started.
 type runningCall struct {
 	Call
-	pool   *upstream.Pool
+	pool   *upstream.ConnPool
 	conn   *upstream.Conn // nil until Start assigns it, and after the response has ended
 	timer  timerwheel.Timer
 	status int // HTTP status; 0 until the response's head arrives
--- a/internal/enginecall/call_test.go
+++ b/internal/enginecall/call_test.go
@@ -22,7 +22,7 @@
 type callFixture struct {
 	t       *testing.T
 	loop    eventlooptest.Loop
-	pool    *upstream.Pool
+	pool    *upstream.ConnPool
 	results chan Result // with a buffer for more results than a test expects, so that sending never blocks
 }
 
@@ -36,7 +36,7 @@
 		IdleTimeout:    never,
 		MaxPerEngine:   1,
 	}
-	pool := &upstream.Pool{Loop: loop.Loop, Options: options, Budget: &upstream.Budget{}, Addr: addr}
+	pool := &upstream.ConnPool{Loop: loop.Loop, Options: options, Budget: &upstream.Budget{}, Addr: addr}
 	return &callFixture{t: t, loop: loop, pool: pool, results: make(chan Result, 10)}
 }
 
--- a/internal/openaiserver/engine.go
+++ b/internal/openaiserver/engine.go
@@ -13,7 +13,7 @@
 
 // engine holds the connections to one engine and the KV releases that the engine has not confirmed.
 type engine struct {
-	upstream.Pool
+	upstream.ConnPool
 	server   *Server
 	endpoint endpointlist.Endpoint
 	releases kvReleases
@@ -36,7 +36,7 @@
 	e := &engine{
 		server:   s,
 		releases: newKVReleases(),
-		Pool:     upstream.Pool{Loop: s.loop, Options: &s.engines.connOptions, Budget: &s.engines.connBudget},
+		ConnPool: upstream.ConnPool{Loop: s.loop, Options: &s.engines.connOptions, Budget: &s.engines.connBudget},
 	}
 	e.OnConnClosed = e.connClosed
 	return e
@@ -129,7 +129,7 @@
 				Report:   loadReport,
 			})
 		},
-	}.Start(&e.Pool)
+	}.Start(&e.ConnPool)
 }
 
 // classifyHealthCheck converts the result of a health check call to that of the decision module.
--- a/internal/openaiserver/kvrelease.go
+++ b/internal/openaiserver/kvrelease.go
@@ -72,7 +72,7 @@
 			isConfirmed := result.Outcome == enginecall.Responded && result.Status == http.StatusOK
 			e.completeKVReleaseCall(requestIDs, isConfirmed)
 		},
-	}.Start(&e.Pool)
+	}.Start(&e.ConnPool)
 }
 
 // nextKVReleases returns the request ids for the next call, and deletes the releases that have timed out.
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -12,7 +12,7 @@
 
 // endpoint is an engine with its connections and the attempts on them.
 type endpoint struct {
-	upstream.Pool
+	upstream.ConnPool
 	server    *Server
 	id        control.EndpointID
 	address   string // for log lines
@@ -43,7 +43,7 @@
 	e.stats.results[result]++
 }
 
-// connClosed is the OnConnClosed callback of upstream.Pool. It logs the reason unless it is routine.
+// connClosed is the OnConnClosed callback of upstream.ConnPool. It logs the reason unless it is routine.
 func (e *endpoint) connClosed(reason upstream.CloseReason) {
 	if !reason.IsRoutine() {
 		e.server.events.connLine().Str("endpoint_name", e.name).Stringer("reason", reason).Msg("engine connection closed")
--- a/internal/platform/endpointcall.go
+++ b/internal/platform/endpointcall.go
@@ -33,7 +33,7 @@
 		}
 		done(result, call.Status)
 	}
-	enginecall.Call{Head: head, Timeout: timeout, OnDone: finish}.Start(&e.Pool)
+	enginecall.Call{Head: head, Timeout: timeout, OnDone: finish}.Start(&e.ConnPool)
 }
 
 // classifyCall returns the result of a call in the decision module's terms.
--- a/internal/platform/endpointtable.go
+++ b/internal/platform/endpointtable.go
@@ -42,7 +42,7 @@
 		server:   s,
 		id:       id,
 		attempts: map[*attempt]struct{}{},
-		Pool:     upstream.Pool{Loop: s.loop, Options: &s.endpoints.connOptions, Budget: &s.endpoints.connBudget},
+		ConnPool: upstream.ConnPool{Loop: s.loop, Options: &s.endpoints.connOptions, Budget: &s.endpoints.connBudget},
 	}
 	e.OnConnClosed = e.connClosed
 	s.endpoints.byID[id] = e
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -13,10 +13,10 @@
 // are sent from one buffer with one system call. Larger bodies are sent without a copy.
 const maxCopiedBody = 16 << 10
 
-// Conn is a connection to an engine. It carries one request at a time. The caller of Pool.Start may
+// Conn is a connection to an engine. It carries one request at a time. The caller of ConnPool.Start may
 // use it until Complete or Failed is called on the ResponseHandler, or until the caller calls Abort.
 type Conn struct {
-	pool        *Pool
+	pool        *ConnPool
 	conn        *eventloop.Conn
 	parser      *http1.Parser
 	addr        netip.AddrPort // the engine's address when the current request was started
--- a/internal/upstream/handler.go
+++ b/internal/upstream/handler.go
@@ -3,7 +3,7 @@
 import "martenlock/internal/http1"
 
 // ResponseHandler receives the response to one request. The last method called is Complete or Failed.
-// After Conn.Abort no method is called. Until then the Conn belongs to the caller of Pool.Start.
+// After Conn.Abort no method is called. Until then the Conn belongs to the caller of ConnPool.Start.
 type ResponseHandler interface {
 	// Connected is called when the connection starts to send the request. The engine may execute it
 	// from now on.
@@ -20,7 +20,7 @@
 }
 
 // HeadBuilder is implemented by a ResponseHandler whose request head depends on when it is sent, such
-// as a head with the remaining time. RequestHead is called once, before Connected: within Pool.Start on
+// as a head with the remaining time. RequestHead is called once, before Connected: within ConnPool.Start on
 // an idle connection, or when a new connection is established. The result replaces the head given to
-// Pool.Start.
+// ConnPool.Start.
 type HeadBuilder interface{ RequestHead() []byte }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -40,7 +40,7 @@
 type fixture struct {
 	t             *testing.T
 	loop          eventlooptest.Loop
-	pool          *Pool
+	pool          *ConnPool
 	afterResponse chan func(net.Conn) // the engine calls a function from it after its next response
 	engineEvents  chan string         // "connection", "request", or "gone" at the end of a connection
 }
@@ -53,13 +53,13 @@
 	f.loop = eventlooptest.Start(t)
 	options.Limits = http1.Limits{Line: 1000, Headers: 4000, Fields: 20, Body: 1 << 20}
 	options.ConnectTimeout = 5 * time.Second
-	f.pool = &Pool{Loop: f.loop.Loop, Options: &options, Budget: &Budget{}, Addr: engine.Addr()}
+	f.pool = &ConnPool{Loop: f.loop.Loop, Options: &options, Budget: &Budget{}, Addr: engine.Addr()}
 	return f
 }
 
 // newPool returns another pool with the fixture's loop, options and budget.
-func (f *fixture) newPool(addr netip.AddrPort) *Pool {
-	return &Pool{Loop: f.loop.Loop, Options: f.pool.Options, Budget: f.pool.Budget, Addr: addr}
+func (f *fixture) newPool(addr netip.AddrPort) *ConnPool {
+	return &ConnPool{Loop: f.loop.Loop, Options: f.pool.Options, Budget: f.pool.Budget, Addr: addr}
 }
 
 // serveAsEngine responds to the requests on one connection.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,9 +9,9 @@
 	"martenlock/internal/http1"
 )
 
-// Pool holds the connections to one engine. Its owner sets the exported fields before the first
+// ConnPool holds the connections to one engine. Its owner sets the exported fields before the first
 // call of Start, and may change Addr and Removed later.
-type Pool struct {
+type ConnPool struct {
 	Loop    *eventloop.Loop
 	Options *Options
 	Budget  *Budget
@@ -30,19 +30,19 @@
 }
 
 // Open returns the number of connections, idle ones included.
-func (p *Pool) Open() int { return len(p.conns) }
+func (p *ConnPool) Open() int { return len(p.conns) }
 
 // Idle returns the number of connections that wait for a request.
-func (p *Pool) Idle() int { return len(p.idle) }
+func (p *ConnPool) Idle() int { return len(p.idle) }
 
 // ConnsMade returns the number of connections started so far, failed ones included.
-func (p *Pool) ConnsMade() int { return p.connsMade }
+func (p *ConnPool) ConnsMade() int { return p.connsMade }
 
 // Start sends a request over an idle or a new connection. head must not change until
 // ResponseHandler.Connected has returned or the request has ended. body belongs to the connection and
 // must not change. notIdempotent is set if the request must not be retried once it may have been
 // executed. If Start returns an error, it wraps ErrNoConn, and no method of handler is called.
-func (p *Pool) Start(handler ResponseHandler, head, body []byte, notIdempotent bool) (*Conn, error) {
+func (p *ConnPool) Start(handler ResponseHandler, head, body []byte, notIdempotent bool) (*Conn, error) {
 	c := p.takeIdle(notIdempotent)
 	if c == nil {
 		var err error
@@ -63,7 +63,7 @@
 // takeIdle returns the most recently used idle connection that may carry the request, or nil. It
 // closes connections on which bytes or an end of stream have arrived since their last response, and
 // those that the policy does not allow even for an idempotent request.
-func (p *Pool) takeIdle(notIdempotent bool) *Conn {
+func (p *ConnPool) takeIdle(notIdempotent bool) *Conn {
 	policy := p.Options.ReusePolicy
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
@@ -87,7 +87,7 @@
 }
 
 // dial starts a new connection if the limits of the pool and the budget allow it.
-func (p *Pool) dial() (*Conn, error) {
+func (p *ConnPool) dial() (*Conn, error) {
 	if len(p.conns) >= p.Options.MaxPerEngine || !p.Budget.ensureCapacity(p.Options.MaxTotal) {
 		return nil, ErrNoConn
 	}
@@ -110,19 +110,19 @@
 }
 
 // addIdle keeps a connection for the next request.
-func (p *Pool) addIdle(c *Conn) {
+func (p *ConnPool) addIdle(c *Conn) {
 	p.idle = append(p.idle, c)
 	p.Loop.StartTimer(&c.timer, p.Options.IdleTimeout)
 	p.Budget.addIdle(c)
 }
 
 // removeIdle removes a connection from the idle connections. If it is not idle, removeIdle does nothing.
-func (p *Pool) removeIdle(c *Conn) {
+func (p *ConnPool) removeIdle(c *Conn) {
 	p.idle = slices.DeleteFunc(p.idle, func(other *Conn) bool { return other == c })
 }
 
 // connClosed is called once for each connection, after it was closed.
-func (p *Pool) connClosed(c *Conn, reason CloseReason) {
+func (p *ConnPool) connClosed(c *Conn, reason CloseReason) {
 	delete(p.conns, c)
 	p.Budget.open--
 	if p.OnConnClosed != nil {
@@ -132,7 +132,7 @@
 
 // CloseIdle closes the idle connections. It must be called when the engine has left the endpoint list,
 // restarted or changed its address.
-func (p *Pool) CloseIdle() {
+func (p *ConnPool) CloseIdle() {
 	idle := p.idle
 	p.idle = nil
 	for _, c := range idle {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,4 +1,4 @@
-// Package upstream manages a router's connections to engines. Each engine has a Pool, which keeps
+// Package upstream manages a router's connections to engines. Each engine has a ConnPool, which keeps
 // connections for reuse. A Conn carries one request at a time and passes its response to a
 // ResponseHandler. The package does not interpret requests, choose engines or retry.
 //
@@ -13,7 +13,7 @@
 	"martenlock/internal/http1"
 )
 
-// ErrNoConn is wrapped by errors of Pool.Start. It means that no connection could be started for a
+// ErrNoConn is wrapped by errors of ConnPool.Start. It means that no connection could be started for a
 // reason on this machine, not at the engine: a limit is reached, or the system has no descriptor or
 // port left. In the second case the error wraps the system's error too.
 var ErrNoConn = errors.New("upstream: no connection available")
