--- a/internal/openaiserver/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -45,7 +45,7 @@
 func (a *attempt) start(action control.Forward) {
 	exchange := a.exchange
 	a.role = a.engine.endpoint.Role
-	body := exchange.appendBody(make([]byte, 0, exchange.call.BodySize()+bodyOverheadBytes), a.role)
+	body := exchange.appendBody(make([]byte, 0, exchange.apiRequest.BodySize()+bodyOverheadBytes), a.role)
 	head := exchange.appendHead(a.engine.newRequestHead(http.MethodPost, exchange.path))
 	a.answerTimer.Fire = func() { a.finish(control.TimedOut, false) }
 	conn, err := a.engine.Start(a, http1.AppendContentLength(head, len(body)), body, false)
--- a/internal/openaiserver/attemptresponse.go
+++ b/internal/openaiserver/attemptresponse.go
@@ -55,7 +55,7 @@
 		a.buffered = append(a.buffered, data...)
 		server.bufferedBytes += int64(len(data))
 	case a.status != http.StatusOK: // truncates an error response
-	case isPrefill || a.exchange.call.NeedsResponseCheck():
+	case isPrefill || a.exchange.apiRequest.NeedsResponseCheck():
 		// The connection allows responses above maxPrefillResponseBytes. It also allows one whose head arrived
 		// before a reload lowered the limit.
 		a.finish(control.Failed, false)
@@ -67,15 +67,15 @@
 // bufferLimit returns the limit on the buffered part of the response body, in bytes.
 func (a *attempt) bufferLimit() int {
 	limits := &a.exchange.pool.server.config.Limits
-	call := a.exchange.call
+	apiRequest := a.exchange.apiRequest
 	switch {
 	case a.status != http.StatusOK:
 		return maxErrorResponseBytes
 	case a.role == control.RolePrefill:
 		return maxPrefillResponseBytes
-	case call.Stream:
+	case apiRequest.Stream:
 		return 0
-	case call.NeedsResponseCheck(): // the check needs the whole body
+	case apiRequest.NeedsResponseCheck(): // the check needs the whole body
 		return int(limits.MaxResponseBytes)
 	}
 	return limits.MaxRetryBufferBytes
@@ -91,7 +91,7 @@
 		a.finishPrefill()
 	case a.state == decisionloop.AttemptStreaming:
 		a.finish(control.OK, true)
-	case a.exchange.call.Stream: // the stream had no event
+	case a.exchange.apiRequest.Stream: // the stream had no event
 		a.finish(control.Failed, false)
 	default:
 		a.finishBufferedAnswer()
@@ -108,7 +108,7 @@
 		a.finish(control.Failed, false)
 		return
 	}
-	exchange.pool.tokenEstimator.Observe(exchange.call.PromptTokens, openai.ParsePromptTokens(a.buffered))
+	exchange.pool.tokenEstimator.Observe(exchange.apiRequest.PromptTokens, openai.ParsePromptTokens(a.buffered))
 	exchange.kvTransfer = response.KVTransfer
 	exchange.kvHolders = append(exchange.kvHolders, a.engine)
 	a.cachedTokens = uint32(response.CachedTokens)
@@ -119,15 +119,15 @@
 // the engine.
 func (a *attempt) finishBufferedAnswer() {
 	exchange := a.exchange
-	err := exchange.call.CheckResponse(a.buffered)
+	err := exchange.apiRequest.CheckResponse(a.buffered)
 	if err != nil {
 		exchange.pool.server.log.Warn().Str("endpoint", a.engine.endpoint.Name).Err(err).Msg("invalid answer")
 		a.finish(control.Failed, false)
 		return
 	}
 	exchange.kvHolders = nil
-	if !exchange.call.NeedsResponseCheck() { // in a long checked response, finding the usage at its end is too slow
-		exchange.pool.tokenEstimator.Observe(exchange.call.PromptTokens, openai.ParsePromptTokens(a.buffered))
+	if !exchange.apiRequest.NeedsResponseCheck() { // in a long checked response, finding the usage at its end is too slow
+		exchange.pool.tokenEstimator.Observe(exchange.apiRequest.PromptTokens, openai.ParsePromptTokens(a.buffered))
 	}
 	exchange.setAnswer(a, outcome.Served)
 	a.finish(control.OK, true)
--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -31,9 +31,9 @@
 	scheduler   *batchScheduler
 	id          batching.BatchID
 	exchange    *exchange
-	call        *openai.Request            // with the inputs of all members; nil if there is only one member
+	apiRequest  *openai.Request            // with the inputs of all members; nil if there is only one member
 	firstInput  map[batching.RequestID]int // index of each member's first input
-	inputTokens []float64                  // estimated tokens of each input in call
+	inputTokens []float64                  // estimated tokens of each input in apiRequest
 	maxAttempts int                        // of the members' class
 }
 
@@ -64,8 +64,8 @@
 
 // mayBatch reports whether a request may share a batch. Shards and partial cache fills may not.
 func (b *batchScheduler) mayBatch(request *inferenceRequest) bool {
-	return request.call.API == openai.Embeddings && request.shardLabel == "" &&
-		b.batcher.IsSmall(request.call.ItemCount, request.call.PromptTokens) &&
+	return request.apiRequest.API == openai.Embeddings && request.shardLabel == "" &&
+		b.batcher.IsSmall(request.apiRequest.ItemCount, request.apiRequest.PromptTokens) &&
 		batching.MayBatch(*request.class(), b.pool.maxAttempts(request.class()))
 }
 
@@ -83,8 +83,8 @@
 	now := r.pool.server.now()
 	scheduler.batcher.Enqueue(now, member.batchKey(), batching.Request{
 		ID:        member.id,
-		Items:     r.call.ItemCount,
-		Tokens:    r.call.PromptTokens,
+		Items:     r.apiRequest.ItemCount,
+		Tokens:    r.apiRequest.PromptTokens,
 		Objective: now.Add(r.class().TTFTObjective),
 		Deadline:  r.moduleRequest.Deadline,
 	})
@@ -93,14 +93,14 @@
 }
 
 // batchKey returns a hash of everything that must be equal in the requests of a batch. It includes the first byte of an
-// input, which distinguishes texts from lists of tokens: engines don't accept both in one call.
+// input, which distinguishes texts from lists of tokens: engines don't accept both in one request.
 func (m *batchMember) batchKey() (key batching.Key) {
 	r := m.request
 	class := r.moduleRequest.Class
 	hash := sha256.New()
 	hash.Write([]byte{m.inputs[0][0], byte(class), byte(class >> 8)})
 	hash.Write([]byte(r.path + "\x00" + r.tenant + "\x00"))
-	r.call.WriteBatchKey(hash)
+	r.apiRequest.WriteBatchKey(hash)
 	copy(key[:], hash.Sum(nil))
 	return key
 }
@@ -186,10 +186,10 @@
 		started.inputTokens = append(started.inputTokens, member.inputTokens...)
 		inputs = append(inputs, member.inputs...)
 		headers = append(headers, member.request.forwardedFields)
-		promptTokens += member.request.call.PromptTokens
+		promptTokens += member.request.apiRequest.PromptTokens
 	}
-	started.call = request.call.Batch(inputs, promptTokens)
-	request.call = started.call
+	started.apiRequest = request.apiRequest.Batch(inputs, promptTokens)
+	request.apiRequest = started.apiRequest
 	request.forwardedFields = commonHeaders(headers)
 	request.moduleRequest.PromptTokens = control.Tokens(promptTokens)
 	request.moduleRequest.SessionID = 0 // the members may belong to different sessions
@@ -197,7 +197,7 @@
 }
 
 // isBatch implements responder.
-func (b *batch) isBatch() bool { return b.call != nil }
+func (b *batch) isBatch() bool { return b.apiRequest != nil }
 
 // respond implements responder. It sends each member its part of the answer. Members of a failed batch are retried if
 // package batching decides so, and get the batch's answer otherwise.
@@ -215,7 +215,7 @@
 	scheduler.schedulePoll()
 	var results []openai.EmbeddingResult
 	if b.isBatch() && a.outcome == outcome.Served {
-		results = b.call.SplitResponse(a.body, b.inputTokens)
+		results = b.apiRequest.SplitResponse(a.body, b.inputTokens)
 	}
 	for _, id := range completion.Requests {
 		member := scheduler.members[id]
--- a/internal/openaiserver/cachefill.go
+++ b/internal/openaiserver/cachefill.go
@@ -15,9 +15,9 @@
 	bufferedResponder
 	parent       *embeddingRequest
 	inputIndices []int // indices in parent.inputs
-	call         *openai.Request
+	apiRequest   *openai.Request
 	operation    operation
-	copiedBytes  int64 // size of the body in call if it was copied for this fill, or 0; counted in Server.bufferedBytes
+	copiedBytes  int64 // size of the body in apiRequest if it was copied for this fill, or 0; counted in Server.bufferedBytes
 }
 
 // follower is an input of another request that waits for the result of a cacheFill.
@@ -48,7 +48,7 @@
 		e.respond(a)
 		return
 	}
-	results := f.call.SplitResponse(a.body, f.inputTokens())
+	results := f.apiRequest.SplitResponse(a.body, f.inputTokens())
 	f.store(results, isWholeRequest)
 	serveFollowers(followers, a, results)
 	if isWholeRequest {
--- a/internal/openaiserver/clientconn.go
+++ b/internal/openaiserver/clientconn.go
@@ -24,7 +24,7 @@
 	isGetOrHead     bool
 	path            string
 	api             openai.API
-	isAPICall       bool // POST to a path of the API
+	isAPIRequest    bool // POST to a path of the API
 	class           string
 	session         string
 	tenant          string
@@ -41,8 +41,8 @@
 	path, _, _ := bytes.Cut(head.Target, []byte{'?'})
 	request.isGetOrHead = method == http.MethodGet || method == http.MethodHead
 	request.path = string(path)
-	request.api, request.isAPICall = openai.APIByPath(request.path)
-	request.isAPICall = request.isAPICall && method == http.MethodPost
+	request.api, request.isAPIRequest = openai.APIByPath(request.path)
+	request.isAPIRequest = request.isAPIRequest && method == http.MethodPost
 	request.class = string(head.Get(settings.ClassHeader))
 	request.session = string(head.Get(settings.SessionHeader))
 	request.tenant = string(head.Get(settings.TenantHeader))
--- a/internal/openaiserver/dispatch.go
+++ b/internal/openaiserver/dispatch.go
@@ -25,8 +25,8 @@
 		c.respondHealth()
 	case c.request.isGetOrHead && c.request.path == modelsPath:
 		c.respondJSON(http.StatusOK, openai.AppendModels(nil, c.server.models(), c.server.startedAt.Unix()))
-	case c.request.isAPICall:
-		c.dispatchCall()
+	case c.request.isAPIRequest:
+		c.dispatchAPIRequest()
 	default:
 		c.respondUnknown()
 	}
@@ -70,24 +70,24 @@
 	}, "Allow: "+allowed+"\r\n")
 }
 
-// dispatchCall decodes an API request. It starts the request's operation if the request is valid and within the server's
-// limits, and rejects it otherwise.
-func (c *clientConn) dispatchCall() {
+// dispatchAPIRequest decodes an API request. It starts the request's operation if the request is valid and within
+// the server's limits, and rejects it otherwise.
+func (c *clientConn) dispatchAPIRequest() {
 	s := c.server
-	call, err := openai.Decode(c.request.api, c.conn.Body(), s.config.Request.OpenAI)
+	apiRequest, err := openai.Decode(c.request.api, c.conn.Body(), s.config.Request.OpenAI)
 	if err != nil {
 		c.respondError(err, "")
 		return
 	}
-	p := s.pools.find(c.request.api, call.Model)
+	p := s.pools.find(c.request.api, apiRequest.Model)
 	if p == nil {
-		c.respondError(modelNotFound(c.request.api, call.Model), "")
+		c.respondError(modelNotFound(c.request.api, apiRequest.Model), "")
 		return
 	}
-	limit, neverFits := p.tokenLimits.NeverFits(&p.tokenEstimator, call.LongestItemTokens, float64(call.RequestedMaxTokens))
+	limit, neverFits := p.tokenLimits.NeverFits(&p.tokenEstimator, apiRequest.LongestItemTokens, float64(apiRequest.RequestedMaxTokens))
 	if neverFits {
 		s.counters.oversized++
-		c.respondError(call.ContextLengthError(limit, p.tokenEstimator.Correct(call.LongestItemTokens)), "")
+		c.respondError(apiRequest.ContextLengthError(limit, p.tokenEstimator.Correct(apiRequest.LongestItemTokens)), "")
 		return
 	}
 	class := p.settings.DefaultClass
@@ -99,10 +99,10 @@
 		c.respondError(openai.InvalidRequest(s.config.Request.ClassHeader, "there is no class '%s'", c.request.class), "")
 	case s.openRequests >= s.config.Limits.MaxRequests || s.shutdown.inProgress:
 		c.respondRouterFull()
-	case s.bufferedBytes+int64(call.ItemCount)*itemOverheadBytes > maxBufferedBytes:
+	case s.bufferedBytes+int64(apiRequest.ItemCount)*itemOverheadBytes > maxBufferedBytes:
 		c.respondOutOfMemory()
 	default:
-		c.startOperation(p, call, s.config.Classes[class])
+		c.startOperation(p, apiRequest, s.config.Classes[class])
 	}
 }
 
@@ -128,9 +128,9 @@
 }
 
 // startOperation starts the operation that computes the answer to a request.
-func (c *clientConn) startOperation(p *pool, call *openai.Request, class config.Class) {
+func (c *clientConn) startOperation(p *pool, apiRequest *openai.Request, class config.Class) {
 	s := c.server
-	request := c.newInferenceRequest(p, call, class)
+	request := c.newInferenceRequest(p, apiRequest, class)
 	c.request.forwardedFields = nil
 	exchange := &httpExchange{client: c, request: request, operation: noOperation{}, startedAt: s.now()}
 	c.conn.StartServing()
@@ -147,31 +147,31 @@
 
 // newInferenceRequest returns the inferenceRequest for a decoded API request. Its control.Request is complete except for
 // the ID.
-func (c *clientConn) newInferenceRequest(p *pool, call *openai.Request, class config.Class) *inferenceRequest {
+func (c *clientConn) newInferenceRequest(p *pool, apiRequest *openai.Request, class config.Class) *inferenceRequest {
 	s := c.server
 	correction := p.tokenEstimator.Correct(1)
 	classIndex := class.UnaryIndex
-	if call.Stream {
+	if apiRequest.Stream {
 		classIndex = class.StreamIndex
 	}
 	request := &inferenceRequest{
 		pool:            p,
-		call:            call,
+		apiRequest:      apiRequest,
 		path:            c.request.path,
 		forwardedFields: c.request.forwardedFields,
 		tenant:          c.request.tenant,
 		fairShareKey:    xxhash.Sum64String(s.config.FairShareTenant(c.request.tenant)),
-		promptTokens:    call.PromptTokens,
+		promptTokens:    apiRequest.PromptTokens,
 		timeBudget:      c.timeBudget(p.config.Control.Classes[classIndex]),
 		moduleRequest:   control.Request{Class: classIndex, Tenant: s.config.TenantIndex(c.request.tenant)},
 	}
 	event := &request.moduleRequest
-	event.PrefixHash = call.PrefixHash
-	event.PrefixTokens = control.Tokens(call.PrefixTokens * correction)
-	event.PromptTokens = control.Tokens(call.PromptTokens * correction)
-	event.MaxTokens = control.Tokens(call.MaxTokens)
+	event.PrefixHash = apiRequest.PrefixHash
+	event.PrefixTokens = control.Tokens(apiRequest.PrefixTokens * correction)
+	event.PromptTokens = control.Tokens(apiRequest.PromptTokens * correction)
+	event.MaxTokens = control.Tokens(apiRequest.MaxTokens)
 	event.Deadline = s.now().Add(max(request.timeBudget-s.config.Limits.DeadlineMargin, 0))
-	event.SessionID = sessionID(c.request.tenant, c.request.session, call.PromptCacheKey, call.User)
+	event.SessionID = sessionID(c.request.tenant, c.request.session, apiRequest.PromptCacheKey, apiRequest.User)
 	return request
 }
 
--- a/internal/openaiserver/embeddingcache.go
+++ b/internal/openaiserver/embeddingcache.go
@@ -89,7 +89,7 @@
 }
 
 // cacheKeys returns the cache key of each input: a hash of the input and of everything else that its embedding depends
-// on. That is the path, the model's revision and all members of the call except the inputs and the user. The key
+// on. That is the path, the model's revision and all members of the request except the inputs and the user. The key
 // includes the tenant unless tenants share the cache.
 func (r *inferenceRequest) cacheKeys(inputs [][]byte) []coalesce.Key {
 	p := r.pool
@@ -104,7 +104,7 @@
 		hash.Write(length[:])
 		hash.Write([]byte(part))
 	}
-	r.call.WriteBatchKey(hash)
+	r.apiRequest.WriteBatchKey(hash)
 	commonHash := hash.Sum(nil)
 	keys := make([]coalesce.Key, len(inputs))
 	var sum [sha256.Size]byte
--- a/internal/openaiserver/embeddingrequest.go
+++ b/internal/openaiserver/embeddingrequest.go
@@ -40,7 +40,7 @@
 func (r *inferenceRequest) startCached(client responder) operation {
 	p := r.pool
 	// Engines with different model revisions give different answers to the same input.
-	if r.call.API != openai.Embeddings || !p.settings.Coalesces || p.revisionsMixed || !coalesce.MayCoalesce(*r.class()) {
+	if r.apiRequest.API != openai.Embeddings || !p.settings.Coalesces || p.revisionsMixed || !coalesce.MayCoalesce(*r.class()) {
 		return nil
 	}
 	e := newEmbeddingRequest(r, client)
@@ -117,12 +117,12 @@
 	if len(indices) == 0 {
 		return
 	}
-	fill := &cacheFill{parent: e, inputIndices: indices, call: e.request.call}
+	fill := &cacheFill{parent: e, inputIndices: indices, apiRequest: e.request.apiRequest}
 	request := *e.request
 	if len(indices) < len(e.inputs) {
 		e.selectInputs(&request, indices)
-		fill.call = request.call
-		fill.copiedBytes = int64(request.call.BodySize())
+		fill.apiRequest = request.apiRequest
+		fill.copiedBytes = int64(request.apiRequest.BodySize())
 		request.pool.server.bufferedBytes += fill.copiedBytes
 	}
 	e.fills = append(e.fills, fill)
@@ -139,7 +139,7 @@
 		inputTokens[position] = e.inputTokens[i]
 		promptTokens += e.inputTokens[i]
 	}
-	request.call = request.call.Shard(inputs, promptTokens)
+	request.apiRequest = request.apiRequest.Shard(inputs, promptTokens)
 	request.moduleRequest.PromptTokens = control.Tokens(promptTokens)
 	request.promptTokens = promptTokens
 	request.inputs = inputs
@@ -186,7 +186,7 @@
 		fields:      e.cacheField(),
 	}
 	if e.template == nil {
-		e.template = append(gjson.AppendJSONString([]byte(`{"object":"list","data":[],"model":`), e.request.call.Model), `,"usage":{}}`...)
+		e.template = append(gjson.AppendJSONString([]byte(`{"object":"list","data":[],"model":`), e.request.apiRequest.Model), `,"usage":{}}`...)
 	}
 	a.body = openai.AssembleResponse(e.template, e.embeddings, usage)
 	e.respond(a)
--- a/internal/openaiserver/exchange.go
+++ b/internal/openaiserver/exchange.go
@@ -17,7 +17,7 @@
 	client       responder         // nil once it has the answer or has disconnected
 	id           control.RequestID // the decision module's id of the request
 	requestID    string            // sent to engines as X-Request-Id
-	call         *openai.Request   // the decoded API request
+	apiRequest   *openai.Request   // the decoded API request
 	path         string
 	engineFields []byte // additional header fields for engines, each ending with CRLF: the forwarded ones and X-Request-Part
 
@@ -60,11 +60,11 @@
 func (e *exchange) appendBody(body []byte, role control.Role) []byte {
 	switch {
 	case role == control.RolePrefill:
-		return e.call.AppendPrefillBody(body)
+		return e.apiRequest.AppendPrefillBody(body)
 	case e.kvTransfer != nil:
-		return e.call.AppendDecodeBody(body, e.kvTransfer)
+		return e.apiRequest.AppendDecodeBody(body, e.kvTransfer)
 	}
-	return e.call.AppendColocatedBody(body)
+	return e.apiRequest.AppendColocatedBody(body)
 }
 
 // appendHead appends the header fields of an attempt's request, except for Host and Content-Length.
--- a/internal/openaiserver/httpexchange.go
+++ b/internal/openaiserver/httpexchange.go
@@ -61,7 +61,7 @@
 		conn.Reset()
 		return
 	}
-	if e.request.call.Stream {
+	if e.request.apiRequest.Stream {
 		err := openai.Error{Message: reason, Type: errorTypeServer, Code: "engine_failed"}
 		conn.WriteBody(openai.AppendEvent(nil, err.AppendJSON(nil)))
 	}
--- a/internal/openaiserver/inferencerequest.go
+++ b/internal/openaiserver/inferencerequest.go
@@ -11,7 +11,7 @@
 // inferenceRequest is a client's API request, or a part of one, for which an operation computes the answer.
 type inferenceRequest struct {
 	pool            *pool
-	call            *openai.Request
+	apiRequest      *openai.Request
 	moduleRequest   control.Request // for the decision module; startExchange assigns the ID
 	path            string
 	forwardedFields []byte // additional header fields for engines, each ending with CRLF
@@ -29,7 +29,9 @@
 const itemOverheadBytes = 300
 
 // overheadBytes returns the estimated memory for the request in addition to its body.
-func (r *inferenceRequest) overheadBytes() int64 { return int64(r.call.ItemCount) * itemOverheadBytes }
+func (r *inferenceRequest) overheadBytes() int64 {
+	return int64(r.apiRequest.ItemCount) * itemOverheadBytes
+}
 
 func (r *inferenceRequest) class() *control.Class {
 	return &r.pool.config.Control.Classes[r.moduleRequest.Class]
@@ -37,7 +39,7 @@
 
 // start starts the operation that computes the request's answer. The client gets no answer before start has returned.
 func (r *inferenceRequest) start(client responder) operation {
-	if r.call.NeedsResponseCheck() {
+	if r.apiRequest.NeedsResponseCheck() {
 		scattered := r.startScattered(client)
 		if scattered != nil {
 			return scattered
@@ -54,7 +56,7 @@
 // them.
 func (r *inferenceRequest) splitInputs() ([][]byte, []float64) {
 	if r.inputs == nil {
-		r.inputs, r.inputTokens = r.call.Items(r.pool.server.config.Request.OpenAI)
+		r.inputs, r.inputTokens = r.apiRequest.Items(r.pool.server.config.Request.OpenAI)
 	}
 	return r.inputs, r.inputTokens
 }
@@ -67,7 +69,7 @@
 		client:       client,
 		id:           p.exchanges.NewID(),
 		requestID:    requestID,
-		call:         r.call,
+		apiRequest:   r.apiRequest,
 		path:         r.path,
 		engineFields: r.forwardedFields,
 	}
--- a/internal/openaiserver/scatter.go
+++ b/internal/openaiserver/scatter.go
@@ -35,7 +35,7 @@
 	parent      *scatteredRequest
 	index       int
 	exchange    *exchange // nil after it has ended
-	copiedBytes int64     // size of the inputs copied into the shard's call; counted in Server.bufferedBytes
+	copiedBytes int64     // size of the inputs copied into the shard's apiRequest; counted in Server.bufferedBytes
 }
 
 // startScattered starts a request that has to be split into shards or is large. It returns nil for any other request. A
@@ -49,7 +49,7 @@
 		return nil
 	}
 	if len(plan) < 2 { // the only shard is the unchanged request
-		plan = []scatter.Shard{{To: r.call.ItemCount}}
+		plan = []scatter.Shard{{To: r.apiRequest.ItemCount}}
 		inputs = nil
 	}
 	scattered := &scatteredRequest{
@@ -96,7 +96,7 @@
 	}
 	tokens := r.shardTokens(index)
 	inputs := r.inputs[r.plan[index].From:r.plan[index].To]
-	request.call = request.call.Shard(inputs, tokens)
+	request.apiRequest = request.apiRequest.Shard(inputs, tokens)
 	for _, input := range inputs {
 		started.copiedBytes += int64(len(input)) + 1
 	}
@@ -163,7 +163,7 @@
 		outcome:     outcome.Served,
 		status:      http.StatusOK,
 		contentType: last.contentType,
-		body:        r.request.call.MergeResponses(r.plan, r.bodies),
+		body:        r.request.apiRequest.MergeResponses(r.plan, r.bodies),
 	}
 }
 
