--- a/internal/platform/cancellation_test.go
+++ b/internal/platform/cancellation_test.go
@@ -156,7 +156,7 @@
 			h := startHarness(t, "r1", "r1", "w1")
 			conns := make(chan net.Conn, 4)
 			for _, e := range h.engines[:2] {
-				e.SetScript(platformtest.AnswerByTest(conns))
+				e.SetScript(platformtest.RespondByTest(conns))
 			}
 			client := h.dial()
 			var engineConn net.Conn
@@ -202,7 +202,7 @@
 		h := startHarness(t, "r1", "w1", "w1")
 		conns := make(chan net.Conn, 4)
 		for _, e := range h.engines[1:] {
-			e.SetScript(platformtest.AnswerByTest(conns))
+			e.SetScript(platformtest.RespondByTest(conns))
 		}
 		client := h.send(h.chat("note"))
 		engineConn := <-conns
--- a/internal/platform/platformtest/engine.go
+++ b/internal/platform/platformtest/engine.go
@@ -192,8 +192,8 @@
 	})(r)
 }
 
-// AnswerByTest returns a Script that sends the connection of each attempt on conns. The test answers on it.
-func AnswerByTest(conns chan<- net.Conn) Script {
+// RespondByTest returns a Script that sends the connection of each attempt on conns. The test responds on it.
+func RespondByTest(conns chan<- net.Conn) Script {
 	return ForAttempts(func(r *Request) bool {
 		conns <- r.Conn
 		r.AwaitClose()
--- a/internal/platform/timebudget_test.go
+++ b/internal/platform/timebudget_test.go
@@ -68,7 +68,7 @@
 func TestAnswerPrecedesTimeoutOfTheSameIteration(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	conns := make(chan net.Conn, 1)
-	h.engines[1].SetScript(platformtest.AnswerByTest(conns))
+	h.engines[1].SetScript(platformtest.RespondByTest(conns))
 	client := h.send(h.chat("note", "4000m", "600m"))
 	engineConn := <-conns
 
