--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -27,7 +27,7 @@
 	c.handler = discard{}
 	c.in.reading = readActive
 	c.discardInput()
-	c.markPending()
+	c.scheduleFlush()
 }
 
 // CloseLingering is Close for a peer that may still be sending. It reads and discards input for up
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -47,8 +47,8 @@
 	in       input
 	out      output
 
-	watched uint32 // events that epoll watches for
-	pending bool   // is in pendingWork.conns
+	watched        uint32 // events that epoll watches for
+	flushScheduled bool   // is in pendingWork.conns
 
 	lingers    bool              // CloseLingering was called
 	closeTimer *timerwheel.Timer // bounds a close; nil until needed
@@ -105,7 +105,7 @@
 	} else {
 		c.state = connOpen
 	}
-	c.markPending()
+	c.scheduleFlush()
 	c.handler.Opened(c)
 }
 
@@ -128,19 +128,18 @@
 	return addrPort(sa)
 }
 
-// markPending schedules flushPending for the end of this iteration.
-func (c *Conn) markPending() {
-	if c.pending || c.IsClosed() {
+// scheduleFlush schedules flushAtIterationEnd for the end of this iteration.
+func (c *Conn) scheduleFlush() {
+	if c.flushScheduled || c.IsClosed() {
 		return
 	}
-	c.pending = true
+	c.flushScheduled = true
 	c.loop.pending.conns = append(c.loop.pending.conns, c)
 }
 
-// flushPending is called at the end of an iteration. It redelivers input, sends output, continues a
-// close, notifies the writer and updates the events that epoll watches for. Each step may close the
-// connection.
-func (c *Conn) flushPending() {
+// flushAtIterationEnd redelivers input, sends output, continues a close, notifies the writer and
+// updates the events that epoll watches for. Each step may close the connection.
+func (c *Conn) flushAtIterationEnd() {
 	if c.IsClosed() || c.state.connecting() {
 		return
 	}
--- a/internal/eventloop/echo_bench_test.go
+++ b/internal/eventloop/echo_bench_test.go
@@ -7,7 +7,7 @@
 )
 
 // BenchmarkEcho measures a round trip of 512 bytes over an open connection: one read, one buffered
-// write and one flush. It allocates twice: the list of segments and the list of pending connections.
+// write and one flush. It allocates twice: the list of segments and the list of connections to flush.
 func BenchmarkEcho(b *testing.B) {
 	l, err := New(Options{})
 	if err != nil {
--- a/internal/eventloop/enum_string.go
+++ b/internal/eventloop/enum_string.go
@@ -33,7 +33,7 @@
 	var x [1]struct{}
 	_ = x[readActive-0]
 	_ = x[readPaused-1]
-	_ = x[readPausedPending-2]
+	_ = x[readPausedInputPending-2]
 }
 
 const _readState_name = "activepausedpaused with input pending"
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -100,7 +100,7 @@
 // pendingWork is work that is deferred to the end of the iteration.
 type pendingWork struct {
 	deferred []func()
-	conns    []*Conn // for Conn.flushPending
+	conns    []*Conn // for Conn.flushAtIterationEnd
 	// closedDescriptors are the descriptors closed in this iteration. The kernel may reuse the number of
 	// one for a new connection, which must not get the events of the old one.
 	closedDescriptors map[int]struct{}
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -8,8 +8,8 @@
 const (
 	readActive readState = iota // active
 	readPaused                  // paused
-	// readPausedPending is a paused connection with unread bytes. Epoll does not watch it for input.
-	readPausedPending // paused with input pending
+	// readPausedInputPending is a paused connection with unread bytes. Epoll does not watch it for input.
+	readPausedInputPending // paused with input pending
 )
 
 // peerState is the state of the peer's sending half of a connection.
@@ -89,7 +89,7 @@
 	}
 	c.in.reading = readActive
 	c.in.redeliveryDue = len(c.in.unconsumed) > 0
-	c.markPending()
+	c.scheduleFlush()
 }
 
 // ready implements source.
@@ -110,15 +110,15 @@
 		return
 	}
 	if events&unix.EPOLLIN != 0 && c.in.reading == readPaused {
-		c.in.reading = readPausedPending
-		c.markPending()
+		c.in.reading = readPausedInputPending
+		c.scheduleFlush()
 	}
 	if events&unix.EPOLLRDHUP != 0 {
 		c.notifyEarlyEOF() // unread bytes before the end wait for Resume
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		c.markPending()
+		c.scheduleFlush()
 	}
 }
 
@@ -144,13 +144,13 @@
 		return
 	}
 	c.in.peer = peerEOFNotified
-	c.markPending()
+	c.scheduleFlush()
 	c.handler.EOF(c)
 }
 
 func (c *Conn) readyWhileReading(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
-		c.markPending()
+		c.scheduleFlush()
 	}
 	if c.in.peer != peerEOFRead {
 		if events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLERR|unix.EPOLLHUP) != 0 {
@@ -174,7 +174,7 @@
 		c.fail(errno)
 	case n == 0:
 		c.in.peer = peerEOFRead
-		c.markPending()
+		c.scheduleFlush()
 		c.handler.EOF(c)
 	case len(c.in.unconsumed) == 0:
 		consumed := c.handler.Data(c, scratch[:n])
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -72,7 +72,7 @@
 // end of the iteration.
 func (c *Conn) outputGrew() {
 	c.out.writableDue = c.out.writableDue || c.AboveHighWaterMark()
-	c.markPending()
+	c.scheduleFlush()
 }
 
 // append copies b to the free space of the last segment and the rest to new segments.
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -136,8 +136,8 @@
 	c.fail(fmt.Errorf("eventloop: handler panicked: %v", reason))
 }
 
-// finishIteration runs the deferred functions and flushes the pending connections. Either can add
-// more of both, so it repeats until none are left.
+// finishIteration runs the deferred functions and flushes the connections scheduled for it. Either can
+// add more of both, so it repeats until none are left.
 func (l *Loop) finishIteration() {
 	for len(l.pending.deferred) > 0 || len(l.pending.conns) > 0 {
 		deferred := l.pending.deferred
@@ -148,7 +148,7 @@
 		conns := l.pending.conns
 		l.pending.conns = nil
 		for _, c := range conns {
-			c.pending = false
+			c.flushScheduled = false
 			l.flushConn(c)
 		}
 	}
@@ -158,12 +158,12 @@
 	}
 }
 
-// flushConn calls Conn.flushPending and recovers from a panic of the handler.
+// flushConn calls Conn.flushAtIterationEnd and recovers from a panic of the handler.
 func (l *Loop) flushConn(c *Conn) {
 	if l.opts.OnPanic != nil {
 		defer l.recoverFrom(c)
 	}
-	c.flushPending()
+	c.flushAtIterationEnd()
 }
 
 // resumeStarved resumes the listeners that wait for descriptors or memory.
