--- a/internal/openaiserver/clientconn_test.go
+++ b/internal/openaiserver/clientconn_test.go
@@ -232,7 +232,7 @@
 		holdIdleConnections(t, address)
 		return
 	}
-	count := raiseIdleConnectionLimit()
+	count := raiseLimitForIdleConnections()
 	h := startHarness(t, prefillDecodeSpecs(1, 1))
 	holder := exec.Command(os.Args[0], "-test.run=^TestServesBesideTenThousandIdleConnections$")
 	holder.Env = append(os.Environ(), idleAddressVariable+"="+h.address(), fmt.Sprintf("%s=%d", idleCountVariable, count))
@@ -273,9 +273,9 @@
 	return int64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// raiseIdleConnectionLimit raises the descriptor limit of this process. It returns the number of idle connections: 10,000
-// or, if lower, the limit minus 500 descriptors for other use.
-func raiseIdleConnectionLimit() int {
+// raiseLimitForIdleConnections raises the descriptor limit of this process. It returns the number of idle connections:
+// 10,000 or, if lower, the limit minus 500 descriptors for other use.
+func raiseLimitForIdleConnections() int {
 	var limit unix.Rlimit
 	_ = unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
 	limit.Cur = limit.Max
@@ -286,7 +286,7 @@
 // holdIdleConnections opens the configured number of connections and keeps them open until standard input ends.
 func holdIdleConnections(t *testing.T, address string) {
 	t.Helper()
-	raiseIdleConnectionLimit()
+	raiseLimitForIdleConnections()
 	count, err := strconv.Atoi(os.Getenv(idleCountVariable))
 	if err != nil {
 		t.Fatal(err)
