--- a/internal/decisionloop/example_test.go
+++ b/internal/decisionloop/example_test.go
@@ -9,7 +9,7 @@
 	"martenlock/internal/eventloop"
 )
 
-// printingExchange prints the actions that it is to execute.
+// printingExchange prints actions instead of executing them.
 type printingExchange struct{}
 
 func (printingExchange) Forward(action control.Forward) {
@@ -20,7 +20,8 @@
 func (printingExchange) ReleaseKV(control.ReleaseKV)         { fmt.Println("release KV") }
 func (printingExchange) CancelAttempt(control.AttemptNumber) { fmt.Println("cancel attempt") }
 
-// The module gets both events at the end of the iteration. The exchange executes its action.
+// The mailbox passes an endpoint update and a request to the module together, at the end of the loop's
+// iteration. The exchange of the request executes the action that the module returns.
 func ExampleMailbox() {
 	loop, err := eventloop.New(eventloop.Options{})
 	if err != nil {
--- a/internal/decisionloop/mailbox.go
+++ b/internal/decisionloop/mailbox.go
@@ -18,7 +18,7 @@
 type Exchange interface {
 	// Forward starts an attempt.
 	Forward(action control.Forward)
-	// Reject tells the client that it may safely retry the request, and how long to wait before.
+	// Reject tells the client that it may safely retry the request, and after how long.
 	Reject(action control.Reject)
 	// Fail tells the client that the request may have been executed.
 	Fail(action control.Fail)
@@ -71,7 +71,7 @@
 }
 
 // DisableTimers makes the module's timers do nothing from now on. It is called when the module is no
-// longer used. Running timers are not stopped, and without this call they would push events to it.
+// longer used, because its running timers are not stopped and would still push events.
 func (m *Mailbox[X]) DisableTimers() { m.timersDisabled = true }
 
 // Poll passes the collected events to the module, executes its actions, and then calls AfterPoll. If
@@ -103,9 +103,9 @@
 	m.spare = events[:0]
 }
 
-// execute executes one action. It ignores an action for an exchange that no longer exists, because the
-// module may not have handled the event of its end yet. It also ignores control.SubscribeEndpoints,
-// because servers push endpoint updates by themselves.
+// execute executes one action. It ignores an action for an exchange that no longer exists: the module may
+// return one before it handles the event that ends the exchange. It also ignores
+// control.SubscribeEndpoints, because servers push endpoint updates without being asked.
 func (m *Mailbox[X]) execute(action control.Action) {
 	switch action := action.(type) {
 	case control.Forward:
--- a/internal/decisionloop/mailbox_test.go
+++ b/internal/decisionloop/mailbox_test.go
@@ -15,7 +15,7 @@
 	"martenlock/internal/timerwheel"
 )
 
-// recordedExchange records the actions that it is to execute in its mailbox.
+// recordedExchange records actions in the mailbox instead of executing them.
 type recordedExchange struct {
 	id      control.RequestID
 	mailbox *testMailbox
@@ -240,7 +240,7 @@
 	}
 }
 
-// TestHealthCheckAndLogNeedNoExchange: these actions concern an endpoint, not a request.
+// TestHealthCheckAndLogNeedNoExchange: health check and log actions concern an endpoint, not a request.
 func TestHealthCheckAndLogNeedNoExchange(t *testing.T) {
 	m := newTestMailbox(t)
 	var lines bytes.Buffer
--- a/internal/enginecall/call.go
+++ b/internal/enginecall/call.go
@@ -15,9 +15,8 @@
 // Outcome is how a call ended.
 type Outcome uint8
 
-// The outcomes of a call.
 const (
-	// NoConnection means that no connection could be started for a reason on this machine, not at the engine.
+	// NoConnection means that no connection could be started because of a limit or an error on this machine.
 	NoConnection Outcome = iota // no connection
 	// Responded means that the response is complete. Its HTTP status does not matter.
 	Responded // responded
--- a/internal/platformsettings/controlsettings.go
+++ b/internal/platformsettings/controlsettings.go
@@ -8,7 +8,7 @@
 	"martenlock/control"
 )
 
-// controlSettings returns the decision module's settings.
+// controlSettings converts the object to the decision module's settings. Any error is an *Error.
 func (o *settingsObject) controlSettings(seed uint64) (control.Settings, error) {
 	kinds, err := o.engineKinds()
 	if err != nil {
@@ -66,7 +66,7 @@
 	return kinds, nil
 }
 
-// controlClasses returns the request classes of the decision module.
+// controlClasses converts the request classes. Any error is an *Error whose key names the class.
 func (o *settingsObject) controlClasses() ([]control.Class, error) {
 	var classes []control.Class
 	for i, class := range o.Classes {
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -7,7 +7,7 @@
 type Budget struct {
 	open int
 	// idle lists connections in the order in which they became idle. Its entries are not removed when
-	// a connection is used or closed, so it may have stale entries and several of one connection.
+	// a connection is used or closed, so there may be stale entries, and several for one connection.
 	idle []*Conn
 }
 
@@ -43,8 +43,8 @@
 	b.idle = append(b.idle, c)
 }
 
-// removeStale removes entries of connections that are not idle, and all but the first of each
-// connection. It also removes all entries of added, which the caller then appends.
+// removeStale removes all entries of connections that are not idle, and all but the first entry of each
+// idle one. It also removes all entries of added, which the caller then appends.
 func (b *Budget) removeStale(added *Conn) {
 	seen := map[*Conn]bool{added: true}
 	b.idle = slices.DeleteFunc(b.idle, func(c *Conn) bool {
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -5,7 +5,6 @@
 // CloseReason is why a connection to an engine was closed. String returns its name in logs.
 type CloseReason uint8
 
-// The reasons for closing a connection.
 const (
 	// CloseAborted means that Conn.Abort was called, for example because the request was cancelled.
 	CloseAborted CloseReason = iota // aborted
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -199,9 +199,9 @@
 	handler.Complete()
 }
 
-// isReusable reports whether the connection may be kept after a complete response. It may not if the
-// response forbids it, if the request has not been sent completely, or if the engine has a new address
-// or has left the endpoint list.
+// isReusable reports whether the connection may be kept after a complete response. It returns false if
+// the response forbids it, if the request has not been sent completely, or if the engine has a new
+// address or has left the endpoint list.
 func (c *Conn) isReusable() bool {
 	sameEngine := !c.pool.Removed && c.addr == c.pool.Addr
 	return c.keepAlive && sameEngine && c.conn.UnsentBytes() == 0
--- a/internal/upstream/connerror.go
+++ b/internal/upstream/connerror.go
@@ -4,11 +4,11 @@
 type ConnError struct {
 	// Established is set if the connection was established.
 	Established bool
-	// RequestWritten is set if the last byte of the request had left this process. The engine may have
-	// received the whole request then.
+	// RequestWritten is set if the last byte of the request had left this process. In that case the
+	// engine may have received the whole request.
 	RequestWritten bool
 	// ReusedConnection is set if the connection was idle before this request and no byte of the
-	// response has arrived. The engine may have closed it before the request reached it.
+	// response has arrived. The engine may have closed it before the request arrived.
 	ReusedConnection bool
 	// Malformed is why the parser rejected the response. It is empty if the connection failed for
 	// another reason.
--- a/internal/upstream/handler.go
+++ b/internal/upstream/handler.go
@@ -5,8 +5,8 @@
 // ResponseHandler receives the response to one request. The last method called is Complete or Failed.
 // After Conn.Abort no method is called. Until then the Conn belongs to the caller of ConnPool.Start.
 type ResponseHandler interface {
-	// Connected is called when the connection starts to send the request. The engine may execute it
-	// from now on.
+	// Connected is called when the connection starts to send the request. From then on the engine may
+	// execute the request.
 	Connected()
 	// Head receives the head of the response, which is valid only during the call.
 	Head(head *http1.Head)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -41,7 +41,7 @@
 	t             *testing.T
 	loop          eventlooptest.Loop
 	pool          *ConnPool
-	afterResponse chan func(net.Conn) // the engine calls a function from it after its next response
+	afterResponse chan func(net.Conn) // a function sent on it is called after the engine's next response
 	engineEvents  chan string         // "connection", "request", or "gone" at the end of a connection
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -13,9 +13,9 @@
 	"martenlock/internal/http1"
 )
 
-// ErrNoConn is wrapped by errors of ConnPool.Start. It means that no connection could be started for a
-// reason on this machine, not at the engine: a limit is reached, or the system has no descriptor or
-// port left. In the second case the error wraps the system's error too.
+// ErrNoConn is wrapped by errors of ConnPool.Start. It means that no connection could be started because
+// a limit of Options is reached, or because this machine has no descriptor or port left. In the second
+// case the error also wraps the system's error. Neither says anything about the engine.
 var ErrNoConn = errors.New("upstream: no connection available")
 
 // Options configure the connections of pools. Pools share the value and read it at each use. Changed
@@ -25,7 +25,7 @@
 	Limits         http1.Limits  // of responses
 	ConnectTimeout time.Duration // from starting a connection until it is established
 	IdleTimeout    time.Duration // after which idle connections are closed
-	MaxPerEngine   int           // most connections of one pool; 0 allows none
-	MaxTotal       int           // most connections of all pools that share the Budget; 0 for no limit
+	MaxPerEngine   int           // maximum number of connections of one pool; 0 allows none
+	MaxTotal       int           // maximum number of connections of all pools that share the Budget; 0 for no limit
 	ReusePolicy    ReusePolicy   // nil allows the reuse of every idle connection
 }
