--- a/internal/platform/attempttimers.go
+++ b/internal/platform/attempttimers.go
@@ -38,7 +38,7 @@
 	a.exchange.server.loop.StartTimer(&a.streamIdleTimer, connlimit.StreamIdleTimeout)
 }
 
-// handleStreamIdleTimeout ends a stream to which the engine has added nothing for
+// handleStreamIdleTimeout ends a stream on which the engine has sent nothing for
 // connlimit.StreamIdleTimeout.
 func (a *attempt) handleStreamIdleTimeout() {
 	a.exchange.server.counters.stalled++
--- a/internal/platform/cancellation_test.go
+++ b/internal/platform/cancellation_test.go
@@ -36,8 +36,8 @@
 }
 
 // TestRetryNeverOvertakesCancellation: after the server aborts an attempt, its engine has time to
-// notice before the request is retried, for each result of an aborted attempt and for idempotent and
-// other requests.
+// notice before the request is retried. This holds for each result of an aborted attempt, whether or
+// not the request is idempotent.
 func TestRetryNeverOvertakesCancellation(t *testing.T) {
 	for _, class := range []string{"ask", "note"} {
 		for _, result := range []control.Result{control.Cancelled, control.TimedOut, control.Failed} {
@@ -138,8 +138,8 @@
 }
 
 // TestRetryNotForwardedAfterClientCancel: a request gets no further attempt if its client leaves in
-// the loop iteration in which the request arrives, or in which the engine rejects it, fails,
-// completes the prefill or resets the connection.
+// the loop iteration in which the request arrives, the engine responds, or the engine resets the
+// connection.
 func TestRetryNotForwardedAfterClientCancel(t *testing.T) {
 	const requestArrives, connReset = "", "reset" // any other event is a response that the engine sends
 	for _, event := range []string{
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -30,7 +30,7 @@
 	maxLineBytes        = 8 << 10
 	maxHeadBytes        = 16 << 10
 	maxHeaderFields     = 64
-	maxRequestBodyBytes = 256 << 10 // a prompt of 64 Ki tokens, at about 4 bytes per token
+	maxRequestBodyBytes = 256 << 10
 )
 
 var requestLimits = http1.Limits{Line: maxLineBytes, Headers: maxHeadBytes, Fields: maxHeaderFields, Body: maxRequestBodyBytes}
--- a/internal/platform/clientconn_test.go
+++ b/internal/platform/clientconn_test.go
@@ -26,7 +26,7 @@
 	return platformtest.StreamHead + strings.Repeat(platformtest.Chunk(event), 40) + end, 40 * len(event)
 }
 
-// TestCloseOverUnreadBytesKeepsAnswer: a close with unread bytes in the socket causes a reset. It
+// TestCloseOverUnreadBytesKeepsAnswer: closing a socket with unread bytes causes a reset. The reset
 // must not discard what was written before: the answer, if the connection is idle, or the events of
 // a truncated stream. The unread request is not forwarded.
 func TestCloseOverUnreadBytesKeepsAnswer(t *testing.T) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// dialWithReadBuffer connects a client with a socket receive buffer of this many bytes.
+// dialWithReadBuffer connects a client whose socket receive buffer has size bytes.
 func (h *harness) dialWithReadBuffer(size int) net.Conn {
 	h.Helper()
 	conn := h.dial()
--- a/internal/platform/clientrequest_test.go
+++ b/internal/platform/clientrequest_test.go
@@ -31,7 +31,7 @@
 	h.waitUntilNothingOpen()
 }
 
-// malformedRequests returns malformed and incomplete requests, by their fault.
+// malformedRequests returns malformed and incomplete requests. The keys describe their faults.
 func (h *harness) malformedRequests() map[string]string {
 	const post = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
 	smuggled := post + "X-Call-Id: hidden\r\nContent-Length: 0\r\n\r\n"
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -6,7 +6,6 @@
 	"martenlock/internal/httpserver"
 )
 
-// clientOptions are the limits and time-outs of client connections.
 var clientOptions = httpserver.Options{
 	Parsing:              &requestLimits,
 	FirstRequestTimeout:  connlimit.FirstRequestTimeout,
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -23,7 +23,7 @@
 // maxConfigBytes bounds the size of the configuration file, which is read into memory as a whole.
 const maxConfigBytes = 64 << 20
 
-// The lowest values of Limits that are accepted.
+// Minimum values of Limits.
 const (
 	minCores    = 0.01
 	minMemoryMB = 16
@@ -167,8 +167,8 @@
 	return err
 }
 
-// addressSource is a key of the configuration file with an IP address and port, and the environment
-// variable that replaces it.
+// addressSource is where an IP address and port are configured: a key of the configuration file, or an
+// environment variable if the file lacks the key.
 type addressSource struct {
 	path     string // of the configuration file
 	key      string
@@ -221,7 +221,7 @@
 	if len(settings.ClassNames) == 0 || len(settings.KindNames) != len(settings.Control.Engines.Kinds) {
 		return platformsettings.Settings{}, configFileError(path, "settings", errSettingsMismatch)
 	}
-	// On the platform, a KV release does not discard state that an attempt at an engine is waiting for.
+	// On the platform, an engine keeps KV state that an attempt waits for, even if its release is requested.
 	settings.Control.Caller.ReleaseSparesAttempts = true
 	return settings, nil
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -12,7 +12,7 @@
 
 // endpointListStore holds the endpoint list that a discoveryClient receives.
 type endpointListStore interface {
-	// listRevision returns the revision of the list. Each call to discovery requests the changes since it.
+	// listRevision returns the revision of the list. Each call to discovery requests the changes since that revision.
 	listRevision() uint64
 	// applyEndpointList applies one message from discovery. It returns an error if the message cannot
 	// be decoded.
@@ -23,7 +23,7 @@
 
 // discoveryClient subscribes to the endpoint list at one discovery address. It keeps one call
 // established, the watch. While there is no watch it starts calls, with a backoff between them. The
-// first one that receives a complete message or a heartbeat becomes the watch.
+// first call that receives a complete message or a heartbeat becomes the watch.
 type discoveryClient struct {
 	loop            *eventloop.Loop
 	store           endpointListStore
@@ -32,7 +32,7 @@
 	watch           *watchCall       // nil if none is established
 	pending         []*watchCall     // calls without a complete message or heartbeat so far, oldest first
 	nextCallTimer   timerwheel.Timer // runs until the next call
-	backoff         time.Duration    // before the next call or the latest one; 0 after a reset
+	backoff         time.Duration    // last delay that was scheduled; 0 initially and after a reset
 	isStopped       bool
 }
 
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -30,7 +30,7 @@
 	e.stats.attempts++
 }
 
-// recordFirstEvent counts a first event and the time from the attempt's start to it.
+// recordFirstEvent counts a first event. elapsed is the time since the attempt's start.
 func (e *endpoint) recordFirstEvent(elapsed time.Duration) {
 	e.stats.firstEvents++
 	e.stats.totalFirstEventTime += elapsed
--- a/internal/platform/endpointcall.go
+++ b/internal/platform/endpointcall.go
@@ -16,7 +16,7 @@
 // callHeadBytes is the initial capacity for the head of a call. Longer heads are reallocated.
 const callHeadBytes = 128
 
-// startCall sends a request without a body. Of its response only the status is used. done may be called
+// startCall sends a request without a body. Only the status of the response is used. done may be called
 // before startCall returns.
 func (e *endpoint) startCall(method, path string, timeout time.Duration, done callDone) {
 	head := http1.AppendRequest(make([]byte, 0, callHeadBytes), method, path)
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -46,7 +46,7 @@
 	Reason string
 }
 
-// Error returns one line with the id, of which it shows at most 60 characters, the field and the reason.
+// Error returns one line with the id, cut to 60 characters, the field and the reason.
 func (e *endpointEntryError) Error() string {
 	return fmt.Sprintf("%.60q: %s: %s", e.ID, e.Field, e.Reason)
 }
@@ -79,7 +79,7 @@
 }
 
 // endpoint converts the entry to an endpoint of the membership view. Only a ready engine needs a valid
-// address and kind. The state of an engine that drains or is gone applies even if they are invalid.
+// address and kind. In the entry of an engine that drains or is gone, both may be invalid.
 func (e *endpointEntry) endpoint(settings *platformsettings.Settings, toControlTime controlTimeFunc) (membership.Endpoint, error) {
 	state, err := e.state()
 	if err != nil {
--- a/internal/platform/engineprocess_test.go
+++ b/internal/platform/engineprocess_test.go
@@ -30,7 +30,6 @@
 	prefillOnce          = "prefill once"             // answers only the first prefill
 )
 
-// engineEventKind is the kind of an engineEvent.
 type engineEventKind string
 
 // Kinds of events that engine processes report.
@@ -149,7 +148,7 @@
 	}
 }
 
-// isStopped reports whether all threads of a process are in state T, stopped, as in proc_pid_stat(5).
+// isStopped reports whether all threads of a process are in state T (stopped); see proc_pid_stat(5).
 func isStopped(t *testing.T, pid int) bool {
 	t.Helper()
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
--- a/internal/platform/eventlog.go
+++ b/internal/platform/eventlog.go
@@ -82,7 +82,7 @@
 		Msg("attempt ended")
 }
 
-// logRetry logs the start of a retry. previous is the result of the attempt before.
+// logRetry logs the start of a retry. previous is the result of the previous attempt.
 func (a *attempt) logRetry(previous control.Result) {
 	s := a.exchange.server
 	s.events.requestLine().
--- a/internal/platform/eventlog_test.go
+++ b/internal/platform/eventlog_test.go
@@ -48,7 +48,7 @@
 	h.expectLogged("KV released", map[string]any{"request_id": "c1"})
 }
 
-// TestTimelineOfARetryIsLogged: the line about a retry has the result of the attempt before, and the line about a
+// TestTimelineOfARetryIsLogged: the line about a retry has the result of the previous attempt, and the line about a
 // rejected request has the reason.
 func TestTimelineOfARetryIsLogged(t *testing.T) {
 	h := startHarness(t, "r1", "w1", "w1")
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -10,8 +10,8 @@
 	"martenlock/internal/timerwheel"
 )
 
-// exchange is one request from its handover to the decision module until the client has received
-// its answer or has left, and the outcome of the last attempt was reported.
+// exchange holds the state of a request that was passed to the decision module. It is removed once the
+// client has its answer or has left, and the outcome of the last attempt has been reported.
 type exchange struct {
 	server    *Server
 	id        control.RequestID
@@ -41,7 +41,6 @@
 // requestOutcome is how a request ended, as log lines name it.
 type requestOutcome uint8
 
-// The outcomes of a request.
 const (
 	// outcomeServed means that the client received a complete answer.
 	outcomeServed requestOutcome = iota // served
--- a/internal/platform/firstevent.go
+++ b/internal/platform/firstevent.go
@@ -10,7 +10,6 @@
 // the event is complete or invalid.
 type firstEventState uint8
 
-// The states of a stream's first event.
 const (
 	// firstEventIncomplete means that more bytes are needed.
 	firstEventIncomplete firstEventState = iota // incomplete
--- a/internal/platform/golden_harness_test.go
+++ b/internal/platform/golden_harness_test.go
@@ -135,8 +135,8 @@
 	g.records = nil
 }
 
-// respond answers an attempt by the next script of the engine's flavor. Without one, and for other
-// requests, the engine is well behaved.
+// respond answers an attempt with the next script of the engine's flavor. If no script is left, and for
+// other requests, the engine is well behaved.
 func (g *goldenHarness) respond(r *platformtest.Request) bool {
 	script := platformtest.WellBehaved
 	if r.Method == http.MethodPost {
@@ -167,8 +167,8 @@
 	return platformtest.CompleteList(revision, entries...)
 }
 
-// config returns the content of a configuration file. known is the endpoint list that it contains;
-// if empty, it contains none.
+// config returns the content of a configuration file. known is the endpoint list in the file; if it is
+// empty, the file has none.
 func (g *goldenHarness) config(settings, known string) string {
 	text := fmt.Sprintf(`{"name":"router-0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":64,"sockets":256},"settings":%s`,
 		g.discovery.Address(), settings)
@@ -354,9 +354,9 @@
 	retryField  = regexp.MustCompile(`Retry-After: \d+\.\d{3}\\r`)
 )
 
-// transcript stops the server and returns all that was recorded. Numbers that depend on the clock
-// and ports are replaced. Engines are numbered in order of their first use, so that the transcript
-// does not depend on which one the router chose.
+// transcript stops the server and returns all records. Ports, and numbers that depend on the clock, are
+// replaced. Engines are numbered in order of their first use, so that the transcript does not depend on
+// the router's choice among them.
 func (g *goldenHarness) transcript() string {
 	g.t.Helper()
 	g.stop()
@@ -369,9 +369,9 @@
 	return "to the client:\n" + answers + g.engineTranscript() + g.discoveryTranscript()
 }
 
-// engineTranscript returns the requests in the order of their arrival at all engines, and after them
-// the connections that the server closed, whose order among the requests depends on the clock. It
-// omits health checks, which healthCheckTranscript returns.
+// engineTranscript returns the requests that engines received, in order of arrival. The connections that
+// the server closed come last, because their order among the requests depends on the clock. Health
+// checks are omitted; healthCheckTranscript returns them.
 func (g *goldenHarness) engineTranscript() string {
 	names := map[*platformtest.Engine]string{}
 	engineCount := map[string]int{} // by role
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// TestGoldenUnreachable: golden exchanges of requests that reach no decode engine.
+// TestGoldenUnreachable checks exchanges of requests that reach no decode engine against golden files.
 func TestGoldenUnreachable(t *testing.T) {
 	t.Parallel()
 	t.Run("refused", func(t *testing.T) {
@@ -176,8 +176,8 @@
 	return arrived, released
 }
 
-// TestGoldenClientLimit: golden transcript of a client connection beyond the router's limit, while no
-// other connection is idle.
+// TestGoldenClientLimit checks the transcript of a client connection beyond the router's limit against a
+// golden file. No other connection is idle.
 func TestGoldenClientLimit(t *testing.T) {
 	t.Parallel()
 	const maxClients = 12 // the router's limit of client connections with 64 sockets
@@ -200,8 +200,8 @@
 	compareGolden(t, "client-limit", g.transcript())
 }
 
-// TestGoldenReusedConnectionLost: golden exchanges if the engine closes a reused connection without
-// responding.
+// TestGoldenReusedConnectionLost checks exchanges against a golden file. The engine closes a reused
+// connection without responding.
 func TestGoldenReusedConnectionLost(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
@@ -215,7 +215,7 @@
 	compareGolden(t, "outcome-kept-connection-lost", g.transcript())
 }
 
-// TestGoldenClientGone: golden transcript of what engines receive if the client leaves, before or
+// TestGoldenClientGone checks against golden files what engines receive if the client leaves before or
 // after the first event.
 func TestGoldenClientGone(t *testing.T) {
 	t.Parallel()
@@ -247,7 +247,8 @@
 	}
 }
 
-// TestGoldenHealthCheck: golden health check that the router sends to a failed engine.
+// TestGoldenHealthCheck checks the health check that the router sends to a failed engine against a golden
+// file.
 func TestGoldenHealthCheck(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
@@ -265,8 +266,8 @@
 	compareGolden(t, "probe", g.healthCheckTranscript())
 }
 
-// unusableRequests returns requests that the server answers itself. Their golden files are named by
-// the keys.
+// unusableRequests returns requests that the server answers itself. The keys are the names of their
+// golden files.
 func unusableRequests(g *goldenHarness) map[string]string {
 	const post, get = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n", "GET /healthz HTTP/1.1\r\nHost: x\r\n"
 	return map[string]string{
@@ -300,8 +301,8 @@
 	}
 }
 
-// TestGoldenAnswersWithoutEngine: golden answers that the server gives itself. No engine receives any
-// of these requests.
+// TestGoldenAnswersWithoutEngine checks answers that the server gives itself against golden files. No
+// engine receives any of these requests.
 func TestGoldenAnswersWithoutEngine(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1").start()
@@ -317,7 +318,8 @@
 	compareGolden(t, "answer-without-engines", g.transcript())
 }
 
-// TestGoldenSlowRequest: golden answers to requests that don't arrive completely in time.
+// TestGoldenSlowRequest checks the answers to requests that don't arrive completely in time against a
+// golden file.
 func TestGoldenSlowRequest(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1").start()
@@ -329,7 +331,7 @@
 	compareGolden(t, "answer-408", g.transcript())
 }
 
-// TestGoldenContinue: golden exchange with a client that waits for 100 Continue.
+// TestGoldenContinue checks the exchange of a client that waits for 100 Continue against a golden file.
 func TestGoldenContinue(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1").start()
@@ -338,7 +340,8 @@
 	compareGolden(t, "answer-100-continue", g.transcript())
 }
 
-// TestGoldenIDOfOpenRequest: golden answer to a request with the id of an open request.
+// TestGoldenIDOfOpenRequest checks the answer to a request that reuses the id of an open request against a
+// golden file.
 func TestGoldenIDOfOpenRequest(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
@@ -355,7 +358,8 @@
 	compareGolden(t, "answer-400-same-id", g.transcript())
 }
 
-// TestGoldenLimitOfOpenRequests: golden rejection of a request beyond the limit of open requests.
+// TestGoldenLimitOfOpenRequests checks the rejection of a request beyond the limit of open requests
+// against a golden file.
 func TestGoldenLimitOfOpenRequests(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
@@ -373,8 +377,8 @@
 	compareGolden(t, "answer-503-too-many", g.transcript())
 }
 
-// TestGoldenHealthz: golden health check answers of a router that isn't ready, because it has no
-// engines or is shutting down.
+// TestGoldenHealthz checks health check answers of a router that has no engines or is shutting down
+// against golden files.
 func TestGoldenHealthz(t *testing.T) {
 	t.Parallel()
 	const get = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -405,8 +409,8 @@
 	})
 }
 
-// TestGoldenRequestAfterShutdown: golden rejection of a request that is received completely only after
-// a shutdown has closed the listener.
+// TestGoldenRequestAfterShutdown checks the rejection of a request against a golden file. The last byte of
+// the request arrives after a shutdown has closed the listener.
 func TestGoldenRequestAfterShutdown(t *testing.T) {
 	t.Parallel()
 	g := newGoldenHarness(t, "r1", "w1")
@@ -431,8 +435,8 @@
 	compareGolden(t, "answer-503-stopping", g.transcript())
 }
 
-// TestGoldenDiscovery: golden calls to discovery of a router whose watch ends. The next watch starts
-// from the revision that the router has.
+// TestGoldenDiscovery checks against golden files the calls that a router makes to discovery when its
+// watch ends. The next call requests the changes since the router's revision.
 func TestGoldenDiscovery(t *testing.T) {
 	t.Parallel()
 	list := func(g *goldenHarness) string { return platformtest.WatchHead + platformtest.Chunk(g.list(7)+"\n") }
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -81,8 +81,8 @@
 	return startHarnessWith(t, testSettings, flavors...)
 }
 
-// startHarnessWith is startHarness with other settings. Their first host type is for prefill, their
-// second one for decode.
+// startHarnessWith is startHarness with other settings, whose first host type is for prefill and whose
+// second one is for decode.
 func startHarnessWith(t *testing.T, settings string, flavors ...string) *harness {
 	t.Helper()
 	h := &harness{T: t, revision: 1, finished: make(chan error, 1)}
@@ -243,7 +243,7 @@
 	t.Fatal("timed out waiting for ", what)
 }
 
-// waitFor is the function waitFor with the test of the harness.
+// waitFor calls the function waitFor with the harness's test.
 func (h *harness) waitFor(what string, isMet func() bool) {
 	h.Helper()
 	waitFor(h.T, what, isMet)
--- a/internal/platform/jsonstream.go
+++ b/internal/platform/jsonstream.go
@@ -10,17 +10,15 @@
 	escaped        bool // the next byte of the string follows a backslash
 }
 
-// jsonElement is one element of a jsonStream.
+// jsonElement is what jsonStream.next found in the latest piece.
 type jsonElement struct {
 	kind   jsonElementKind
 	length int    // bytes of the latest piece up to the end of the element
 	object []byte // the complete object if kind is jsonObject, else nil
 }
 
-// jsonElementKind is the kind of a jsonElement.
 type jsonElementKind uint8
 
-// The kinds of elements of a jsonStream.
 const (
 	// jsonIncomplete means that all bytes were consumed and more are needed.
 	jsonIncomplete jsonElementKind = iota // incomplete
@@ -32,7 +30,7 @@
 	jsonInvalid // invalid
 )
 
-// next returns the first element that ends within piece.
+// next returns the first element that ends within piece, or one of kind jsonIncomplete if none does.
 func (s *jsonStream) next(piece []byte) jsonElement {
 	start := 0
 	for i, c := range piece {
@@ -80,7 +78,7 @@
 	}
 }
 
-// complete returns the element of an object whose last bytes are end.
+// complete returns the element for the current object, whose last bytes are end.
 func (s *jsonStream) complete(end []byte, length int) jsonElement {
 	object := append(s.partial, end...)
 	s.partial = nil
--- a/internal/platform/kvrelease.go
+++ b/internal/platform/kvrelease.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// completeKVRelease reports the end of a call to the scheduler. Once the release is confirmed, it
-// starts the attempt that was deferred for it.
+// completeKVRelease reports the end of a call to the scheduler. If the release is confirmed now, the
+// attempt that was deferred for it is started.
 func (s *Server) completeKVRelease(call kvrelease.Call, isReleased bool) {
 	completion := s.kvReleases.scheduler.Complete(s.now(), call, isReleased)
 	s.logKVRelease(call, completion)
--- a/internal/platform/kvrelease_test.go
+++ b/internal/platform/kvrelease_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// waitForDeferredPrefill waits until an attempt is deferred until KV state is released.
+// waitForDeferredPrefill waits until an attempt is deferred because of a pending KV release.
 func (h *harness) waitForDeferredPrefill() {
 	h.Helper()
 	h.waitOnLoop("a deferred prefill", func() bool {
@@ -74,7 +74,7 @@
 func TestPrefillIsDeferredUntilReleaseIsConfirmed(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	var mu sync.Mutex
-	var order []string // of the requests that engines have answered, by method and flavor
+	var order []string // method and engine flavor of each request, in order of the engines' answers
 	confirmReleases := make(chan struct{})
 	for _, e := range h.engines {
 		e.SetScript(func(r *platformtest.Request) bool {
--- a/internal/platform/kvretention_test.go
+++ b/internal/platform/kvretention_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestKVStateOfEarlierPrefillReleased: KV state is released in time if the connection of its prefill
-// was reset, or a decode engine could not fetch it, and the next prefill gets no response.
+// TestKVStateOfEarlierPrefillReleased: after a prefill, its connection is reset or a decode engine can't
+// fetch its KV state. The KV state is released in time even though the next prefill gets no response.
 func TestKVStateOfEarlierPrefillReleased(t *testing.T) {
 	for name, engines := range map[string][]engineSpec{
 		"prefill reset":    {{behavior: prefillThenReset}, {behavior: prefillBehavior}, {behavior: decodeBehavior}},
@@ -166,8 +166,8 @@
 	}
 }
 
-// randomSilence makes random sets of engines unresponsive for a while, up to all but one at a time,
-// until stop is closed.
+// randomSilence repeatedly makes a random set of engines unresponsive for a while, until stop is closed. At
+// least one of them always responds.
 func (c *cluster) randomSilence(rng *rand.Rand, engines []*engineProcess, stop <-chan struct{}) {
 	for {
 		wait := time.Duration(50+rng.IntN(150)) * time.Millisecond
@@ -191,10 +191,10 @@
 	}
 }
 
-// TestKVStateReleasedWhileRandomEnginesAreUnresponsive: in a cluster of two routers and nine engines
-// under load, of which up to five of the six decode engines are unresponsive at a time, no KV state is
-// retained past its limit and every client is answered in time. MARTENLOCK_TEST_SECONDS sets the
-// duration of the load in seconds.
+// TestKVStateReleasedWhileRandomEnginesAreUnresponsive: two routers and nine engines are under load, and
+// up to five of the six decode engines are unresponsive at a time. No KV state is retained past its
+// limit, and every client is answered in time. MARTENLOCK_TEST_SECONDS sets the duration of the load in
+// seconds.
 func TestKVStateReleasedWhileRandomEnginesAreUnresponsive(t *testing.T) {
 	const requestInterval = 25 * time.Millisecond
 	seconds, err := strconv.Atoi(cmp.Or(os.Getenv("MARTENLOCK_TEST_SECONDS"), "4"))
--- a/internal/platform/limits_test.go
+++ b/internal/platform/limits_test.go
@@ -26,8 +26,8 @@
 	h.waitOnLoop("the idle connections to be closed", func() bool { return h.server.clients.Len() == 0 })
 }
 
-// TestIdleConnectionFloodLeavesDescriptorsForOthers: while idle clients use all descriptors for clients and discovery is
-// down, a new client is served and a reload reaches another discovery service.
+// TestIdleConnectionFloodLeavesDescriptorsForOthers: discovery is down, and idle clients use all descriptors that client
+// connections may use. A new client is still served, and a reload still reaches another discovery service.
 func TestIdleConnectionFloodLeavesDescriptorsForOthers(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	other := startHarness(t, "r1")
@@ -60,7 +60,7 @@
 }
 
 // TestLargeIncompleteUploadsAreEvicted: if clients fill the memory for bodies with large bodies that they don't complete,
-// other requests are still served, and the incomplete ones are closed.
+// other requests are still served, and the connections of the incomplete ones are closed.
 func TestLargeIncompleteUploadsAreEvicted(t *testing.T) {
 	const uploadBytes = 200 << 10
 	h := startHarness(t, "r1", "w1")
--- a/internal/platform/memory_test.go
+++ b/internal/platform/memory_test.go
@@ -11,10 +11,10 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestHeapStaysConstantOverManyRequests: requests, client connections and engines that have ended leave no data on the
-// heap, apart from recent sessions.
+// TestHeapStaysConstantOverManyRequests: completed requests, closed client connections and removed engines leave no data
+// on the heap, apart from recent sessions.
 func TestHeapStaysConstantOverManyRequests(t *testing.T) {
-	const maxGrowth = 4 << 20 // sessions of the last minute are kept, with about 200 bytes each
+	const maxGrowth = 4 << 20 // bytes; the sessions of the last minute are kept
 	h := startHarness(t, "r1", "w1")
 	h.sendManyRequests(2000)
 	h.listManyEngines(0, 5000)
--- a/internal/platform/platformtest/discovery.go
+++ b/internal/platform/platformtest/discovery.go
@@ -14,7 +14,7 @@
 	"martenlock/internal/enginetest"
 )
 
-// WatchHead begins the response to a watch.
+// WatchHead is the head of the response to a watch.
 const WatchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // Discovery is a discovery service on a loopback port. It answers each call with the first message and keeps the call
@@ -116,7 +116,7 @@
 	_, _ = io.WriteString(d.calls[call-1].conn, Chunk(text)) // the router may have closed this call
 }
 
-// SendHeartbeats starts to send an empty line at this interval, until the test ends.
+// SendHeartbeats sends an empty line at this interval, as Send does, until the test ends. It returns at once.
 func (d *Discovery) SendHeartbeats(t *testing.T, interval time.Duration) {
 	t.Helper()
 	ticker := time.NewTicker(interval)
--- a/internal/platform/platformtest/engine.go
+++ b/internal/platform/platformtest/engine.go
@@ -92,7 +92,7 @@
 // Attempts returns how many attempts the engine has received, not counting KV releases and health checks.
 func (e *Engine) Attempts() int { return e.server.CountRequests(http.MethodPost) }
 
-// LatestRequest returns the latest request received.
+// LatestRequest returns the latest request received. It panics if there is none.
 func (e *Engine) LatestRequest() *enginetest.Request {
 	requests := e.server.Requests()
 	return requests[len(requests)-1]
@@ -113,7 +113,7 @@
 	return entry
 }
 
-// Roles of engines.
+// Values that Engine.Role returns.
 const (
 	Prefill   = "prefill"
 	Decode    = "decode"
--- a/internal/platform/platformtest/protocol.go
+++ b/internal/platform/platformtest/protocol.go
@@ -13,7 +13,7 @@
 
 // Parts of a streamed response.
 const (
-	// StreamHead begins a streamed response.
+	// StreamHead is the head of a streamed response.
 	StreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	// FirstEvent is the first event of a stream.
 	FirstEvent = `data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":null}]}` + "\n\n"
@@ -72,7 +72,7 @@
 	return text
 }
 
-// Phases of an engine in the endpoint list.
+// Values of Entry.Phase.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
--- a/internal/platform/processes_test.go
+++ b/internal/platform/processes_test.go
@@ -97,7 +97,7 @@
 	return command, bufio.NewReader(stdoutPipe), bufio.NewReader(stderrPipe)
 }
 
-// startEngine starts an engine process.
+// startEngine starts an engine process, which the next endpoint list includes, and records its events.
 func (c *cluster) startEngine(name string, spec engineSpec) {
 	c.Helper()
 	command, stdout, _ := c.startProcess(engineProcessVariable + "=" + spec.behavior)
@@ -182,7 +182,7 @@
 	}
 }
 
-// sentRequest is a client's request that has been sent.
+// sentRequest is a client's request that may not have been answered yet.
 type sentRequest struct {
 	id       string
 	conn     net.Conn
--- a/internal/platform/randomfaults_test.go
+++ b/internal/platform/randomfaults_test.go
@@ -73,8 +73,8 @@
 	c.inFlight[r.ID]--
 }
 
-// rejected records that a client's request was rejected. A request that is not idempotent must not have been executed
-// then.
+// rejected records that a client's request was rejected. It is a violation if an engine has executed the request before
+// and the request is not idempotent.
 func (c *attemptChecker) rejected(requestID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,7 +192,7 @@
 	return c.classifyAnswer(requestID, readAnswer(conn))
 }
 
-// classifyAnswer returns the outcome that an answer means, and fails the test if the answer is invalid.
+// classifyAnswer returns the outcome of a request with this answer, and fails the test if the answer is invalid.
 func (c *randomClient) classifyAnswer(requestID string, answer platformtest.Answer) clientOutcome {
 	c.Helper()
 	switch {
@@ -210,9 +210,9 @@
 	return clientFailed
 }
 
-// TestInvariantsHoldUnderRandomFaults: with random faults of engines, clients that leave and malformed requests, no
-// request has concurrent attempts, none that is not idempotent is executed twice or rejected after its execution, every
-// answer is valid, and nothing stays open.
+// TestInvariantsHoldUnderRandomFaults: engines inject random faults, and clients leave or send malformed requests. No
+// request has concurrent attempts. A request that is not idempotent is never executed twice, nor rejected after its
+// execution. Every answer is valid, and nothing stays open.
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	const clientCount, requestsPerClient, minServed = 12, 40, 150
 	const firstSeed = 51 // of the engines' faults
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -41,8 +41,8 @@
 	h.expectServed(readAnswer(client))
 }
 
-// TestLatestReloadWins: of two concurrent reloads the later one is applied, even if the earlier one finishes reading its
-// file after it.
+// TestLatestReloadWins: of two concurrent reloads only the later one is applied, even if the earlier one finishes
+// reading its file last.
 func TestLatestReloadWins(t *testing.T) {
 	h := startHarness(t, "r1", "w1")
 	firstDiscovery, secondDiscovery := startHarness(t, "r1").discovery, startHarness(t, "r1").discovery
--- a/internal/platform/requestmeta.go
+++ b/internal/platform/requestmeta.go
@@ -191,7 +191,7 @@
 	return false
 }
 
-// nameHash returns the number that stands for a name in the decision module, or 0 for the empty name.
+// nameHash returns the number that identifies a name in the decision module, or 0 for the empty name.
 // All routers derive the same number. A name of 16 hexadecimal digits is taken as the number itself;
 // any other name is hashed.
 func nameHash(name string) uint64 {
--- a/internal/platform/requesttrace.go
+++ b/internal/platform/requesttrace.go
@@ -9,8 +9,8 @@
 // attemptsWithoutRetry is the maximum number of attempts without a retry: a prefill and a decode.
 const attemptsWithoutRetry = 2
 
-// traceRequest logs a request that had more than attemptsWithoutRetry attempts, was not served or missed its
-// objective for the time to the first token, if the trace is on for requests.
+// traceRequest does nothing unless requests are traced. It logs a request that had more than
+// attemptsWithoutRetry attempts, was not served, or missed its objective for the time to the first token.
 func (e *exchange) traceRequest(outcome requestOutcome) {
 	if !e.server.traceRequests {
 		return
--- a/internal/platform/retry_test.go
+++ b/internal/platform/retry_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// sendUntilFirstAttemptAt sends requests of a class until one of them reaches this engine, which
-// responds by the script, and expects that request to be answered with wantStatus. Any other request
-// must be answered with wantStatus or a complete stream.
+// sendUntilFirstAttemptAt sends requests of a class until one reaches this engine, which responds with
+// the script. It fails the test unless that request is answered with wantStatus, and each earlier one
+// with wantStatus or a complete stream.
 func (h *harness) sendUntilFirstAttemptAt(e *platformtest.Engine, script platformtest.Script, class string, wantStatus int) {
 	h.Helper()
 	e.SetScript(script)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -7,7 +7,6 @@
 	"martenlock/internal/timerwheel"
 )
 
-// shutdownPhase is a phase of a server's shutdown.
 type shutdownPhase uint8
 
 // The phases, in order.
@@ -20,7 +19,6 @@
 	serverDraining // draining
 )
 
-// shutdown is the state of a server's shutdown.
 type shutdown struct {
 	phase shutdownPhase
 	timer timerwheel.Timer // runs until startDraining or the next stopWhenDrained
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -71,8 +71,8 @@
 }
 
 // TestShutdownFinishesStreamsAndRejectsLateRequests: a stream in progress at a shutdown is forwarded to its end. A request
-// pipelined after it is rejected without an attempt. An incomplete request is served if it becomes complete in the accept
-// window, and rejected without an attempt if it does later.
+// pipelined after it is rejected without an attempt. An incomplete request is served if its rest arrives in the accept
+// window, and rejected without an attempt if its rest arrives later.
 func TestShutdownFinishesStreamsAndRejectsLateRequests(t *testing.T) {
 	const restBytes = 10 // of an incomplete request, sent later
 	h := startHarness(t, "r1", "w1")
--- a/internal/platform/signals_test.go
+++ b/internal/platform/signals_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestMain runs the process as a router or an engine if a test has started it as one, and else runs the tests.
+// TestMain runs the process as a router or an engine if a test has started it as one, and otherwise runs the tests.
 func TestMain(m *testing.M) {
 	if behavior := os.Getenv(engineProcessVariable); behavior != "" {
 		runEngineProcess(behavior)
--- a/internal/platform/sitefile_test.go
+++ b/internal/platform/sitefile_test.go
@@ -122,7 +122,7 @@
 }
 
 // readJSON reads a file of names from its copy in testdata. The original in sitesDir is a symbolic link, whose target may be
-// missing. If it can be read, the copy must agree with it.
+// missing. If the original can be read, the copy must agree with it.
 func readJSON[T any](t *testing.T, name string) (names T) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(sitesDir, name))
--- a/internal/platform/timebudget_test.go
+++ b/internal/platform/timebudget_test.go
@@ -9,8 +9,8 @@
 	"martenlock/internal/platform/platformtest"
 )
 
-// TestForwardedBudgetNeverExceedsRemainingTime: the time budget of each attempt is at most the time
-// that its client still waits, after earlier attempts too.
+// TestForwardedBudgetNeverExceedsRemainingTime: the time budget of every attempt, retries included, is
+// at most the time for which the client still waits.
 func TestForwardedBudgetNeverExceedsRemainingTime(t *testing.T) {
 	for _, test := range []struct {
 		left time.Duration
@@ -48,7 +48,7 @@
 		if r.Method != http.MethodPost {
 			continue
 		}
-		forwarded, err := time.ParseDuration(r.TimeBudget + "s") // such as 3849m, milliseconds
+		forwarded, err := time.ParseDuration(r.TimeBudget + "s") // completes the unit: "3849m" becomes "3849ms"
 		if err != nil {
 			t.Fatalf("time budget %q: %v", r.TimeBudget, err)
 		}
--- a/internal/platform/warninglimiter.go
+++ b/internal/platform/warninglimiter.go
@@ -5,8 +5,8 @@
 const (
 	// warningInterval is the shortest time between two log lines of one kind of warning.
 	warningInterval = 10 * time.Second
-	// maxWarningKinds bounds the kinds of warnings that are remembered, since a peer's responses
-	// determine reason and status. Further kinds are not logged.
+	// maxWarningKinds bounds the size of warningLimiter.lastLogged, because a peer's responses can
+	// make arbitrarily many kinds of warnings. Further kinds are not logged.
 	maxWarningKinds = 64
 )
 
