--- a/internal/platform/golden_harness_test.go
+++ b/internal/platform/golden_harness_test.go
@@ -354,9 +354,9 @@
 	retryField  = regexp.MustCompile(`Retry-After: \d+\.\d{3}\\r`)
 )
 
-// transcript stops the server and returns all records. Ports, and numbers that depend on the clock, are
-// replaced. Engines are numbered in order of their first use, so that the transcript does not depend on
-// the router's choice among them.
+// transcript stops the server and returns all records. It replaces the address of discovery, time budgets
+// and, unless keepRetryAfter is set, the values of Retry-After. Engines are numbered in order of their
+// first use, so that the transcript does not depend on the router's choice among them.
 func (g *goldenHarness) transcript() string {
 	g.t.Helper()
 	g.stop()
