--- a/control/actions.go
+++ b/control/actions.go
@@ -7,15 +7,15 @@
 type Action interface{ action() }
 
 // Forward starts the next attempt of a request. A decode engine fetches the KV state of the request's latest
-// prefill. A colocated engine may fetch it if there is one, or computes the prompt itself.
+// prefill. A colocated engine either fetches it, if there is one, or computes the prompt itself.
 type Forward struct {
 	ID       RequestID
 	Endpoint EndpointID
-	// Timeout is the time after which the attempt ends with TimedOut if neither its prefill is done nor its
-	// answer has begun.
+	// Timeout is the maximum time until the prefill is done or the answer begins. After it, the attempt ends
+	// with TimedOut.
 	Timeout time.Duration
-	// SendWithin is the time after which the attempt ends with ConnectFailed if it is not sent in full. If it
-	// is 0, only Timeout applies.
+	// SendWithin is the maximum time until the attempt has been sent in full. After it, the attempt ends with
+	// ConnectFailed. 0 means that only Timeout applies.
 	SendWithin time.Duration
 }
 
@@ -35,7 +35,6 @@
 // FinishReason is the reason for a Reject or Fail. The zero value is not a valid reason.
 type FinishReason uint8
 
-// The reasons for a Reject or Fail.
 const (
 	// FinishedMissingObjective means that the first token can't be produced in time.
 	FinishedMissingObjective FinishReason = iota + 1 // misses_objective
@@ -45,7 +44,8 @@
 	FinishedOutOfAttempts // out_of_attempts
 	// FinishedNotRepeatable means that the request may have been executed and its class forbids a repeat.
 	FinishedNotRepeatable // not_repeatable
-	// FinishedWithPrefillFull means that the prefill engines reject many attempts.
+	// FinishedWithPrefillFull means that the request failed on two endpoints while prefill engines reject
+	// many attempts.
 	FinishedWithPrefillFull // prefill_full
 	// FinishedWithoutEndpoint means that no endpoint can take the next attempt.
 	FinishedWithoutEndpoint // no_endpoint
@@ -65,7 +65,6 @@
 // ReleaseReason is the reason for a ReleaseKV. The zero value is not a valid reason.
 type ReleaseReason uint8
 
-// The reasons for a ReleaseKV.
 const (
 	// ReleasedAtFinish means that the request finished before its answer began.
 	ReleasedAtFinish ReleaseReason = iota + 1 // request_finished
@@ -73,11 +72,11 @@
 	ReleasedForLateOutcome // late_outcome
 	// ReleasedAsKVMissing means that a decode engine could not fetch the KV state.
 	ReleasedAsKVMissing // kv_missing
-	// ReleasedWithoutProof means that the KV state nears its retention limit and nothing proves that the attempt
-	// that needs it has reached its engine.
+	// ReleasedWithoutProof means that the KV state nears its retention limit without proof that the request's
+	// latest attempt has reached its engine.
 	ReleasedWithoutProof // arrival_not_proven
-	// ReleasedBeforeRetry means that an earlier prefill may have left the KV state and the prompt is computed
-	// again.
+	// ReleasedBeforeRetry means that the prompt is about to be computed again, and an earlier prefill may
+	// have left a KV state.
 	ReleasedBeforeRetry // before_retry
 )
 
@@ -109,7 +108,6 @@
 // LogKind is the message of a Log.
 type LogKind uint8
 
-// The messages of a Log.
 const (
 	// EndpointEjected means that the endpoint gets only single attempts on probation.
 	EndpointEjected LogKind = iota // endpoint ejected
@@ -118,7 +116,6 @@
 // EjectionReason is the reason why an endpoint was ejected.
 type EjectionReason uint8
 
-// The reasons for an ejection.
 const (
 	// EjectedForErrors means that the engine answered too many attempts with an error.
 	EjectedForErrors EjectionReason = iota // errors
@@ -128,7 +125,7 @@
 	EjectedAsUnreachable // unreachable
 	// EjectedAsSlow means that the endpoint is far slower than its peers.
 	EjectedAsSlow // slow
-	// EjectedAsUnresponsive means that an attempt made no progress for too long.
+	// EjectedAsUnresponsive means that the endpoint made no progress on any of its attempts for too long.
 	EjectedAsUnresponsive // unresponsive
 	// EjectedForHealthCheck means that a health check got no response.
 	EjectedForHealthCheck // health_check_failed
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// fullMemory is the fraction of its KV memory in use above which an engine has no capacity.
+	// fullMemory is the usage of KV memory, as a fraction, above which an engine has no capacity.
 	fullMemory = 0.9
 	// fullQueue is the number of queued requests at which an engine has no capacity.
 	fullQueue = 3.0
@@ -19,9 +19,9 @@
 	shareMargin = 1.3
 	// reportAlpha is the weight of a load report in the mean over all endpoints.
 	reportAlpha = 0.1
-	// reportTTL is the age at which load reports are ignored.
+	// reportTTL is the age from which a load report is ignored.
 	reportTTL = 4 * time.Second
-	// sentDecay is multiplied each second with the demand that load reports do not include yet.
+	// sentDecay is the factor that reduces capacityView.sentSinceReport each second.
 	sentDecay = 0.5
 )
 
@@ -30,22 +30,22 @@
 	routers           int                  // number of routers of the service
 	reportFields      []ReportField        // the values of a load report, in order
 	meanDemand        ewma.Average[Tokens] // KV memory of a request
-	memoryTokens      Tokens               // KV memory of these engines, by the settings; 0 for unknown
+	memoryTokens      Tokens               // configured KV memory of all ready decode and colocated engines
 	engines           int                  // number of ready decode and colocated engines
 	reportedFree      ewma.Average[Tokens] // free memory of one engine, by load reports
 	reportedAt        Time                 // latest load report; 0 for never
 	sentSinceReport   Tokens               // demand of own attempts that load reports do not include yet
 	demand            Tokens               // demand of own attempts in flight
 	prefillsInFlight  int                  // own attempts in flight at prefill engines
-	dispatchThreshold float64              // capacity needed for the next dispatch, in mean requests, at most 1
+	dispatchThreshold float64              // free requests of mean demand that the next dispatch needs; at most 1
 }
 
 // demandPerRequest returns the mean demand of a request, at least one token.
 func (c *capacityView) demandPerRequest() Tokens { return max(c.meanDemand.Value, 1) }
 
-// freeRequests returns how many mean requests fit in this router's share of the free memory, less its
-// prefills in flight. It returns the lower of two estimates, one by load reports and one by the router's own
-// attempts, because load reports arrive late.
+// freeRequests returns how many requests of mean demand fit in this router's share of the free memory, minus
+// the router's prefills in flight. It returns the lower of two estimates, one by load reports and one by the
+// router's own attempts, because load reports arrive late.
 func (c *capacityView) freeRequests(now Time) float64 {
 	perRequest := c.demandPerRequest()
 	free := c.memoryShare(c.memoryTokens) - float64(c.demand/perRequest)
@@ -56,9 +56,9 @@
 	return free - float64(c.prefillsInFlight)
 }
 
-// memoryShare returns this router's share of an amount of memory, in mean requests. The share includes slack
-// for random variation, which is relatively larger for a small share. For unknown memory (0) the share is
-// infinite.
+// memoryShare returns this router's share of an amount of memory, in requests of mean demand. The share
+// includes slack for random variation. The slack is relatively larger for a small share. For unknown memory
+// (0) the share is infinite.
 func (c *capacityView) memoryShare(memory Tokens) float64 {
 	if memory <= 0 {
 		return math.Inf(1)
@@ -68,14 +68,14 @@
 	return min(shareMargin*share+math.Sqrt(share), float64(fullMemory*memory/perRequest))
 }
 
-// drawDispatchThreshold draws the free capacity that the next dispatch needs. With a fixed threshold all
-// routers would round their last fraction of a request the same way, and together leave capacity unused or
-// exceed it.
+// drawDispatchThreshold draws the free capacity that the next dispatch needs, in requests of mean demand.
+// With a fixed threshold all routers would round their last fraction of a request the same way, and together
+// leave capacity unused or exceed it.
 func (c *capacityView) drawDispatchThreshold(rng *rand.Rand) {
 	c.dispatchThreshold = 1 - rng.Float64()*(1-1/float64(c.routers))
 }
 
-// addAttempt counts a new attempt at an endpoint of a role.
+// addAttempt counts a new attempt at an endpoint with the given role.
 func (c *capacityView) addAttempt(role Role, demand Tokens) {
 	if role == RolePrefill {
 		c.prefillsInFlight++
@@ -108,10 +108,10 @@
 	}
 }
 
-// freeMemory returns the free memory of an endpoint by its load report: 0 if its memory or its queue is full.
-// Otherwise it uses the capacity formula of the AIBrix request for comments if the report has requests in
-// flight and a utilization above 0, else the configured memory less the part in use. It returns false if it
-// can use neither.
+// freeMemory returns the free memory of an endpoint by its load report. It is 0 if the memory or the queue is
+// full. If the report has requests in flight and a utilization above 0, it is estimated with the capacity
+// formula of the AIBrix request for comments. Otherwise it is the configured memory minus the part in use.
+// known is false if neither calculation is possible.
 func (c *capacityView) freeMemory(source *endpoint, report loadReport) (free Tokens, known bool) {
 	utilization := report[ReportUtilization]
 	switch {
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -16,7 +16,7 @@
 
 const roleCount = int(RoleColocated) + 1
 
-// perRole holds a number for each Role.
+// perRole is indexed by Role.
 type perRole [roleCount]float64
 
 // endpoint is an entry of the endpoint list with this router's state for it.
@@ -38,7 +38,7 @@
 type endpointLoad struct {
 	attempts     []*request // requests with an attempt in flight there
 	demand       Tokens     // KV memory that these requests need; 0 for prefill engines
-	trafficShare float64    // target share of all requests, set by Router.rebalance; not for decode engines
+	trafficShare float64    // target share of all requests, set by Router.rebalance; unused for decode engines
 }
 
 // addAttempt starts the next attempt of a request at an endpoint.
@@ -83,7 +83,8 @@
 	ready []*endpoint // endpoints in state Ready, sorted by id
 }
 
-// add adds an endpoint at the end of all. The caller must call removeGone afterwards, which sorts all.
+// add adds an endpoint to byID and appends it to the list all. The caller must then call removeGone, which
+// sorts the list.
 func (t *endpointTable) add(id EndpointID, added *endpoint) {
 	t.byID[id] = added
 	t.all = append(t.all, added)
@@ -116,8 +117,9 @@
 	return healthy < total*(1-maxEjectedShare)
 }
 
-// medianLoads returns for each role that prefills the load with which the loads of its endpoints are
-// compared. Colocated engines are compared with decode engines, if there are any.
+// medianLoads returns the reference loads for prefill and colocated endpoints. An endpoint's load is compared
+// with that of its role. The reference for colocated endpoints is derived from decode engines, if there are
+// any.
 func (t *endpointTable) medianLoads() perRole {
 	colocated := colocatedShare * t.medianLoad(RoleDecode)
 	if !slices.ContainsFunc(t.ready, func(e *endpoint) bool { return e.role == RoleDecode }) {
@@ -126,8 +128,8 @@
 	return perRole{RolePrefill: t.medianLoad(RolePrefill), RoleColocated: colocated}
 }
 
-// medianLoad returns the median of the loads of a role's endpoints that are ready and not ejected: of an even
-// number of loads, the upper of the middle two. It returns 0 if there are none.
+// medianLoad returns the median load of a role's endpoints that are ready and not ejected. For an even number
+// of endpoints it is the upper of the two middle loads, and without endpoints it is 0.
 func (t *endpointTable) medianLoad(role Role) float64 {
 	loads := []float64{}
 	for _, e := range t.ready {
--- a/control/estimate.go
+++ b/control/estimate.go
@@ -14,16 +14,17 @@
 	ignoredQueueLength = 3
 	// overheadTokens is the fixed cost of a prefill, or of fetching a KV state, in prompt tokens.
 	overheadTokens = 500
-	// latencyAlpha is the weight of an observation in averages over a role, over an endpoint or of the
+	// latencyAlpha is the weight of an observation in the averages of a role, of an endpoint and of the
 	// dispatch rate.
 	latencyAlpha = 0.2
-	// bestAlpha is the weight of an observation below an average that follows the lower values.
+	// bestAlpha is the weight of an observation that is below the average, for averages that follow low
+	// values.
 	bestAlpha = 0.5
 	// meanAlpha is the weight of an observation in means over all requests.
 	meanAlpha = 0.05
 	// outlierCap is the multiple of the mean to which an observation is limited.
 	outlierCap = 1.5
-	// estimateMargin is multiplied with the best-case estimate of the time to first token. It favors early
+	// estimateMargin is the factor on the best-case estimate of the time to first token. It favors early
 	// rejection, which costs less than a late failure.
 	estimateMargin = 1.25
 	// estimateMax is the upper bound of the estimate before estimateMargin, in seconds.
@@ -52,8 +53,8 @@
 	answerTimeRatio ewma.Average[float64]         // answer times relative to the mean of their class
 }
 
-// observe records the duration of a prefill, or of the time to first token, at an endpoint of a role. It
-// returns the time per token.
+// observe records how long an attempt took until its prefill was done or its answer began, at an endpoint
+// with the given role. It returns the time per token.
 func (l *latencyEstimator) observe(
 	role Role, elapsed time.Duration, tokens Tokens, now Time,
 ) secondsPerToken {
@@ -66,8 +67,8 @@
 	return perToken
 }
 
-// observeAnswer records the duration of a whole answer. It returns the ratio to the previous mean of the
-// class.
+// observeAnswer records the duration of a whole answer. It returns the ratio of this duration to the previous
+// mean of the class.
 func (l *latencyEstimator) observeAnswer(role Role, class int, elapsed time.Duration) (ratio float64) {
 	seconds := elapsed.Seconds()
 	mean := &l.answerSeconds[class]
@@ -77,14 +78,15 @@
 	return ratio
 }
 
-// expectedTime returns the mean time of an endpoint of a role for a number of tokens, multiplied by a factor.
+// expectedTime returns the mean time that endpoints of a role take for a number of tokens, multiplied by
+// factor.
 func (l *latencyEstimator) expectedTime(role Role, tokens Tokens, factor float64) time.Duration {
 	perToken := secondsPerToken(factor) * l.roles[role].mean.Value
 	return time.Duration(perToken.times(tokens) * float64(time.Second))
 }
 
-// timeToFirstToken returns a best-case estimate of the time to first token, with estimateMargin. The prefill
-// engine computes the uncached tokens, the decode engine fetches the KV state of the whole prompt.
+// timeToFirstToken returns a best-case estimate of the time to first token, multiplied by estimateMargin. The
+// prefill engine computes the uncached tokens, the decode engine fetches the KV state of the whole prompt.
 func (l *latencyEstimator) timeToFirstToken(uncached, prompt Tokens, now Time) time.Duration {
 	seconds := 0.0
 	for role, tokens := range [...]Tokens{RolePrefill: uncached, RoleDecode: prompt} {
@@ -101,9 +103,9 @@
 	return r.latency.timeToFirstToken(uncached, request.PromptTokens, r.now)
 }
 
-// missesObjective reports whether a request that is queued or forwarded now is expected to miss its objective
-// for the first token, or its deadline is too near. A resumed request is only checked for a near deadline,
-// since its client already has the first token.
+// missesObjective reports whether a request is expected to miss its objective for the first token or is too
+// near its deadline, if it stays in the queue or is forwarded now. A resumed request is only checked for a
+// near deadline, since its client already has the first token.
 func (r *Router) missesObjective(request *request) bool {
 	requestsAhead := float64(max(request.heapIndex-ignoredQueueLength, 0))
 	firstToken := r.now.Add(r.estimateFirstToken(request) + r.dispatches.timeFor(requestsAhead))
--- a/control/events.go
+++ b/control/events.go
@@ -21,7 +21,7 @@
 	MaxTokens    Tokens // maximum length of the answer
 
 	Resumed              bool // continues an answer whose stream broke; the client already has the first token
-	PriorAttempts        int  // earlier attempts as part of a batch, which count towards the maximum
+	PriorAttempts        int  // attempts made earlier as part of a batch; they count towards the maximum
 	PriorLostConnections int  // prior attempts with Result Reset
 }
 
@@ -52,7 +52,6 @@
 // Result is the result of an attempt or a health check.
 type Result uint8
 
-// The results.
 const (
 	// OK means that the request was answered.
 	OK Result = iota // ok
@@ -83,10 +82,11 @@
 // ClientGone reports that the client left. The request needs no final answer.
 type ClientGone struct{ ID RequestID }
 
-// Timer reports that a timer expired.
+// Timer reports that the timer of the SetTimer with the same Token has expired.
 type Timer struct{ Token uint64 }
 
-// HealthCheckResult is the result of a HealthCheck.
+// HealthCheckResult reports the end of a HealthCheck. Only TimedOut, ConnectFailed and Reset count as
+// failures.
 type HealthCheckResult struct {
 	Endpoint EndpointID
 	Result   Result
@@ -94,7 +94,8 @@
 	Report   []float64 // load report in the order of EngineSettings.ReportFields; empty for none
 }
 
-// ReservationResult is the result of a reservation of a decode slot. The router reserves none and ignores it.
+// ReservationResult is the result of a reservation of a decode slot. The router reserves no slots and ignores
+// this event.
 type ReservationResult struct {
 	ID       RequestID
 	Attempt  AttemptNumber
@@ -122,7 +123,6 @@
 // EndpointState is the state of an engine in the endpoint list.
 type EndpointState uint8
 
-// The states of an engine.
 const (
 	// Gone engines no longer exist.
 	Gone EndpointState = iota // gone
--- a/control/health.go
+++ b/control/health.go
@@ -11,7 +11,8 @@
 const (
 	// failureAlpha is the weight of one outcome in an endpoint's failure rate.
 	failureAlpha = 0.3
-	// unresponsiveAlpha is the weight of unresponsiveness in the failure rate. It ejects the endpoint.
+	// unresponsiveAlpha is the weight of unresponsiveness in the failure rate. A single occurrence ejects the
+	// endpoint.
 	unresponsiveAlpha = 0.5
 	// immediateAlpha is the weight of a failure that ejects an endpoint regardless of the ejection limit, such
 	// as a refused connection.
@@ -24,11 +25,12 @@
 	maxEjectedShare = 0.5
 	// slowLatency is the relative latency above which an endpoint is slow, which counts as a failure.
 	slowLatency = 3.0
-	// relativeLatencyCap is the multiple of slowLatency to which an observed relative latency is limited, so
-	// that a single prefill that waited behind those of other routers does not make an endpoint slow.
+	// relativeLatencyCap is the upper bound of an observed relative latency, as a multiple of slowLatency.
+	// Because of it, an endpoint does not count as slow after a single prefill that waited behind prefills of
+	// other routers.
 	relativeLatencyCap = 1.5
-	// probationInterval is the time from the latest failure of an ejected endpoint, or from its latest attempt
-	// on probation, to its next attempt.
+	// probationInterval is how long an ejected endpoint gets no attempt after its latest failure, or after
+	// the start of its latest attempt on probation.
 	probationInterval = 2 * time.Second
 	// rejectionPause is how long an endpoint that rejected an attempt gets no further attempt.
 	rejectionPause = 200 * time.Millisecond
@@ -36,11 +38,11 @@
 
 // Progress and health checks.
 const (
-	// unresponsiveFactor is the multiple of the time expected for its role that an endpoint gets to make
-	// progress.
+	// unresponsiveFactor is how long an endpoint may take to make progress, as a multiple of the time
+	// expected for its role.
 	unresponsiveFactor = 4.0
-	// overtakenLimit is the number of later attempts at the same endpoint that must make progress first for an
-	// attempt to count as lost.
+	// overtakenLimit is how many later attempts at the same endpoint have to make progress before an attempt
+	// counts as lost.
 	overtakenLimit = 2
 	// overtakenDivisor divides the progress time-out of an attempt that counts as lost.
 	overtakenDivisor = 3
@@ -53,8 +55,8 @@
 // endpointHealth is the health of an endpoint as observed by outcomes, progress and health checks.
 type endpointHealth struct {
 	failureRate     float64               // share of recent attempts that failed, from 0 to 1
-	relativeLatency ewma.Average[float64] // ratio of its times to its peers' mean, following the lower ones
-	lastProgress    Time                  // latest outcome, start of an answer or finding of unresponsiveness
+	relativeLatency ewma.Average[float64] // ratio of its times to its peers' mean; follows the lower ratios
+	lastProgress    Time                  // latest outcome, start of an answer or failure for unresponsiveness
 	nextProbation   Time                  // earliest next attempt while ejected
 	rejectingUntil  Time                  // earliest next attempt after a rejection
 	checkedAt       Time                  // latest health check
@@ -102,9 +104,9 @@
 	return now >= e.health.nextProbation && len(e.load.attempts) == 0 && request.class.Idempotency == Idempotent
 }
 
-// recordProgress records that an endpoint made progress on a request, and counts this for each earlier
-// request in flight there. An overtaken request may have been lost with its connection although the endpoint
-// is alive.
+// recordProgress records that an endpoint made progress on a request, and that this request has overtaken all
+// earlier ones in flight there. An overtaken request may have been lost with its connection although the
+// endpoint is alive.
 func (e *endpoint) recordProgress(progressed *request, now Time) {
 	e.health.lastProgress = now
 	for _, request := range e.load.attempts {
@@ -187,9 +189,9 @@
 	}
 }
 
-// unresponsive reports whether an endpoint has made no progress for longer than an attempt may wait and
-// longer than its role needs for all prompts in flight there. It checks every attempt, not only the oldest,
-// because progress time-outs differ by request.
+// unresponsive reports whether an endpoint has made no progress for longer than both the progress time-out of
+// one of its attempts and the time expected for all prompts in flight there. It checks every attempt, not
+// only the oldest, because progress time-outs differ by request.
 func (r *Router) unresponsive(target *endpoint) bool {
 	tokens := Tokens(0)
 	for _, request := range target.load.attempts {
--- a/control/placement.go
+++ b/control/placement.go
@@ -7,22 +7,25 @@
 )
 
 const (
-	// minWeight is the lower bound of an endpoint's weight. Prefixes with a lower count are dropped.
+	// minWeight is the lower bound of an endpoint's weight. It is also the request count below which a prefix
+	// is dropped.
 	minWeight = 0.01
-	// overloadFactor is the multiple of the median load of its role above which an endpoint is overloaded.
+	// overloadFactor is a limit on the ratio of an endpoint's load to the reference load of its role. Above
+	// it, the endpoint is overloaded.
 	overloadFactor = 2.0
-	// overloadMinRequests is the number of own requests in flight below which an endpoint is not overloaded.
+	// overloadMinRequests is the minimum number of this router's requests in flight at an overloaded
+	// endpoint.
 	overloadMinRequests = 3.0
 	// affinitySpread is the ratio of the traffic share of a prefix's candidates to the prefix's share of
 	// requests. It is above 1 because the candidates also serve requests without this prefix.
 	affinitySpread = 2.0
-	// overloadPenalty is multiplied with the score of an endpoint that is overloaded or has no capacity, to
-	// rank it behind the others.
+	// overloadPenalty is the factor on the score of an endpoint that is overloaded or has no capacity. It
+	// ranks the endpoint behind the others.
 	overloadPenalty = minWeight
 	// popularityPrior is added to the number of all requests, so that a prefix among the first few requests
 	// does not count as popular.
 	popularityPrior = 20.0
-	// popularityDecay is multiplied with the request counts of prefixes each second.
+	// popularityDecay is the factor that reduces the request counts of prefixes each second.
 	popularityDecay = 0.97
 )
 
@@ -92,9 +95,9 @@
 }
 
 // eligible reports whether a request may be forwarded to an endpoint. An endpoint is not eligible if it is
-// not ready, recently rejected an attempt, is excluded for the request, or is outside its deduplication
-// scope. An ejected endpoint is eligible only for an attempt on probation, and an endpoint in slow start only
-// for a request that is admitted there.
+// not ready, recently rejected an attempt, is excluded for the request, or is outside the request's
+// deduplication scope. An ejected endpoint is eligible only for an attempt on probation, and an endpoint in
+// slow start only for a request that is admitted there.
 func (r *Router) eligible(e *endpoint, request *request) bool {
 	if e.State != Ready || r.now < e.health.rejectingUntil || slices.Contains(request.excluded, e) {
 		return false
@@ -105,9 +108,10 @@
 	return r.warmedUp(e) || r.admittedInSlowStart(e, request)
 }
 
-// inDedupScope reports whether an endpoint is in the deduplication scope of a request. Only a request with a
-// key that may already have been executed has one: the zone or cell of that execution, in which engines drop
-// repeats. Prefill engines are always in scope.
+// inDedupScope reports whether an endpoint is in the deduplication scope of a request. The scope is limited
+// only if the request has an idempotency key and may already have been executed. It is then the zone or cell
+// of the first engine that may have executed it, unless all engines drop repeats. Prefill engines are always
+// in scope.
 func inDedupScope(e *endpoint, request *request) bool {
 	first := request.firstExecution.endpoint
 	class := request.class
@@ -121,7 +125,8 @@
 	return true
 }
 
-// affinityCandidate is an endpoint that can take a prefill, with its rendezvous score for the prefix.
+// affinityCandidate is an endpoint that can take a prefill, with its rendezvous score for the request's
+// prefix or session.
 type affinityCandidate struct {
 	endpoint *endpoint
 	score    float64
--- a/control/request.go
+++ b/control/request.go
@@ -12,8 +12,8 @@
 	// minLostConnections is the minimum number of lost connections for a request to be suspected of crashing
 	// engines.
 	minLostConnections = 2
-	// progressTimeoutFactor is the multiple of a request's objective for the first token after which an attempt
-	// without progress times out.
+	// progressTimeoutFactor is the progress time-out of an attempt, as a multiple of its request's objective
+	// for the first token.
 	progressTimeoutFactor = 1.5
 )
 
@@ -37,7 +37,7 @@
 	latest          attempt
 	serviceTime     time.Duration // sum over its attempts
 	hasFirstToken   bool          // its answer is being streamed
-	finished        bool          // has its final answer or its client left
+	finished        bool          // the client got the final answer or left
 
 	kv             kvRetention
 	firstExecution execution
@@ -50,7 +50,7 @@
 	cancelRequested bool
 	overtakenBy     int // number of later attempts at the same endpoint that made progress first
 	sentAt          Time
-	tokensToProcess Tokens // prompt tokens to compute or to fetch, an estimate
+	tokensToProcess Tokens // estimated number of prompt tokens to compute or to fetch
 }
 
 // execution is the earliest attempt that may have executed its request.
@@ -103,7 +103,6 @@
 	}
 }
 
-// mayHaveExecuted reports whether an attempt may have executed the request.
 func (req *request) mayHaveExecuted() bool { return req.firstExecution.endpoint != nil }
 
 // mayRepeat reports whether a further attempt is safe: the request has not been executed, may be executed
@@ -132,8 +131,8 @@
 }
 
 // sendDeadline returns the time by which the next attempt must be sent in full, or math.MaxInt64 if there is
-// no limit. Without it, slow connections could retain a KV state beyond its retention limit while decode
-// engines are unreachable, or deliver a repeat after its deduplication window.
+// no limit. Without this limit, attempts at unreachable decode engines could keep a KV state beyond its
+// retention limit, and a slow connection could deliver a repeat after its deduplication window.
 func (req *request) sendDeadline(retentionLimit time.Duration) Time {
 	deadline := Time(math.MaxInt64)
 	if req.kv.holder != nil {
--- a/control/retention.go
+++ b/control/retention.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// releaseDeadline returns the time after which no attempt may be sent to use the state and it has to be
-// released, early enough for the release to reach an engine within the retention limit. For a limit of 0,
-// which means none, it returns math.MaxInt64.
+// releaseDeadline returns the time by which the state has to be released, so that the release reaches an
+// engine within the retention limit. From then on, no attempt that uses the state may be sent. A limit of 0
+// means no limit, and the deadline is then math.MaxInt64.
 func (k *kvRetention) releaseDeadline(limit time.Duration) Time {
 	if limit <= 0 {
 		return math.MaxInt64
@@ -81,9 +81,9 @@
 	}
 }
 
-// mustReleaseUnproven reports whether a request's KV state has to be released before the next tick. An
-// attempt that was sent less than attemptTransit ago gets until the release deadline, since it has probably
-// arrived or will.
+// mustReleaseUnproven reports whether a request's KV state has to be released before the next tick. If the
+// attempt was sent less than attemptTransit ago, the state is kept until the release deadline, since the
+// attempt has probably arrived or will arrive soon.
 func (r *Router) mustReleaseUnproven(request *request) bool {
 	kv := &request.kv
 	limit := r.settings.Limits.KVRetentionLimit
@@ -97,9 +97,10 @@
 	return nextTick > kv.unprovenDeadline(limit)
 }
 
-// discardStaleKV releases and forgets a request's KV state if its attempt may have reached its engine but did
-// not prove it, and the state was released during the attempt or is past its release deadline. It reports
-// whether it did. Further attempts must not rely on such a state.
+// discardStaleKV releases and forgets a request's KV state after an attempt that may have reached its engine
+// but ended without proof of this. It does so only if the state was released during the attempt or is past
+// its release deadline, because further attempts must not rely on such a state. It reports whether it
+// discarded the state.
 func (r *Router) discardStaleKV(request *request, result Result, wasReleased bool) bool {
 	stale := wasReleased || r.now >= request.kv.releaseDeadline(r.settings.Limits.KVRetentionLimit)
 	unproven := result.MayHaveExecuted() && !result.provesArrival()
--- a/control/retry.go
+++ b/control/retry.go
@@ -6,8 +6,8 @@
 	// rejectionLimit is the rejection rate of prefill engines above which a request that failed on two
 	// endpoints is not prefilled again.
 	rejectionLimit = 0.3
-	minTimeout     = time.Millisecond // of an attempt
-	minRetryAfter  = tickInterval     // of a rejected request
+	minTimeout     = time.Millisecond // lower bound of Forward.Timeout
+	minRetryAfter  = tickInterval     // lower bound of Reject.RetryAfter, unless Limits.MaxRetryAfter is lower
 )
 
 // attemptInFlight pairs a request that has an attempt in flight with the endpoint named by an event.
@@ -96,7 +96,7 @@
 		request.lostConnections++
 	}
 	if event.Result == Rejected && event.KVMissing {
-		r.releaseKV(request, ReleasedAsKVMissing) // it may still exist, unreachable for this engine only
+		r.releaseKV(request, ReleasedAsKVMissing) // it may exist but be unreachable for this engine
 	}
 	if event.Result != PrefillDone {
 		request.excluded = append(request.excluded, target)
@@ -112,9 +112,9 @@
 	r.retry(request)
 }
 
-// retry forwards the next attempt of a request, at the same stage or the next. If it has a KV state but no
-// decode engine can take it, the request is parked until the retention limit or its deadline is near. If no
-// attempt is possible, the request is finished without service.
+// retry forwards the next attempt of a request, at the same stage or the next. If the request has a KV state
+// but no decode engine can take the request, it is parked until the retention limit or its deadline is near.
+// If no attempt is possible, the request is finished without service.
 func (r *Router) retry(request *request) {
 	if obstacle, blocked := r.retryObstacle(request); blocked {
 		r.finishWithoutService(request, obstacle)
@@ -162,7 +162,7 @@
 
 // retryObstacle returns the reason why a request must not have another attempt. blocked is false if it may.
 // While prefill engines reject many attempts, a request that failed on two endpoints is not prefilled again,
-// which would add load to the remaining engines.
+// because that would add load to the remaining engines.
 func (r *Router) retryObstacle(request *request) (reason FinishReason, blocked bool) {
 	rejecting := r.rejectionRates[RolePrefill].Value > rejectionLimit
 	sendDeadline := request.sendDeadline(r.settings.Limits.KVRetentionLimit)
--- a/control/router.go
+++ b/control/router.go
@@ -11,8 +11,8 @@
 	// tickInterval is the period of the router's timer.
 	tickInterval = 50 * time.Millisecond
 	// finishReserve is how long before its deadline a queued or parked request is finished without service,
-	// and how long before its retention limit a KV state is released. Both are checked once per tick, so with
-	// two ticks at least one tick remains for the answer or the release.
+	// and how long before its retention limit a KV state is released. Both are checked once per tick, so at
+	// least one tick remains for the answer or the release.
 	finishReserve = 2 * tickInterval
 )
 
@@ -44,7 +44,7 @@
 	expiredAt         Time    // time of the latest expireAndDecay
 }
 
-// New returns a router without endpoints. They follow in EndpointUpdate events.
+// New returns a router without endpoints. Endpoints arrive in EndpointUpdate events.
 func New(settings Settings, now Time) *Router {
 	settings.Identity.Routers = max(settings.Identity.Routers, 1)
 	settings.Limits.MaxAttempts = max(settings.Limits.MaxAttempts, 1)
--- a/control/scheduling.go
+++ b/control/scheduling.go
@@ -94,7 +94,6 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// enqueue adds a new request to the queue.
 func (r *Router) enqueue(event Request) {
 	class := &r.settings.Classes[event.Class]
 	session := r.sessions.findOrCreate(event.SessionID, r.now)
--- a/control/settings.go
+++ b/control/settings.go
@@ -15,7 +15,7 @@
 
 // RouterIdentity describes a router among those of its service.
 type RouterIdentity struct {
-	Seed    uint64 // of the random numbers; should differ for each router and each start
+	Seed    uint64 // seed of the random numbers; should differ for each router and each start
 	Routers int    // number of routers of the service, including this one; 0 counts as 1
 	Rank    int    // index of this router among them, from 0
 	Zone    uint16 // zone of this router
@@ -25,7 +25,7 @@
 type EngineSettings struct {
 	Kinds            []EngineKind  // indexed by Endpoint.Kind
 	ReportFields     []ReportField // meanings of the values of a load report, in order
-	DecodeCanPrefill bool          // a decode engine can compute a prompt without a KV state
+	DecodeCanPrefill bool          // a decode engine can also compute a prompt, if there is no KV state to fetch
 }
 
 // EngineKind describes the engines of one kind, which have the same role and memory.
@@ -53,7 +53,7 @@
 	ConnectTimeout   time.Duration // for one connection to an engine
 	KVRetentionLimit time.Duration // time within which a KV state must be used or released; 0 for none
 	DrainGrace       time.Duration // time for which a draining engine may still get attempts
-	AnswerGrace      time.Duration // time after the client's deadline within which a final answer may come
+	AnswerGrace      time.Duration // time after the client's deadline within which a final answer may still arrive
 }
 
 // SlowStart describes the capacity of an engine that has just started. An engine fails if its traffic exceeds
@@ -68,7 +68,6 @@
 // Role is the stage, or stages, of a request that an engine computes.
 type Role uint8
 
-// The roles of engines.
 const (
 	// RolePrefill computes KV states of prompts.
 	RolePrefill Role = iota // prefill
@@ -103,7 +102,6 @@
 // Idempotency says whether a request may be executed more than once.
 type Idempotency uint8
 
-// The kinds of idempotency.
 const (
 	// Idempotent requests may be repeated without limit.
 	Idempotent Idempotency = iota // idempotent
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -1,7 +1,7 @@
 package control
 
-// slowStartMargin is the fraction of its overload traffic that an endpoint in slow start is sent on average.
-// The rest is headroom for random variation.
+// slowStartMargin is the fraction of the overload traffic that is sent to an endpoint in slow start on
+// average. The rest is headroom for random variation.
 const slowStartMargin = 0.4
 
 // slowStartState tells when an endpoint began its slow start.
--- a/control/topology.go
+++ b/control/topology.go
@@ -15,8 +15,8 @@
 	// colocatedShare is the share of answers of a colocated engine, relative to a decode engine of the same
 	// weight.
 	colocatedShare = 0.6
-	// colocatedSlowdown is the ratio of the answer times of colocated engines to those of decode engines above
-	// which colocated engines get fewer answers.
+	// colocatedSlowdown is a limit on the ratio of the answer times of colocated engines to those of decode
+	// engines. Above it, colocated engines get fewer answers.
 	colocatedSlowdown = 1.3
 )
 
@@ -148,7 +148,7 @@
 const (
 	localitySameCell  locality = iota
 	localitySameZone           // cells of the same zone with spare decode capacity
-	localityOtherZone          // cells with spare decode capacity in other zones that have some
+	localityOtherZone          // cells with spare decode capacity, in other zones with spare decode capacity
 	localityAnywhere           // all endpoints that can take the KV state
 	localityCount
 )
@@ -188,8 +188,8 @@
 	}
 }
 
-// preferred returns the endpoints of the most preferred locality that has any. The list is empty if none was
-// added.
+// preferred returns the endpoints of the most preferred locality that has any. The list is empty if no
+// endpoint was added.
 func (c *localityChoice) preferred() []*endpoint {
 	for _, endpoints := range c.byLocality {
 		if len(endpoints) > 0 {
