--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -30,7 +30,7 @@
 
 //go:generate go tool stringer -linecomment -type=UnitOutcome -output=enum_string.go
 
-// Settings are the settings of one queue.
+// Settings configure a Queue. With the zero value, no request is large.
 type Settings struct {
 	LargeTokens     float64       // a request with more tokens is large; 0 means that no request is
 	OutstandingWork time.Duration // limits outstanding large requests to what the pool serves in this time
@@ -46,7 +46,7 @@
 	Index   int // in Request.UnitTokens
 }
 
-// Request is a large request.
+// Request is a large request of one or more units.
 type Request struct {
 	ID         RequestID
 	Tenant     uint64
--- a/control/admission/limits.go
+++ b/control/admission/limits.go
@@ -11,7 +11,7 @@
 type TokenLimits struct {
 	Context float64 // of prompt and answer together, set by the model
 	Prefill float64 // of the prompt, set by the memory of the largest prefill or colocated endpoint
-	Decode  float64 // of prompt and answer together, set by that of the largest decode or colocated endpoint
+	Decode  float64 // of prompt and answer, set by the memory of the largest decode or colocated endpoint
 }
 
 // EndpointCapacity is the role of an endpoint and the number of tokens that its memory holds.
--- a/control/admission/limits_test.go
+++ b/control/admission/limits_test.go
@@ -28,7 +28,8 @@
 			t.Fatalf("rejected a prompt of %v tokens that fits the limit of %v, estimate %v",
 				actual, limit, actual/ratio)
 		}
-		for range rapid.IntRange(0, 200).Draw(t, "observed of others") { // dense texts or tiny prompts
+		// The texts of others have many tokens per byte or are tiny.
+		for range rapid.IntRange(0, 200).Draw(t, "observed of others") {
 			estimator.Observe(rapid.SampledFrom([]float64{1, 5000}).Draw(t, "size"), 20000)
 		}
 		if _, neverFits := limits.NeverFits(&estimator, actual/ratio, limit-actual); neverFits && ratio >= 0.5 {
--- a/control/admission/queue.go
+++ b/control/admission/queue.go
@@ -37,7 +37,7 @@
 	lastPoll          control.Time
 }
 
-// NewQueue returns an empty queue.
+// NewQueue returns a queue that assumes one ready endpoint until SetReadyEndpoints is called.
 func NewQueue(settings Settings) *Queue {
 	settings.Routers = max(settings.Routers, 1)
 	return &Queue{
--- a/control/admission/queue_test.go
+++ b/control/admission/queue_test.go
@@ -15,7 +15,7 @@
 
 const second = time.Second
 
-// at returns the start of a test plus elapsed.
+// at returns the time at which elapsed has passed since the start of a test.
 func at(elapsed time.Duration) control.Time { return control.Time(1e12).Add(elapsed) }
 
 func unitsOf(count int, tokens float64) []float64 { return slices.Repeat([]float64{tokens}, count) }
@@ -102,7 +102,7 @@
 	s.queue.ObserveSmall(at(s.now), SmallRequest{Elapsed: elapsed, Objective: second, ClientTimeout: second})
 }
 
-// cancel cancels a request and all outstanding units, and makes all endpoints free.
+// cancel cancels a request and the outstanding units of all requests, and makes all endpoints free.
 func (s *simulation) cancel(id RequestID) {
 	for _, running := range s.outstanding {
 		s.queue.Complete(at(s.now), running.unit, UnitCancelled)
--- a/control/admission/tenant.go
+++ b/control/admission/tenant.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	// softMaxTenants is the number of known tenants at which the queue starts to forget idle ones: those
-	// without waiting requests whose start tag is not ahead of the virtual time.
+	// softMaxTenants is the number of known tenants at which the queue starts to forget idle ones. A tenant
+	// is idle if it has no waiting requests and its start tag is not ahead of the virtual time.
 	softMaxTenants = 1024
-	// maxTenants is the number of known tenants at which the queue forgets all without waiting requests.
+	// maxTenants is the number of known tenants at which the queue forgets all tenants without waiting
+	// requests.
 	maxTenants = 4 * softMaxTenants
 )
 
--- a/control/admission/throughput.go
+++ b/control/admission/throughput.go
@@ -13,7 +13,7 @@
 	minWindow = 250 * time.Millisecond
 	// minEmptyWindow is the minimum length of a window in which no unit was served.
 	minEmptyWindow = time.Second
-	// throughputAlpha is the weight of a new sample.
+	// throughputAlpha is the weight of a new sample in the average.
 	throughputAlpha = 0.3
 	// optimismPeriod is the time constant of the exponential rise of the estimated throughput while there
 	// are no new samples.
@@ -47,7 +47,6 @@
 	meanUnitTokens float64
 }
 
-// addServed records that a unit was served.
 func (t *throughput) addServed(tokens float64) { t.windowTokens += tokens }
 
 // restartWindow discards the current window and starts a new one.
--- a/control/admission/unitoutcome_test.go
+++ b/control/admission/unitoutcome_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestStringNamesEachOutcome: each outcome has a name of its own, also an unknown one.
+// TestStringNamesEachOutcome: each outcome, even an unknown one, has a distinct name.
 func TestStringNamesEachOutcome(t *testing.T) {
 	seen := map[string]bool{}
 	for value := UnitOutcome(0); value <= UnitCancelled+1; value++ {
--- a/control/batching/batcher.go
+++ b/control/batching/batcher.go
@@ -14,7 +14,7 @@
 	// durationAlpha is the weight of a new batch in the mean duration of batches.
 	durationAlpha = 0.1
 	// objectiveSlack is how long before its objective a request stops waiting for others, as a multiple of
-	// the mean batch duration: one for its own batch, and one as a margin.
+	// the mean batch duration. It covers the request's own batch and a margin.
 	objectiveSlack = 2.0
 )
 
@@ -24,9 +24,9 @@
 // batch. It waits at most for Settings.MaxWait, and less if its latency objective is near.
 //
 // Each request keeps its own deadline and can be cancelled without affecting the others of its batch. If a
-// batch fails and one of its requests may be the cause, each request is retried by itself, with the
-// attempts that the batch has left. Thus an invalid input delays other requests but does not fail them. If
-// a connection to an engine was lost, the requests are retried in the order of a SequentialRetry.
+// batch fails and one of its requests may be the cause, each request is retried by itself, with the remaining
+// attempts of the batch. Thus an invalid input delays other requests but does not fail them. If a connection
+// to an engine was lost, the requests are retried in the order of a SequentialRetry.
 //
 // Batcher is not safe for concurrent use.
 type Batcher struct {
@@ -57,7 +57,7 @@
 	queue              *requestQueue
 	sentAt             control.Time
 	hadSeveralRequests bool              // when the batch was sent
-	requests           []*trackedRequest // not cancelled or expired since then
+	requests           []*trackedRequest // without those that were cancelled or expired after the batch was sent
 }
 
 // trackedRequest is a request that waits or is in a batch.
@@ -68,7 +68,7 @@
 	heapIndex int     // in Batcher.deadlines
 }
 
-// NewBatcher returns an empty batcher.
+// NewBatcher returns a batcher that assumes one ready endpoint until SetReadyEndpoints is called.
 func NewBatcher(settings Settings) *Batcher {
 	settings.Routers = max(settings.Routers, 1)
 	return &Batcher{
--- a/control/batching/batcher_test.go
+++ b/control/batching/batcher_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// complete ends a batch.
+// complete ends a batch, and checks that no request is retried if the batch's result is final.
 func (m *model) complete(id BatchID, result BatchResult) {
 	completion := m.batcher.Complete(m.now, id, result)
 	mustShare := result.Outcome == outcome.Served || result.Attempts == 3 ||
--- a/control/batching/batching.go
+++ b/control/batching/batching.go
@@ -20,7 +20,7 @@
 // others.
 const ExpiredRetryAfter = time.Second
 
-// Settings are the settings of a Batcher.
+// Settings configure a Batcher. The zero value disables batching.
 type Settings struct {
 	BatchTokens float64       // maximum tokens of a batch
 	BatchItems  int           // maximum items of a batch
@@ -72,14 +72,13 @@
 
 // Completion tells how to handle the requests of a batch that has ended.
 type Completion struct {
-	Requests []RequestID // not cancelled or expired before, in the order of the batch
+	Requests []RequestID // those that were not cancelled or expired, in the order of the batch
 	Handling Handling
 }
 
 // Handling is how the requests of a batch are handled after its end.
 type Handling uint8
 
-// The ways to handle the requests of a batch.
 const (
 	// ShareResult gives each request the result of the batch, or its part of the result.
 	ShareResult Handling = iota // share result
--- a/control/batching/handling_test.go
+++ b/control/batching/handling_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestStringNamesEachHandling: each handling has a name of its own, also an unknown one.
+// TestStringNamesEachHandling: each handling, even an unknown one, has a distinct name.
 func TestStringNamesEachHandling(t *testing.T) {
 	seen := map[string]bool{}
 	for value := Handling(0); value <= RetrySequentially+1; value++ {
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -37,7 +37,7 @@
 	sentSinceReport   Tokens               // demand of own attempts that load reports do not include yet
 	demand            Tokens               // demand of own attempts in flight
 	prefillsInFlight  int                  // own attempts in flight at prefill engines
-	dispatchThreshold float64              // free requests of mean demand that the next dispatch needs; at most 1
+	dispatchThreshold float64              // free requests that the next dispatch needs, at most 1
 }
 
 // demandPerRequest returns the mean demand of a request, at least one token.
--- a/control/connlimit/descriptors.go
+++ b/control/connlimit/descriptors.go
@@ -1,8 +1,8 @@
 package connlimit
 
 const (
-	// reservedDivisor divides the number of descriptors to get how many MaxClients reserves for
-	// connections to engines, files and the Go runtime.
+	// reservedDivisor divides the number of descriptors. MaxClients reserves the quotient for connections to
+	// engines, files and the Go runtime.
 	reservedDivisor = 4
 	// minReserved is the minimum number of these reserved descriptors.
 	minReserved = 64
--- a/control/connlimit/idlelist.go
+++ b/control/connlimit/idlelist.go
@@ -11,7 +11,6 @@
 	first, last *connection[K] // doubly linked list; idle connections are in the order in which they became idle
 }
 
-// connection is a known client connection.
 type connection[K comparable] struct {
 	key            K
 	busy           bool
--- a/control/connlimit/memory.go
+++ b/control/connlimit/memory.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Shares of the memory limit in tenths. The buffers are part of the heap. The rest is for the program's
-// code and data, and for a heap that grows beyond the soft limit of the garbage collector.
+// Shares of the memory limit in tenths. The share of the buffers is part of that of the heap. The memory
+// outside the heap's share is for the program's code and data, and for a heap that grows beyond the soft
+// limit of the garbage collector.
 const (
 	heapTenths   = 6
 	bufferTenths = 2
--- a/control/connreuse/connreuse.go
+++ b/control/connreuse/connreuse.go
@@ -28,7 +28,7 @@
 	// firstBucketBound is the upper bound of the first bucket.
 	firstBucketBound = 20 * time.Millisecond
 
-	// decayTime is the time constant of the counts: an observation of that age has the weight 1/e.
+	// decayTime is the time constant of the exponential decay of the counts.
 	decayTime = 10 * time.Second
 
 	// priorSuccesses are added to the counted requests, so that a single early loss does not stop reuse.
@@ -38,8 +38,8 @@
 
 	// maxLossRateNotIdempotent is the maximum loss rate for requests that must not be retried.
 	maxLossRateNotIdempotent = 0.02
-	// priorLosses are added to the counted losses for requests that must not be retried. With
-	// priorSuccesses and maxLossRateNotIdempotent, reuse requires 17 recent successes.
+	// priorLosses are added to the counted losses for requests that must not be retried. Because of them,
+	// reuse requires recent successes.
 	priorLosses = 0.5
 
 	// staleCloseWindow is the time after sending a request within which the connection must end for the
@@ -99,7 +99,6 @@
 	}
 }
 
-// bucketIndex returns the index of the bucket for an idle time.
 func bucketIndex(idle time.Duration) int {
 	index := 0
 	for bound := firstBucketBound; idle > bound && index < bucketCount-1; bound *= bucketGrowth {
--- a/control/golden_engines_test.go
+++ b/control/golden_engines_test.go
@@ -18,10 +18,8 @@
 	networkDelay          = 2 * time.Millisecond
 )
 
-// faultKind is a kind of engine fault.
 type faultKind int
 
-// The kinds of faults.
 const (
 	faultUnreachable  faultKind = iota // connections fail
 	faultUnresponsive                  // the engine accepts attempts and never responds
@@ -44,10 +42,9 @@
 	kind     faultKind
 	from, to time.Duration // since the start of the simulation
 	chance   float64       // probability that an attempt is affected
-	factor   float64       // of faultSlow, on the times of the engine
+	factor   float64       // factor by which faultSlow lengthens the engine's times
 }
 
-// engine is a simulated engine.
 type engine struct {
 	entry       control.Endpoint
 	busyUntil   control.Time // end of all accepted prefills
@@ -58,7 +55,6 @@
 
 func (e *engine) role() control.Role { return control.Role(e.entry.Kind) }
 
-// attempt is an attempt of a request at an engine.
 type attempt struct {
 	request *clientRequest
 	number  control.AttemptNumber
@@ -69,7 +65,6 @@
 	memory  control.Tokens // KV memory that it occupies at the engine
 }
 
-// outcome returns an Outcome of the attempt.
 func (a *attempt) outcome(result control.Result, elapsed time.Duration, final bool, report []float64) control.Outcome {
 	return control.Outcome{
 		ID: a.request.ID, Attempt: a.number, Endpoint: a.engine.entry.ID, Result: result, Elapsed: elapsed,
@@ -77,7 +72,6 @@
 	}
 }
 
-// start starts an attempt at an engine.
 func (s *simulation) start(c *clientRequest, e *engine, timeout time.Duration) {
 	a := &attempt{request: c, number: control.AttemptNumber(len(c.attempts)), engine: e, sentAt: s.now}
 	c.attempts = append(c.attempts, a)
@@ -262,7 +256,6 @@
 	return values
 }
 
-// reportValue returns one value of a load report.
 func (e *engine) reportValue(field control.ReportField, backlogSeconds, background float64) float64 {
 	switch field {
 	case control.ReportInFlight:
--- a/control/golden_scripts_test.go
+++ b/control/golden_scripts_test.go
@@ -20,7 +20,7 @@
 	rate              float64       // arrivals per second
 	burst             int           // requests that arrive at once in a burst
 	burstChance       float64       // probability that an arrival is a burst
-	pauseEvery        time.Duration // period of arrivals, which pause after its first fifth; 0 for no pauses
+	pauseEvery        time.Duration // period with arrivals only in its first fifth; 0 for arrivals at all times
 	promptMean        float64       // tokens
 	answerMean        float64       // tokens
 	sessions          uint64        // number of sessions; 0 for requests without a session
@@ -34,7 +34,7 @@
 	promptCancels     bool          // every cancellation arrives in time
 }
 
-// change is a change of the service at a time since the start of the simulation.
+// change modifies the service once the given time has passed since the start of the simulation.
 type change struct {
 	at    time.Duration
 	apply func(*simulation)
@@ -88,8 +88,8 @@
 	return list
 }
 
-// changeEndpoint drains, restarts, removes, reweights or adds an engine, in turn by number. It announces the
-// change by an update or by a full list.
+// changeEndpoint drains, restarts, removes, reweights or adds an engine. The number selects which, and
+// whether the change is announced by an update or by a full list.
 func changeEndpoint(s *simulation, rng *rand.Rand, number int) {
 	e := s.engines[rng.IntN(len(s.engines))]
 	switch number % 5 {
--- a/control/golden_settings_test.go
+++ b/control/golden_settings_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// longDeadlines lets requests wait longer than the router uses a load report.
+// longDeadlines lets requests wait for longer than load reports stay valid.
 func longDeadlines(settings *control.Settings) {
 	settings.Identity.Routers = 2
 	withoutHealthChecks(settings)
--- a/control/golden_simulation_test.go
+++ b/control/golden_simulation_test.go
@@ -16,11 +16,11 @@
 	tokens    control.Tokens // length of its answer
 	attempts  []*attempt
 	prefilled bool // its KV state is at a prefill engine
-	finished  bool // has its final answer, or its client left
+	finished  bool // the client got the final answer or left
 	resets    int  // attempts whose connection was lost
 }
 
-// delivery is an event for a router, or a step of the simulation, at a time.
+// delivery is an event for a router, or a step of the simulation, that is scheduled at a time.
 type delivery struct {
 	at     control.Time
 	router int
@@ -104,7 +104,6 @@
 	return e
 }
 
-// list returns the endpoint list.
 func (s *simulation) list() (list []control.Endpoint) {
 	for _, e := range s.engines {
 		list = append(list, e.entry)
@@ -232,7 +231,6 @@
 	return nil
 }
 
-// newRequest draws a request.
 func (s *simulation) newRequest() *clientRequest {
 	script := s.script
 	c := &clientRequest{router: s.rng.IntN(len(s.routers))}
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -23,8 +23,8 @@
 
 var updateGolden = flag.Bool("update", false, "write the golden file of decisions")
 
-// recorder writes the decisions of one script: each window's actions by kind, and a running hash of every
-// action so far.
+// recorder writes the decisions of one script. For each window it writes the number of actions by kind and a
+// running hash of every action so far.
 type recorder struct {
 	t         *testing.T
 	lines     []string
@@ -53,7 +53,8 @@
 	r.encode(now, reply, actions)
 }
 
-// encode adds the time, the reply in its wire encoding, and SendWithin, which the wire omits, to the hash.
+// encode adds to the hash the time, the reply in its wire encoding, and the SendWithin values, which the wire
+// omits.
 func (r *recorder) encode(now control.Time, reply simwire.Reply, actions []control.Action) {
 	frame := binary.LittleEndian.AppendUint64(nil, uint64(now))
 	frame, err := simwire.AppendReply(frame, reply)
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// testClass returns a class with an objective that is long for the times of most tests.
+// testClass returns a class whose objective is long compared with the times in most tests.
 func testClass(idempotency Idempotency) Class {
 	class := Class{TTFTObjective: 800 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: idempotency}
 	if idempotency == IdempotentWithKey {
--- a/control/manyrouters_test.go
+++ b/control/manyrouters_test.go
@@ -63,7 +63,7 @@
 	endpoints    []Endpoint
 	lastID       RequestID
 	served       int
-	relativeSize map[RequestID]float64 // service time of a request relative to the usual; 1 if it is missing
+	relativeSize map[RequestID]float64 // service time relative to the usual one; a missing entry counts as 1
 	answered     map[RequestID]bool    // requests that were answered in time
 }
 
@@ -206,8 +206,8 @@
 	return outcome
 }
 
-// maxArrivalsWithin returns the greatest number of arrivals within any interval of a duration that begins at
-// or after since.
+// maxArrivalsWithin returns the greatest number of arrivals in an interval of the given duration. It
+// considers the intervals that begin at or after since.
 func (e *simulatedEngine) maxArrivalsWithin(duration time.Duration, since Time) (arrivals int) {
 	from := 0
 	for to := range e.arrivals {
@@ -227,7 +227,7 @@
 // role in slow start, and after restarts of routers.
 func TestRoutersTogetherDoNotOverloadEndpointsInSlowStart(t *testing.T) {
 	for _, c := range []struct {
-		routers, engines, restarted int     // engines and restarted engines are numbers per role
+		routers, engines, restarted int     // engines and restarted are per role
 		load                        float64 // request rate as a fraction of the engines' capacity
 		burst                       float64 // factor on the rate during the burst
 		routersRestart              bool
@@ -302,8 +302,8 @@
 	}
 }
 
-// worstOverload returns the greatest ratio of the requests that an engine in slow start got to its bound.
-// rates are the requests per second of an engine of each role.
+// worstOverload returns the greatest number of requests that an engine in slow start got, relative to its
+// bound. rates are the requests per second of an engine of each role.
 func (s *simulatedService) worstOverload(rates perRole) (worst float64) {
 	slowStart := s.settings.SlowStart
 	for _, e := range s.endpoints {
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -76,7 +76,7 @@
 	partiallyAccepted bool // the list was applied, except for endpoints that a later revision ended
 }
 
-// Revision returns the revision of the list.
+// Revision returns the revision of the list, or 0 before the first update.
 func (v *View) Revision() uint64 { return v.revision }
 
 // Get returns the endpoint with the given id. It returns false if the list has none.
@@ -121,8 +121,8 @@
 	v.stale.update = &update
 }
 
-// withEndsOnly returns an update of the view's revision with those entries of a stale update that end ready
-// endpoints. It omits the end of an endpoint that has started again since.
+// withEndsOnly returns an update with the view's revision and only those entries of a stale update that end
+// ready endpoints. It omits the end of an endpoint that has started again since.
 func (v *View) withEndsOnly(stale Update) Update {
 	ends := Update{Revision: v.revision}
 	for _, endpoint := range stale.Endpoints {
--- a/control/membership/watch.go
+++ b/control/membership/watch.go
@@ -6,8 +6,8 @@
 // messages, and an empty line as a heartbeat after each HeartbeatInterval.
 //
 // The platform expects the router to know a change within 6 s after discovery has it and can be reached. The
-// time-outs must be short enough for that even if two calls in a row become unresponsive: this takes
-// WatchTimeout and a backoff for each of them.
+// time-outs must be short enough for that even if two calls in a row become unresponsive. Each of them takes
+// WatchTimeout and a backoff.
 const (
 	// HeartbeatInterval is how often discovery sends an empty line on a watch.
 	HeartbeatInterval = 2 * time.Second
--- a/control/outcome/outcome.go
+++ b/control/outcome/outcome.go
@@ -8,7 +8,6 @@
 // Outcome is how a request ended.
 type Outcome uint8
 
-// The outcomes of a request.
 const (
 	// Served is the outcome of a request whose answer was complete and passed the checks.
 	Served Outcome = iota // served
--- a/control/outcome/outcome_test.go
+++ b/control/outcome/outcome_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestStringNamesEachOutcome: each outcome has a name of its own, also an unknown one.
+// TestStringNamesEachOutcome: each outcome, even an unknown one, has a distinct name.
 func TestStringNamesEachOutcome(t *testing.T) {
 	seen := map[string]bool{}
 	for value := Served; value <= InvalidRequest+1; value++ {
--- a/control/requestmodel_test.go
+++ b/control/requestmodel_test.go
@@ -25,7 +25,7 @@
 	retained        bool               // an engine may retain KV state, as far as the caller knows
 
 	arrived        bool         // the attempt in flight has reached its engine, which the router can't observe
-	unusedSince    control.Time // time since which an engine retains KV state without a use; 0 for none
+	unusedSince    control.Time // when the KV state that an engine retains became unused; 0 for none
 	releaseAskedAt control.Time // time of the ReleaseKV for that state; 0 for none
 }
 
@@ -44,7 +44,7 @@
 	return r.unusedSince != 0 && (!r.attemptInFlight || !r.arrived)
 }
 
-// needsNoAttempt reports whether the request has its answer, or at least the first token, or its client left.
+// needsNoAttempt reports whether the client got the answer or its first token, or has left.
 func (r *modelRequest) needsNoAttempt() bool {
 	return r.answered || r.clientGone || r.hasFirstToken
 }
--- a/control/retention_test.go
+++ b/control/retention_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestKVStateIsKeptOnceItsAttemptHasArrived: no release is emitted after the start of an answer, nor, without
-// ReleaseSparesAttempts, while an attempt is in flight.
+// TestKVStateIsKeptOnceItsAttemptHasArrived: no release is emitted after the start of an answer. Without
+// ReleaseSparesAttempts, none is emitted while an attempt is in flight.
 func TestKVStateIsKeptOnceItsAttemptHasArrived(t *testing.T) {
 	h := startReleasing(t, RolePrefill, RoleDecode)
 	h.startAnswer(10*ms, h.arriveAndPrefill(0, h.request(1, classIdempotent)))
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -154,7 +154,7 @@
 	settings.Classes[classIdempotent].MaxAttempts = 3
 	h := startRouter(t, settings, RoleColocated, RoleColocated, RoleColocated, RoleColocated)
 	request := h.request(1, classIdempotent)
-	request.PriorAttempts = 1 // which did not lose its connection
+	request.PriorAttempts = 1 // this attempt did not lose its connection
 	second := h.onlyForward(h.end(ms, h.arrive(0, request), 0, Reset))
 	if actions := h.end(ms, second, 1, Reset); count[Reject](actions) != 1 {
 		t.Errorf("two of three attempts lost their connection: want one Reject, got %v", actions)
--- a/control/scatter/gather.go
+++ b/control/scatter/gather.go
@@ -12,7 +12,6 @@
 // Decision is what to do with the whole request after the end of a shard.
 type Decision uint8
 
-// The decisions about a request.
 const (
 	// Wait means that nothing is decided until further shards end.
 	Wait Decision = iota // wait
--- a/control/scatter/gather_test.go
+++ b/control/scatter/gather_test.go
@@ -15,7 +15,7 @@
 	t             *rapid.T
 	gather        *Gather
 	shards        int
-	notRepeatable bool // a retry must not execute a shard again
+	notRepeatable bool // no shard may be executed again
 	served        map[int]bool
 	decided       bool
 }
@@ -78,8 +78,8 @@
 }
 
 // TestGatherDecidesOnce: for any order of outcomes, including late and repeated ones, there is at most one
-// decision. Shards are merged only if all were served. A request is rejected only if a retry cannot execute
-// a shard twice that must not be executed twice.
+// decision. Shards are merged only if all were served. A request is rejected only if a retry of the whole
+// request is safe.
 func TestGatherDecidesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newGatherModel(t)
@@ -95,7 +95,7 @@
 	})
 }
 
-// TestStringNamesEachDecision: each decision has a name of its own, also an unknown one.
+// TestStringNamesEachDecision: each decision, even an unknown one, has a distinct name.
 func TestStringNamesEachDecision(t *testing.T) {
 	seen := map[string]bool{}
 	for value := Decision(0); value <= RelayError+1; value++ {
--- a/control/scatter/scatter.go
+++ b/control/scatter/scatter.go
@@ -83,5 +83,4 @@
 	return max(limits.ShardItems, ceilDiv(items, max(count, 1)))
 }
 
-// ceilDiv returns the quotient, rounded up.
 func ceilDiv(dividend, divisor int) int { return (dividend + divisor - 1) / divisor }
--- a/control/settings.go
+++ b/control/settings.go
@@ -53,7 +53,7 @@
 	ConnectTimeout   time.Duration // for one connection to an engine
 	KVRetentionLimit time.Duration // time within which a KV state must be used or released; 0 for none
 	DrainGrace       time.Duration // time for which a draining engine may still get attempts
-	AnswerGrace      time.Duration // time after the client's deadline within which a final answer may still arrive
+	AnswerGrace      time.Duration // time after the deadline within which a final answer may still arrive
 }
 
 // SlowStart describes the capacity of an engine that has just started. An engine fails if its traffic exceeds
@@ -77,7 +77,7 @@
 	RoleColocated // colocated
 )
 
-// Class describes one class of requests.
+// Class holds the objectives, the deadline and the idempotency of one class of requests.
 type Class struct {
 	TTFTObjective     time.Duration // time to first token for an empty prompt
 	TTFTPer1000Tokens time.Duration // added to TTFTObjective for each 1,000 tokens of the prompt
--- a/control/statemachine_test.go
+++ b/control/statemachine_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// finish records a final answer and checks that the request needs one and that it is not late.
+// finish records a final answer. It checks that the request needs one and that the answer is not late.
 func (m *stateMachine) finish(id control.RequestID) *modelRequest {
 	request := m.requests[id]
 	if request == nil || request.answered || request.clientGone || request.attemptInFlight {
@@ -337,8 +337,8 @@
 }
 
 // TestUnusedKVStateIsReleasedWithinTheLimit: the router releases each unused KV state within the retention
-// limit, although attempts end at random times with random results, and many never reach an engine, which the
-// router can't observe.
+// limit, although attempts end at random times with random results. Many never reach an engine, and the
+// router can't observe this.
 func TestUnusedKVStateIsReleasedWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newStateMachine(t)
