--- a/control/admission/deadline.go
+++ b/control/admission/deadline.go
@@ -12,8 +12,8 @@
 
 // estimateCompletion returns the estimated time at which the first ownTokens of a tenant's waiting tokens
 // have been served. It assumes that all outstanding units are served first, and that the other tenants get
-// their fair shares meanwhile. It leaves excludedTokens out of the waiting tokens. tenant is nil for an
-// unknown tenant. If no throughput has been observed, it returns now.
+// their fair shares meanwhile. excludedTokens do not count as waiting. tenant is nil for an unknown tenant.
+// If no throughput has been observed, it returns now.
 func (q *Queue) estimateCompletion(
 	now control.Time, tenant *tenantQueue, ownTokens, excludedTokens float64,
 ) control.Time {
--- a/control/connlimit/descriptors.go
+++ b/control/connlimit/descriptors.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// AcceptLimit returns the maximum number of client connections during one iteration of the event loop,
-// given the maximum between iterations. It is larger, because a connection that is evicted for a new
-// one keeps its descriptor until the end of the iteration. It uses half of the reserved descriptors and
-// leaves the other half for their other purposes.
+// AcceptLimit returns the maximum number of client connections during one iteration of the event loop, given
+// the maximum between iterations. It is larger, because a connection that is evicted for a new one keeps its
+// descriptor until the end of the iteration. These connections may use half of the reserved descriptors. The
+// other half remains for the other purposes.
 func AcceptLimit(maxClients int) int { return maxClients + reservedDescriptors/2 }
--- a/control/connreuse/connreuse_test.go
+++ b/control/connreuse/connreuse_test.go
@@ -12,7 +12,7 @@
 func at(elapsed time.Duration) control.Time { return control.Time(1e9).Add(elapsed) }
 
 // TestStaleIdleTimesAreAvoidedAndRetriedLater: if a server closes connections after one idle second,
-// connections with longer idle times are no longer reused and those with shorter ones are. A minute
+// connections with longer idle times are no longer reused, but those with shorter ones still are. A minute
 // later the longer idle times are tried again.
 func TestStaleIdleTimesAreAvoidedAndRetriedLater(t *testing.T) {
 	var policy Policy
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -36,14 +36,14 @@
 		t.Fatalf("%d endpoints known, want the listed one and the one with an attempt in flight", len(h.router.endpoints.all))
 	}
 
-	// When its attempt fails, the client leaves and the retry ends.
+	// When its attempt fails and is retried, the client leaves, and the retry ends.
 	h.handle(0, HealthCheckResult{Endpoint: 777, Result: TimedOut})
 	retry := h.onlyForward(h.end(0, prefill, 0, Reset))
 	h.handle(0, ClientGone{ID: 1})
 	h.end(0, retry, 1, Cancelled)
 	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 9, State: Ready, Weight: 1}}})
 
-	// Then only the listed endpoint is known, and after a while no request, session or prefix.
+	// Then only the listed endpoint is known. After a while no request, session or prefix is known.
 	if len(h.router.endpoints.all) != 1 || len(h.router.endpoints.byID) != 1 {
 		t.Fatalf("%d endpoints known, want only the listed one", len(h.router.endpoints.all))
 	}
@@ -66,7 +66,7 @@
 	h := startRouter(t, settings, RolePrefill, RolePrefill, RolePrefill, RoleDecode)
 	first := h.router.endpoints.byID[1]
 	h.serveOnFirst(20 * ms)
-	for range 10 { // the last ones on probation
+	for range 10 { // the last prefills are on probation
 		h.serveOnFirst(500 * ms)
 	}
 	if !first.health.ejected() {
--- a/control/golden_scripts_test.go
+++ b/control/golden_scripts_test.go
@@ -252,7 +252,7 @@
 	}
 }
 
-// widespreadFaults returns faults of half of the engines, of one kind after another.
+// widespreadFaults returns faults that affect half of the engines, with one kind of fault after another.
 func widespreadFaults() (list []fault) {
 	kinds := []faultKind{faultError, faultSlow, faultReset, faultUnreachable, faultUnresponsive}
 	for i, kind := range kinds {
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -165,8 +165,8 @@
 	return v.stale.since.Add(StaleAcceptDelay), true
 }
 
-// withEndedDraining returns a copy of a stale list in which the endpoints that a later revision ended are
-// draining, except for those that have started again since.
+// withEndedDraining returns a copy of a stale list. In the copy, an endpoint that a later revision ended is
+// draining, unless it has started again since.
 func (v *View) withEndedDraining(stale []Endpoint) []Endpoint {
 	endpoints := slices.Clone(stale)
 	for i := range endpoints {
--- a/control/retention.go
+++ b/control/retention.go
@@ -25,8 +25,8 @@
 	mayRetain bool      // an engine may retain a state, usable or not
 	released  bool      // a release was emitted while the latest attempt was in flight
 
-	// since is the end of the latest attempt with proof of arrival, else of the first attempt that may have left
-	// a state. The age of the states is measured from it.
+	// since is the end of the latest attempt with proof of arrival. Without such an attempt, it is the end of
+	// the first attempt that may have left a state. The age of the states is measured from it.
 	since Time
 }
 
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -57,7 +57,7 @@
 			actions = h.end(ms, forward, attempt, Rejected)
 		}
 	}
-	if attemptsInSlowStart > 11 { // a quarter of the requests may go there, only at their first attempt
+	if attemptsInSlowStart > 11 { // a quarter of the requests may go there, only with their first attempt
 		t.Fatalf("%d attempts of 60 rejected requests at the engine in slow start, want at most 11", attemptsInSlowStart)
 	}
 }
--- a/control/statemachine_test.go
+++ b/control/statemachine_test.go
@@ -120,7 +120,8 @@
 		request.retained = true
 		request.releaseAskedAt = 0
 	}
-	// The attempt waits for a pending release. The model does not send it later, so it never arrives.
+	// If a release is pending, the attempt waits for it. The model does not send such an attempt later, so it
+	// never arrives.
 	isDeferred := m.releases.IsPending(fmt.Sprint(action.ID))
 	request.arrived = !isDeferred && rapid.IntRange(0, 3).Draw(m.t, "arrives") > 0
 	request.attempts++
