--- a/internal/eventloop/bufferpool.go
+++ b/internal/eventloop/bufferpool.go
@@ -35,7 +35,7 @@
 	return free[last]
 }
 
-// put returns a buffer to the pool. It ignores nil and buffers whose size is not that of a size class.
+// put returns a buffer to the pool. It ignores nil and buffers whose capacity belongs to no size class.
 func (p *bufferPool) put(buffer []byte) {
 	buffer = buffer[:cap(buffer)]
 	size := len(buffer)
--- a/internal/eventloop/bufferpool_test.go
+++ b/internal/eventloop/bufferpool_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestBufferPoolReusesBuffersUpToItsBound: get returns a buffer of the same size class that was put before.
-// Buffers beyond maxFreeBytes, and those whose size is not that of a class, are not kept.
+// TestBufferPoolReusesBuffersUpToItsBound: get reuses a buffer of the requested size class that put has
+// kept. put does not keep buffers beyond maxFreeBytes, or buffers of other sizes.
 func TestBufferPoolReusesBuffersUpToItsBound(t *testing.T) {
 	p := bufferPool{maxFreeBytes: 2 * minBufferSize}
 	small := p.get(1)
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -48,15 +48,15 @@
 	out      output
 
 	watched        uint32 // events that epoll watches for
-	flushScheduled bool   // is in pendingWork.conns
+	flushScheduled bool   // the connection is in pendingWork.conns
 
 	lingers    bool              // CloseLingering was called
 	closeTimer *timerwheel.Timer // bounds a close; nil until needed
 }
 
-// Dial starts a connection to addr. Opened or Closed of the handler is called later, never during
-// this call. Dial returns only local errors, such as the lack of a descriptor or a port. Errors of
-// the network or the peer are passed to Closed.
+// Dial starts a connection to addr. It returns only local errors, such as the lack of a descriptor or
+// a port. Network errors and refusals of the peer are passed to the handler's Closed. Dial calls no
+// method of the handler itself.
 func (l *Loop) Dial(addr netip.AddrPort, h Handler) (*Conn, error) {
 	family, sa := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -128,7 +128,6 @@
 	return addrPort(sa)
 }
 
-// scheduleFlush schedules flushAtIterationEnd for the end of this iteration.
 func (c *Conn) scheduleFlush() {
 	if c.flushScheduled || c.IsClosed() {
 		return
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -47,10 +47,10 @@
 type Options struct {
 	MaxUnsentBytes int // unsent bytes above which a connection is closed with ErrOverflow [8 MiB]
 	HighWaterMark  int // unsent bytes at which the writer of a connection's output should pause [128 KiB]
-	LowWaterMark   int // unsent bytes at which Handler.Writable tells it to continue [a quarter of the high-water mark]
+	LowWaterMark   int // unsent bytes at which Handler.Writable is called after a pause [a quarter of the high-water mark]
 	MaxFreeBytes   int // bytes of free buffers of each size that are kept for reuse [4 MiB]
-	// OnPanic is called on the loop with the value of a handler's panic. The panic closes the
-	// handler's connection only. If OnPanic is nil, a panic ends the program. A panic in a timer or in a
+	// OnPanic is called on the loop with the value of a handler's panic. The panic closes only the
+	// handler's connection. If OnPanic is nil, a panic ends the program. A panic in a timer or in a
 	// posted or deferred function always ends it.
 	OnPanic func(reason any)
 }
@@ -101,8 +101,8 @@
 type pendingWork struct {
 	deferred []func()
 	conns    []*Conn // for Conn.flushAtIterationEnd
-	// closedDescriptors are the descriptors closed in this iteration. The kernel may reuse the number of
-	// one for a new connection, which must not get the events of the old one.
+	// closedDescriptors are the descriptors closed in this iteration. The kernel may give the number of a
+	// closed descriptor to a new connection, which must not get the events of the closed one.
 	closedDescriptors map[int]struct{}
 	// descriptorFreed is set if starved listeners may accept again.
 	descriptorFreed bool
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -12,7 +12,7 @@
 	Data(c *Conn, b []byte) int
 	// EOF is called when the peer has closed its sending half. Output can still be written. If reading
 	// is paused, EOF is called at once, although bytes may be unread, and again after Resume has
-	// delivered them. See Conn.DeliverBeforeReset for a call at a reset.
+	// delivered them. After Conn.DeliverBeforeReset, EOF may also be called at a reset.
 	EOF(c *Conn)
 	// Writable is called when unsent output has reached the high-water mark and then fallen to the
 	// low-water mark.
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -20,7 +20,7 @@
 	return l, run(t, l)
 }
 
-// run is start for an existing loop.
+// run does the same as start for an existing loop.
 func run(t *testing.T, l *Loop) func(func()) {
 	t.Helper()
 	ended := make(chan error, 1)
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -17,10 +17,10 @@
 
 const (
 	peerOpen peerState = iota // open
-	// peerEOFNotified is a half that was closed while reading was paused. EOF of the handler was called,
-	// but earlier bytes may be unread.
+	// peerEOFNotified means that the peer closed its sending half or reset the connection while reading
+	// was paused. The handler's EOF was called, but earlier bytes may be unread.
 	peerEOFNotified // ended
-	// peerEOFRead is a half that was closed and read to its end.
+	// peerEOFRead means that the peer closed its sending half and all its bytes were read.
 	peerEOFRead // read to the end
 )
 
@@ -39,9 +39,9 @@
 
 func (in *input) paused() bool { return in.reading != readActive }
 
-// events returns the input events to watch for. watched is what epoll watches for now. A paused
-// connection stays watched for input until bytes arrive: most pauses end before that, which saves
-// system calls.
+// events returns the input events to watch for. watched are the events that epoll watches for now.
+// Epoll watches a paused connection for input until bytes arrive. Most pauses end before that, so they
+// need no system call.
 func (in *input) events(watched uint32) uint32 {
 	var events uint32
 	switch {
@@ -137,8 +137,8 @@
 	c.fail(unix.Errno(code))
 }
 
-// notifyEarlyEOF calls EOF of the handler although earlier bytes may be unread. Later calls have no
-// effect.
+// notifyEarlyEOF calls the handler's EOF although earlier bytes may be unread. Only its first call has
+// an effect.
 func (c *Conn) notifyEarlyEOF() {
 	if c.in.peer != peerOpen {
 		return
@@ -207,7 +207,7 @@
 	}
 }
 
-// keepUnconsumed appends bytes to the unconsumed ones.
+// keepUnconsumed copies b to the end of the unconsumed bytes, in a larger buffer if necessary.
 func (c *Conn) keepUnconsumed(b []byte) {
 	if len(b) == 0 || !c.keepsInput() {
 		return
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -19,7 +19,8 @@
 	// not delay the open ones.
 	acceptsPerEvent = 64
 	// starvedRetryDelay is how long a listener pauses for lack of descriptors or memory. It resumes
-	// earlier if a connection of the loop closes. The delay covers what is released outside the loop.
+	// earlier if a connection of the loop closes. The loop does not notice what is released elsewhere in
+	// the process.
 	starvedRetryDelay = 100 * time.Millisecond
 )
 
@@ -187,8 +188,8 @@
 	}
 }
 
-// starve pauses a listener for lack of descriptors or memory. The connection stays in the backlog.
-// Without the pause, epoll would report it in each iteration.
+// starve pauses a listener for lack of descriptors or memory. The waiting connection stays in the
+// backlog. Without the pause, epoll would report the listener in each iteration.
 func (ln *Listener) starve() {
 	ln.watch(0)
 	ln.loop.starved[ln] = struct{}{}
--- a/internal/eventloop/mailbox.go
+++ b/internal/eventloop/mailbox.go
@@ -40,7 +40,7 @@
 	for {
 		_, err := unix.Write(m.eventfd, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 		switch {
-		case err == nil, errors.Is(err, unix.EAGAIN): // EAGAIN: the counter is at its maximum, so it is readable
+		case err == nil, errors.Is(err, unix.EAGAIN): // EAGAIN: the counter is at its maximum, so the eventfd is readable
 			return true
 		case !errors.Is(err, unix.EINTR):
 			return false
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxTimerDelay is the number of iterations by which timers are delayed while each iteration has the
+// maxTimerDelay bounds, in iterations, how long timers are delayed while every iteration handles the
 // maximum number of events. Bytes that arrived before a timer was due should be read before it fires,
 // but a flood of events must not delay timers indefinitely.
 const maxTimerDelay = 8
@@ -136,8 +136,8 @@
 	c.fail(fmt.Errorf("eventloop: handler panicked: %v", reason))
 }
 
-// finishIteration runs the deferred functions and flushes the connections scheduled for it. Either can
-// add more of both, so it repeats until none are left.
+// finishIteration runs the deferred functions and flushes the connections of pendingWork.conns. This can
+// add functions and connections, so it repeats until none are left.
 func (l *Loop) finishIteration() {
 	for len(l.pending.deferred) > 0 || len(l.pending.conns) > 0 {
 		deferred := l.pending.deferred
--- a/internal/eventloop/run_test.go
+++ b/internal/eventloop/run_test.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestEventNotDeliveredToReusedDescriptor: if a connection is closed in the iteration in which it has
-// an event, a new connection that reuses its descriptor does not get that event. The descriptor can be
-// reused at once.
+// TestEventNotDeliveredToReusedDescriptor: if a connection is closed before its event of the same
+// iteration is handled, a new connection that reuses the descriptor must not get that event. The
+// descriptor of a closed connection is free for reuse at once.
 func TestEventNotDeliveredToReusedDescriptor(t *testing.T) {
 	l, do := start(t, Options{})
 	unresponsive := addressWithFullBacklog(t)
@@ -128,8 +128,8 @@
 	var served []*Conn
 	var dialed *Conn
 	reused := false
-	// replaceOther aborts the other connection and dials a new one, which reuses its descriptor. The new
-	// one must get no event, as its address does not respond.
+	// replaceOther aborts the other connection and dials a new one, which reuses the descriptor. The new
+	// connection must get no event, as its address does not respond.
 	replaceOther := func(c *Conn, b []byte) int {
 		for _, other := range served {
 			if other == c || dialed != nil {
@@ -188,7 +188,7 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		_ = unix.Connect(highSocket(t, unix.SOCK_NONBLOCK), sa) // EINPROGRESS: fills the backlog
+		_ = unix.Connect(highSocket(t, unix.SOCK_NONBLOCK), sa) // returns EINPROGRESS; the connection fills the backlog
 	}
 	return addrPort(sa)
 }
--- a/internal/eventloop/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// The raw system calls below do not notify the Go scheduler as unix.Read does, which saves time on
-// each call. They must be used on non-blocking descriptors only: a raw call that blocks stalls other
+// Unlike unix.Read, the raw system calls below do not notify the Go scheduler, which saves time on each
+// call. They must be used on non-blocking descriptors only: a raw call that blocks stalls other
 // goroutines. They return the errno itself, 0 on success, which is cheaper to compare than an error.
 
 func read(fd int, b []byte) (int, unix.Errno) {
@@ -43,6 +43,6 @@
 	return int(count), true
 }
 
-// closeDescriptor closes a descriptor of the loop. The error is ignored: Linux has released the
-// descriptor when close returns, whatever it returns (close(2)), and nobody could act on the error.
+// closeDescriptor closes a descriptor of the loop. The error is ignored: Linux releases the descriptor
+// even if close fails (close(2)), and no caller could act on the error.
 func closeDescriptor(fd int) { _ = unix.Close(fd) }
--- a/internal/http1/chars.go
+++ b/internal/http1/chars.go
@@ -3,8 +3,8 @@
 // caseBit is the bit that makes an ASCII letter lower case.
 const caseBit = 0x20
 
-// equalFold reports whether ASCII text equals lower if the case of its letters is ignored. lower must
-// be in lower case.
+// equalFold reports whether text equals lower, ignoring the case of ASCII letters. lower must be in
+// lower case.
 func equalFold(text []byte, lower string) bool {
 	if len(text) != len(lower) {
 		return false
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// unknownLength is the value of Head.ContentLength until a Content-Length field is found. It stays if the
-// content is chunked or ends with the connection.
+// unknownLength is the value of Head.ContentLength until a Content-Length field is found, and also after
+// the head if the content is chunked or ends with the connection.
 const unknownLength = -1
 
 // parseFraming interprets the fields on the connection and the framing, and determines where the
@@ -78,7 +78,7 @@
 // an int64. Limits.Body bounds the length itself.
 const maxParsedLength = 1 << 58
 
-// parseLength parses a length. It accepts digits only, so neither a sign nor a list.
+// parseLength parses a length. It accepts digits only: no sign and no list of values.
 func parseLength(value []byte) (int64, bool) {
 	length := int64(0)
 	for _, c := range value {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -27,7 +27,7 @@
 	return element{consumed: size, kind: HeadDone}, nil
 }
 
-// isInterim reports whether the head is that of an interim response, which the final one follows.
+// isInterim reports whether the head is that of an interim response, which precedes the final one.
 func (p *Parser) isInterim() bool { return p.isResponse && p.Head.Status < firstFinalStatus }
 
 // scanHead returns the size of the head including the empty line that ends it, or 0 while that line is
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -49,8 +49,8 @@
 // Field is a header field. Its slices are part of the parser's input.
 type Field struct{ Name, Value []byte }
 
-// Head is the start line and the fields of a message. Its slices are part of the parser's input and
-// valid until the caller overwrites it.
+// Head is the start line and the fields of a message. Its slices are part of the parser's input, so they
+// are valid until the caller overwrites that input.
 type Head struct {
 	Method, Target []byte // of a request
 	Status         int    // of a response
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -39,13 +39,13 @@
 // copy its input, and reuses the memory of Head.Fields for the next message.
 type Parser struct {
 	// Head is the head of the current message, valid once Next has returned HeadDone. Its slices are
-	// part of the input of that call and valid until the caller overwrites it.
+	// part of that call's input, so they are valid until the caller overwrites that input.
 	Head Head
 
 	limits      *Limits
 	isResponse  bool // parses responses rather than requests
 	state       state
-	scanned     int   // bytes of the incomplete head or line that need not be searched for its end again
+	scanned     int   // bytes of the incomplete head or line that were already searched for a line end
 	remaining   int64 // bytes of the content or the chunk that are not yet consumed
 	contentSize int64 // bytes of content so far
 	trailerSize int   // bytes of the trailer so far
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestResponseParsingDoesNotDependOnSplit does the same for responses, some of which end with the
-// connection.
+// TestResponseParsingDoesNotDependOnSplit: the responses that the parser finds do not depend on how the
+// input is split. Their content has a length, is chunked or ends with the connection.
 func TestResponseParsingDoesNotDependOnSplit(t *testing.T) {
 	in := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi" +
 		"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\nHTTP/1.0 503 Busy\r\n\r\ntill the end"
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -12,7 +12,6 @@
 // State is what a connection is doing.
 type State uint8
 
-// The states.
 const (
 	// Idle connections wait for the first byte of a request.
 	Idle State = iota // idle
@@ -63,8 +62,8 @@
 // HasAnswered reports whether a response was finished on this connection.
 func (c *Conn) HasAnswered() bool { return c.hasAnswered }
 
-// IsBetweenRequests reports whether the client's next byte begins a new request. Otherwise it
-// continues the current one. It also returns true while the first line of a request is incomplete.
+// IsBetweenRequests reports whether the connection is between two requests. It also returns true while
+// the first line of a request is incomplete.
 func (c *Conn) IsBetweenRequests() bool { return c.parser.Idle() }
 
 // Body returns the body of the current request as far as it has arrived. It is valid until the
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -187,7 +187,7 @@
 	client.expectResponse(http.StatusOK, "/b")
 }
 
-// longBody doesn't fit into the buffers of the sockets while a client of dialSmallBuffer doesn't read.
+// longBody doesn't fit into the socket buffers if the client is from dialSmallBuffer and doesn't read.
 var longBody = strings.Repeat("snow on the roof ", 16<<10)
 
 // dialSmallBuffer is dial for a client with a small receive buffer, which holds at most a quarter of
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -32,27 +32,26 @@
 // AbortReason is why the rest of a request is not received.
 type AbortReason uint8
 
-// The reasons.
 const (
-	// RequestTimedOut requests did not arrive in time.
+	// RequestTimedOut means that the request did not arrive within its time-out.
 	RequestTimedOut AbortReason = iota // request timed out
-	// OutOfMemory requests have a body that does not fit into Memory.
+	// OutOfMemory means that the body does not fit into Memory.
 	OutOfMemory // out of memory
-	// UploadEvicted requests had the largest incomplete body when another request needed memory.
+	// UploadEvicted means that the request had the largest incomplete body when another one needed memory.
 	UploadEvicted // upload evicted
 )
 
 // CloseReason is why this package closes a connection.
 type CloseReason uint8
 
-// The reasons. Their texts are used in the log.
+// The texts of the reasons are used in the log.
 const (
-	// IdleTimeout connections got no request in time.
+	// IdleTimeout means that the client sent no request within the time-out of an idle connection.
 	IdleTimeout CloseReason = iota // idle_timeout
-	// WriteStalled connections have a client that does not read its response.
+	// WriteStalled means that the client did not read its response within Options.WriteStallTimeout.
 	WriteStalled // write_stalled
-	// Evicted connections were idle for longest when Conns.EvictIdle was called.
+	// Evicted means that the connection was idle for longest when Conns.EvictIdle was called.
 	Evicted // evicted
-	// Shutdown connections were idle when Conns.CloseIdle was called.
+	// Shutdown means that the connection was idle when Conns.CloseIdle was called.
 	Shutdown // shutdown
 )
--- a/internal/httpserver/harness_test.go
+++ b/internal/httpserver/harness_test.go
@@ -102,7 +102,7 @@
 	return &client{t: s.t, server: s, TCPConn: conn, reader: bufio.NewReader(conn)}, h
 }
 
-// waitFor waits until a condition holds, which is evaluated on the loop.
+// waitFor evaluates a condition on the loop until it holds.
 func (s *server) waitFor(what string, condition func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
--- a/internal/httpserver/options.go
+++ b/internal/httpserver/options.go
@@ -38,6 +38,6 @@
 type Memory interface {
 	// Reserve reserves bytes if they fit, and reports whether they do.
 	Reserve(bytes int) bool
-	// Release releases reserved bytes.
+	// Release makes bytes available again that Reserve has reserved.
 	Release(bytes int)
 }
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -20,17 +20,17 @@
 // Framing is how the end of a response's body is marked.
 type Framing uint8
 
-// The framings.
 const (
-	// ByLength bodies have a Content-Length field in the head.
+	// ByLength means that the head has a Content-Length field.
 	ByLength Framing = iota // by length
-	// Chunked bodies end with the last chunk.
+	// Chunked means that the body ends with the last chunk.
 	Chunked // chunked
-	// UntilClose bodies end when the connection is closed.
+	// UntilClose means that the body ends when the connection is closed.
 	UntilClose // until close
 )
 
-// CloseAfterResponse makes the connection close after the current response.
+// CloseAfterResponse makes the current response the last one of the connection. If it is called before
+// AppendConnectionField, the response announces the close.
 func (c *Conn) CloseAfterResponse() { c.keepAlive = false }
 
 // AppendConnectionField appends the Connection field to the response's head, if it needs one.
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -35,7 +35,7 @@
 	Fire func()
 }
 
-// Running reports whether the timer is running.
+// Running reports whether the timer was started and has neither fired nor been stopped.
 func (t *Timer) Running() bool { return t.running }
 
 // When returns the tick at which the timer fires. It is meaningless for a stopped timer.
