--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -2,8 +2,8 @@
 // requests while faults are injected, and the five rules of package invariant are checked afterwards.
 //
 // It does not model a real deployment. Fake engines compute their speed with a simple formula and make up their answers, and
-// clients, router and engines share one machine and its loopback interface. Only the check of the rules is meaningful
-// elsewhere; latency and throughput are not.
+// clients, router and engines share one machine and its loopback interface. The verdicts on the rules hold for other
+// deployments as well; latency and throughput do not.
 package demo
 
 import (
@@ -128,12 +128,11 @@
 	return nil
 }
 
-// FindEngines returns the engines that a target in the form of ParseTarget selects.
+// FindEngines parses a target with ParseTarget and returns the engines that it selects.
 func (c *Cluster) FindEngines(target string) []*fakeengine.Engine {
 	return c.findEngines(ParseTarget(target))
 }
 
-// findEngines returns the engines that a target selects.
 func (c *Cluster) findEngines(target Target) []*fakeengine.Engine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/demo/endpointlist.go
+++ b/internal/demo/endpointlist.go
@@ -15,7 +15,8 @@
 // EndpointState is the state of an engine, as spelled in the endpoint list.
 type EndpointState string
 
-// The states of an engine in the endpoint list.
+// The router sends new requests only to Ready engines. A Draining engine finishes its requests. The process of a Gone engine
+// has exited or is about to exit.
 const (
 	Ready    EndpointState = "ready"
 	Draining EndpointState = "draining"
--- a/internal/demo/fault.go
+++ b/internal/demo/fault.go
@@ -31,7 +31,6 @@
 // FaultKind is the kind of a fault. String returns its name in scenario files.
 type FaultKind uint8
 
-// The kinds of faults.
 const (
 	faultUnknown FaultKind = iota // unknown
 	// FaultHang makes engines read and send nothing while their connections stay open.
--- a/internal/demo/faultscenario.go
+++ b/internal/demo/faultscenario.go
@@ -56,7 +56,7 @@
 
 // RunFaultScenario runs the scenario in a file, or the built-in one if path is empty. The report says whether the five rules
 // held. RunFaultScenario returns an error and no report if the file is invalid, a fault can't be injected, the router
-// can't run or Out fails. If only the stop of the router or the engines fails, it returns both.
+// can't run or Out fails. If only stopping the router or the engines fails, it returns both the report and an error.
 func RunFaultScenario(path string, options RunOptions) (*invariant.Report, error) {
 	scenario, err := loadScenario(path)
 	if err != nil {
--- a/internal/demo/requestbody.go
+++ b/internal/demo/requestbody.go
@@ -14,7 +14,6 @@
 	rerankTopN         = 2  // maximum number of documents in the answer to a rerank request
 )
 
-// path returns the HTTP path of the request.
 func (r *plannedRequest) path() string {
 	switch r.load.API {
 	case openai.Chat:
@@ -28,7 +27,7 @@
 	}
 }
 
-// ChatBody is the body of a chat request. Like those of the other bodies, its fields are in alphabetical order.
+// ChatBody is the body of a chat request. Its fields are in alphabetical order, as in all bodies of this package.
 type ChatBody struct {
 	MaxTokens      int           `json:"max_tokens"`
 	Messages       []ChatMessage `json:"messages"`
@@ -51,7 +50,6 @@
 	Stream         bool     `json:"stream,omitempty"`
 }
 
-// completionsBody is the body of a completions request.
 type completionsBody struct {
 	MaxTokens int    `json:"max_tokens"`
 	Model     string `json:"model"`
@@ -60,7 +58,6 @@
 	User      string `json:"user"`
 }
 
-// rerankBody is the body of a rerank request.
 type rerankBody struct {
 	Documents []string `json:"documents"`
 	Model     string   `json:"model"`
@@ -69,7 +66,6 @@
 	TopN      int      `json:"top_n"`
 }
 
-// body returns the JSON body of the request.
 func (r *plannedRequest) body() ([]byte, error) {
 	switch r.load.API {
 	case openai.Chat:
--- a/internal/demo/runscenario.go
+++ b/internal/demo/runscenario.go
@@ -28,7 +28,6 @@
 	timelineRowDuration = 2 * time.Second
 )
 
-// scenarioRun is the run of a scenario.
 type scenarioRun struct {
 	scenario  *Scenario
 	cluster   *Cluster
@@ -150,15 +149,15 @@
 	}
 }
 
-// checkFaultStep marks the run as invalid if err, the error of a step of a fault, is not nil.
+// checkFaultStep marks the run as invalid if a step of a fault failed, that is, if err is not nil.
 func (run *scenarioRun) checkFaultStep(fault *Fault, err error) {
 	if err != nil {
 		run.fail(fmt.Errorf("fault %q: %w", fault.Name, err))
 	}
 }
 
-// injectDeath ends the engines' processes, sets their state in the endpoint list to Gone after a delay, and restarts them at
-// the end of the fault.
+// injectDeath ends the engines' processes and restarts them at the end of the fault. The endpoint list shows the engines as
+// Gone after a delay.
 func (run *scenarioRun) injectDeath(fault *Fault, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
 		engine.Kill()
@@ -172,8 +171,8 @@
 	run.checkFaultStep(fault, run.cluster.SetRestarted(engines...))
 }
 
-// injectReplacement starts a replacement for each engine, in slow start, and drains the engines. Their processes exit
-// after drainedExitDelay.
+// injectReplacement starts a replacement for each engine, in slow start, and drains the replaced engines. The processes of
+// the replaced engines exit after drainedExitDelay.
 func (run *scenarioRun) injectReplacement(fault *Fault, engines []*fakeengine.Engine) {
 	for _, engine := range engines {
 		replacement := engine.Spec
--- a/internal/demo/scenarioclient.go
+++ b/internal/demo/scenarioclient.go
@@ -53,7 +53,6 @@
 	}
 }
 
-// newRequest returns the HTTP request for a planned request.
 func (run *scenarioRun) newRequest(ctx context.Context, planned *plannedRequest) (*http.Request, error) {
 	body, err := planned.body()
 	if err != nil {
@@ -113,7 +112,6 @@
 	return invariant.Malformed
 }
 
-// receiveUnstreamed reads an answer that is not streamed.
 func receiveUnstreamed(ctx context.Context, response *http.Response, onFirstToken func()) (result invariant.Result, answered bool) {
 	body, err := io.ReadAll(response.Body)
 	if err == nil && json.Valid(body) {
@@ -126,7 +124,6 @@
 	return invariant.Malformed, true
 }
 
-// receiveStream reads a streamed answer.
 func receiveStream(ctx context.Context, response *http.Response, readsSlowly bool, onFirstToken func()) (result invariant.Result, answered bool) {
 	var reader io.Reader = response.Body
 	if readsSlowly {
--- a/internal/fakeengine/conn.go
+++ b/internal/fakeengine/conn.go
@@ -12,7 +12,7 @@
 	"martenlock/internal/openai"
 )
 
-// httpLimits bound requests and responses. Requests of the demo and the tests stay far below them.
+// httpLimits bound the requests to an engine and the responses to its fetches of KV states.
 var httpLimits = http1.Limits{Line: 8 << 10, Headers: 64 << 10, Fields: 200, Body: 64 << 20}
 
 // conn is a connection to an engine. It implements eventloop.Handler.
@@ -25,7 +25,7 @@
 	method    string
 	path      string
 	requestID string // id that the router assigned
-	recordID  string // request id in recorded events; see recordID
+	recordID  string // request id in recorded events; see the function recordID
 	body      []byte
 	job       *job // nil before and after execution
 
@@ -113,7 +113,7 @@
 }
 
 // recordUnread records the start of an attempt whose request arrived at a hung engine. The engine doesn't
-// read the request, but the router has sent it. Its work is unknown and recorded as 0.
+// read the request, but the router has sent it. The attempt's work is unknown and recorded as 0.
 func (c *conn) recordUnread(data []byte) {
 	if c.unreadID != "" {
 		return
--- a/internal/fakeengine/counters.go
+++ b/internal/fakeengine/counters.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// counters count what an engine has done, including before a restart.
+// counters are the totals of an engine. A restart doesn't reset them.
 type counters struct {
 	served       int
 	fetchedBytes int // of KV states
--- a/internal/fakeengine/embeddings.go
+++ b/internal/fakeengine/embeddings.go
@@ -56,7 +56,7 @@
 	return input.Array()
 }
 
-// dimensions returns the number of dimensions that the request sets, or that of the engine.
+// dimensions returns the request's number of dimensions, or the engine's default if the request sets none.
 func (j *job) dimensions() int {
 	requested := int(gjson.GetBytes(j.body, "dimensions").Int())
 	if requested > 0 {
--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -19,7 +19,7 @@
 	fault    Fault
 
 	// errorCredit grows by the fault's error rate with each request. A request that raises it to 1 or more
-	// fails and reduces it by 1. Thus failures are spread evenly over the requests.
+	// fails and reduces it by 1. This spreads failures evenly over the requests.
 	errorCredit float64
 
 	startedAt          time.Duration // start of the process, on the event loop's clock
@@ -64,7 +64,7 @@
 // if the process is not running.
 func (e *Engine) Kill() { e.cluster.do(e.kill) }
 
-// kill is Kill on the event loop.
+// kill does the work of Kill. It must run on the event loop.
 func (e *Engine) kill() {
 	if e.listener == nil {
 		return
--- a/internal/fakeengine/fakeengine.go
+++ b/internal/fakeengine/fakeengine.go
@@ -24,7 +24,7 @@
 type Spec struct {
 	Name, Kind, Pool, Zone, Cell string
 	Role                         control.Role
-	Listen                       netip.AddrPort // with port 0 the kernel chooses one, which restarts keep
+	Listen                       netip.AddrPort // with port 0 the kernel chooses the port, which stays the same across restarts
 	PrefillTokensPerSecond       float64        // of prompts
 	TokenInterval                time.Duration  // between two tokens of a response
 	DecodeSlots                  int            // maximum number of concurrent decodes
--- a/internal/fakeengine/fault.go
+++ b/internal/fakeengine/fault.go
@@ -17,7 +17,7 @@
 	ResetBefore     bool          // resets the connection instead of executing a request
 	ResetAfter      int           // resets the connection after this many tokens of a decode; 0 for never, -1 for before the first token
 	StallAfter      int           // sends nothing more after this many tokens of a decode; 0 for never
-	SlowdownFactor  float64       // multiplies prefill times and token intervals; has no effect up to 1
+	SlowdownFactor  float64       // multiplies prefill times and token intervals; values up to 1 have no effect
 	PrefillDelay    time.Duration // delays the end of each prefill, embeddings or rerank request; the next one starts meanwhile
 	EmbeddingDefect EmbeddingDefect
 	AnswersLost     bool // executes prefills and decodes but sends no response; doesn't affect embeddings and rerank requests
@@ -26,9 +26,8 @@
 // EmbeddingDefect says how responses to embeddings requests are malformed.
 type EmbeddingDefect uint8
 
-// The defects of embeddings.
 const (
-	// EmbeddingIntact is no defect.
+	// EmbeddingIntact leaves the response correct.
 	EmbeddingIntact EmbeddingDefect = iota // intact
 	// EmbeddingMissing leaves out the first embedding.
 	EmbeddingMissing // short
@@ -85,7 +84,7 @@
 	return f.AnswersLost || f.StallAfter > 0 && tokens >= f.StallAfter
 }
 
-// waitWhileHung runs step after hangPollInterval. The step calls it again if the engine still hangs.
+// waitWhileHung runs step after hangPollInterval. step calls waitWhileHung again if the engine still hangs.
 func (j *job) waitWhileHung(step func()) {
 	j.timer.Fire = step
 	j.engine.cluster.loop.StartTimer(&j.timer, hangPollInterval)
--- a/internal/fakeengine/response.go
+++ b/internal/fakeengine/response.go
@@ -7,7 +7,6 @@
 	"martenlock/internal/openai"
 )
 
-// Content types of responses.
 const (
 	contentTypeJSON   = "application/json"
 	contentTypeText   = "text/plain"
@@ -31,7 +30,6 @@
 	notFound    = response{status: http.StatusNotFound, contentType: contentTypeText}
 )
 
-// respond sends a response.
 func (c *conn) respond(r response) {
 	head := c.appendHead(nil, r.status, r.contentType)
 	head = append(head, r.header...)
--- a/internal/fakeengine/scheduler.go
+++ b/internal/fakeengine/scheduler.go
@@ -28,8 +28,8 @@
 	s.decodeQueue = nil
 }
 
-// clearDecodeQueue removes the jobs that wait for a slot. Without it, the end of the process would start
-// them as running jobs release their slots.
+// clearDecodeQueue removes the jobs that wait for a slot. It must be called before the end of the process
+// cancels the running jobs, whose slots would otherwise go to the waiting jobs.
 func (s *scheduler) clearDecodeQueue() { s.decodeQueue = nil }
 
 // waiting returns the number of jobs in prefill, or waiting for prefill or a decode slot.
@@ -38,7 +38,6 @@
 // isFull reports whether MaxWaiting is reached.
 func (s *scheduler) isFull() bool { return s.waiting() >= s.engine.Spec.MaxWaiting }
 
-// add schedules a job.
 func (s *scheduler) add(j *job) {
 	if j.stages == control.RoleDecode {
 		s.addDecode(j)
@@ -77,7 +76,7 @@
 	j.completePrefill()
 }
 
-// endPrefill stops counting a job as in prefill.
+// endPrefill removes a job from the count of incomplete prefills.
 func (s *scheduler) endPrefill(j *job) {
 	j.isPrefilling = false
 	s.prefilling--
--- a/internal/invariant/event.go
+++ b/internal/invariant/event.go
@@ -45,7 +45,6 @@
 // Effect says whether a request may be executed more than once, as its client declared.
 type Effect uint8
 
-// The effects.
 const (
 	// Idempotent requests may be executed any number of times.
 	Idempotent Effect = iota // idempotent
@@ -59,7 +58,6 @@
 // Result is the kind of a final answer.
 type Result uint8
 
-// The results.
 const (
 	// Served is a complete answer.
 	Served Result = iota // served
--- a/internal/invariant/execution.go
+++ b/internal/invariant/execution.go
@@ -3,8 +3,8 @@
 import "time"
 
 // executionRule checks that a request has at most one attempt in flight and is executed only as often as its Effect allows.
-// A request that is not idempotent must not be rejected after an execution. Each shard of a request is checked alone. Engines
-// must not execute requests that no client sent.
+// A request that is not idempotent must not be rejected after an execution. Each shard of a request is checked separately.
+// Engines must not execute requests that no client sent.
 type executionRule struct {
 	verdict *Verdict
 	skew    time.Duration
@@ -61,15 +61,15 @@
 	}
 }
 
-// checkUnsent checks that a request that no client sent was not executed and has no attempt in flight.
+// checkUnsent adds a violation if a request that no client sent was executed or has an attempt in flight.
 func (r *executionRule) checkUnsent(request *requestHistory) {
 	if len(request.executions) > 0 || len(request.inFlight) > 0 {
 		r.verdict.addViolation(request.lastEndedAt, "%s: engines saw a request that no client sent", request.id)
 	}
 }
 
-// checkAnswer checks that a request that is not idempotent was not rejected after an execution. description is the part of
-// the violation's text that names the execution.
+// checkAnswer adds a violation if a request that is not idempotent was rejected after an execution. description is the part
+// of the violation's text that names the execution.
 func (r *executionRule) checkAnswer(request *requestHistory, answer Event, description string) {
 	if answer.Result == Rejected && request.effect == NotIdempotent && len(request.executions) > 0 {
 		r.verdict.addViolation(answer.At, "%s: rejected as if a retry were harmless, but %s at %s", request.id, description, request.executions[0].Engine)
--- a/internal/invariant/histories_test.go
+++ b/internal/invariant/histories_test.go
@@ -18,7 +18,6 @@
 	OverloadDuration:      time.Second,
 }
 
-// at returns an event.
 func at(milliseconds int, kind Kind, request, engine string) Event {
 	return Event{At: time.Duration(milliseconds) * ms, Kind: kind, Request: request, Engine: engine, Work: 0.1}
 }
@@ -68,7 +67,6 @@
 	}
 }
 
-// concat concatenates lists of events.
 func concat(lists ...[]Event) (joined []Event) {
 	for _, list := range lists {
 		joined = append(joined, list...)
@@ -76,7 +74,6 @@
 	return joined
 }
 
-// list returns events as a list.
 func list(events ...Event) []Event { return events }
 
 // testCase is a recording and the violation that it contains.
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -13,7 +13,7 @@
 
 // Limits are the limits that the rules compare observations with.
 type Limits struct {
-	Skew                  time.Duration // tolerated error of recorded times, such as that of events recorded late
+	Skew                  time.Duration // tolerated error of recorded times, since events may be recorded late
 	DrainGrace            time.Duration // time after the announcement of a drain during which an engine may still get attempts
 	KVRetentionLimit      time.Duration // maximum time that unused KV state may be retained
 	SlowStartInitialShare float64       // speed of an engine at its start, as a share of full speed
--- a/internal/invariant/kvretention.go
+++ b/internal/invariant/kvretention.go
@@ -47,7 +47,7 @@
 	request.kvUnusedSince[event.Engine] = event.At
 }
 
-// released checks how long a KV state was unused before it was fetched or released.
+// released checks how long a KV state was unused before the engine discarded it.
 func (r *kvRetentionRule) released(request *requestHistory, event Event) {
 	since, isRetained := request.kvUnusedSince[event.Engine]
 	if !isRetained {
--- a/internal/invariant/report.go
+++ b/internal/invariant/report.go
@@ -30,7 +30,7 @@
 type Verdict struct {
 	Rule       string
 	Checked    int      // number of observations that the rule checked
-	Violations int      // number of observed violations
+	Violations int      // number of violations, which may exceed len(Examples)
 	Examples   []string // descriptions of the first violations, at most maxExamples
 }
 
--- a/internal/invariant/requesthistory.go
+++ b/internal/invariant/requesthistory.go
@@ -25,7 +25,7 @@
 	inFlight      []attempt
 	lastEndedAt   time.Duration // end of the latest attempt
 	executions    []Event
-	kvUnusedSince map[string]time.Duration // start of the latest unused time of a KV state, by engine that retains it
+	kvUnusedSince map[string]time.Duration // start of the latest unused period of a KV state, by the engine that retains it
 }
 
 // attempt is one attempt in flight.
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -20,7 +20,6 @@
 	engines map[string]*engineLoad
 }
 
-// engineLoad is the load of an engine.
 type engineLoad struct {
 	inSlowStart    bool
 	startedAt      time.Duration
@@ -47,7 +46,7 @@
 	r.verdict.Checked++
 }
 
-// attemptBegan adds the work of an attempt and compares the work of the latest OverloadDuration with its budget.
+// attemptBegan adds the work of an attempt and compares the work of the latest OverloadDuration with the allowed work.
 func (r *slowStartRule) attemptBegan(event Event) {
 	load := r.load(event.Engine)
 	if load.meanWork == 0 {
