--- a/internal/bench/backend.go
+++ b/internal/bench/backend.go
@@ -20,10 +20,10 @@
 	doneEvent         = "data: [DONE]\n\n"
 )
 
-// maxUnsentBytes limits the output that a backend connection buffers. A whole stream is far smaller.
+// maxUnsentBytes limits the output that a backend connection buffers.
 const maxUnsentBytes = 64 << 20
 
-// requestLimits are the limits of the requests that the backend accepts. The requests of the load are far smaller.
+// requestLimits are the limits of the requests that the backend accepts.
 var requestLimits = http1.Limits{Line: 8000, Headers: 64000, Fields: 100, Body: 1 << 20}
 
 // startBackend starts the backend in this process and returns its address.
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -23,7 +23,7 @@
 	rounds = 5
 
 	embeddingClients = 32   // enough to keep one core busy
-	idleConnections  = 4000 // enough to need far more memory than the process without them
+	idleConnections  = 4000 // connections whose memory is measured
 
 	// settleDelay is the wait before memory is read, until the process has accepted connections and allocated memory.
 	settleDelay = 300 * time.Millisecond
@@ -31,7 +31,7 @@
 	minCPUTime = time.Millisecond // replaces a measured CPU time of 0; the clock ticks every 10 ms
 )
 
-// The cores of the benchmark's processes. The load runs on the cores from firstFreeCore on, if there are any.
+// The cores of the benchmark's processes. The load runs on firstFreeCore and higher cores, if there are any.
 const (
 	backendCore   = 0
 	subjectCore   = 1 // both subjects share it; one is idle while the other is measured
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -23,7 +23,7 @@
 	return fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: x\r\nUser-Agent: bench\r\nAccept: application/json\r\nContent-Type: application/json\r\nAuthorization: Bearer none\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// responseLimits are the limits of the responses that a client accepts. The backend's streams are far shorter.
+// responseLimits are the limits of the responses that a client accepts.
 var responseLimits = http1.Limits{Line: 8000, Headers: 64000, Fields: 100, Body: 1 << 30}
 
 // readBufferBytes is the size of a client's read buffer. It exceeds the limit of a response head, so that what the parser
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -94,7 +94,7 @@
 	_ = p.command.Wait()
 }
 
-// Indices of fields in /proc/PID/stat, counted after the command name, and the clock tick that they count; see proc(5).
+// Indices of the CPU times in /proc/PID/stat, counted after the command name, and their unit; see proc(5).
 const (
 	statUserTime   = 11
 	statSystemTime = 12
--- a/internal/enginetest/enginetest_test.go
+++ b/internal/enginetest/enginetest_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// A dial to a refusing address fails with ECONNREFUSED, one to an unreachable address only by its timeout.
+// A dial to a refusing address fails with ECONNREFUSED. A dial to an unreachable address fails only when its timeout ends.
 func TestDialOfRefusingAndUnreachableAddressesFails(t *testing.T) {
 	const timeout = 200 * time.Millisecond
 	dial := func(address string) error {
--- a/internal/enginetest/listener.go
+++ b/internal/enginetest/listener.go
@@ -126,7 +126,7 @@
 	return l.accepted
 }
 
-// Reset closes a connection; a TCP connection is closed with a reset (RST).
+// Reset closes a connection, with a reset (RST) if it is a TCP connection.
 func Reset(conn net.Conn) {
 	if tcp, isTCP := conn.(*net.TCPConn); isTCP {
 		_ = tcp.SetLinger(0)
--- a/internal/experiment/batching.go
+++ b/internal/experiment/batching.go
@@ -11,7 +11,7 @@
 const (
 	batchingEngines    = 2
 	batchingEngineRate = 20_000 // tokens a second
-	searchTokens       = 10     // tokens of a search request
+	searchTokens       = 10
 
 	batchingSettings = "join_wait = 5ms\n"
 )
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -24,7 +24,6 @@
 	Span time.Duration // duration of one measurement
 }
 
-// run is a running experiment.
 type run struct {
 	out     *printer.Printer
 	plotDir string        // "" for no plots
--- a/internal/experiment/interference.go
+++ b/internal/experiment/interference.go
@@ -16,7 +16,7 @@
 	chatsPerSecond      = 80
 	searchesPerSecond   = 40
 	bulkClients         = 6
-	bulkInputs          = 512 // inputs of a bulk request
+	bulkInputs          = 512
 	bulkInputTokens     = 100
 
 	searchSeedOffset = 100 // makes the arrival times of searches independent of those of chats
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -32,7 +32,6 @@
 	failed    atomic.Int64
 }
 
-// newLoadGenerator returns a load generator for the router of a cluster.
 func newLoadGenerator(cluster *demo.Cluster) *loadGenerator {
 	return &loadGenerator{
 		baseURL:   "http://" + cluster.Service.Router.Addr(),
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -10,7 +10,6 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a plot, and the width of a bar.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
--- a/internal/experiment/shards.go
+++ b/internal/experiment/shards.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-const shardInputTokens = 20 // tokens of each input
+const shardInputTokens = 20
 
 // The compared pool settings.
 const (
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -21,7 +21,7 @@
 	micros *hdrhistogram.Histogram
 }
 
-// NewHistogram returns an empty Histogram.
+// NewHistogram returns a Histogram for latencies of up to about a minute.
 func NewHistogram() *Histogram {
 	return &Histogram{micros: hdrhistogram.New(minMicros, maxMicros, precision)}
 }
--- a/internal/printer/printer.go
+++ b/internal/printer/printer.go
@@ -13,7 +13,7 @@
 	err error // first error of out
 }
 
-// New returns a Printer that writes to out.
+// New returns a Printer that writes to out. The caller should check Err after the last Printf.
 func New(out io.Writer) *Printer { return &Printer{out: out} }
 
 // Printf prints formatted text as fmt.Fprintf does. It does nothing if an earlier call failed.
--- a/internal/proptest/proptest_test.go
+++ b/internal/proptest/proptest_test.go
@@ -77,8 +77,6 @@
 	return imports, nil
 }
 
-// TestEnvironmentVariablesHaveNamesThatRapidDocuments: the names of environment variables are those
-// that rapid documents.
 func TestEnvironmentVariablesHaveNamesThatRapidDocuments(t *testing.T) {
 	if name := environmentVariable("rapid.nofailfile"); name != "RAPID_NOFAILFILE" {
 		t.Errorf("rapid.nofailfile is set by %s, want RAPID_NOFAILFILE", name)
