--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -139,8 +139,8 @@
 	perSecond    float64
 }
 
-// measureThroughput measures a subject under full load. units is the number of requests or tokens that one request
-// counts as.
+// measureThroughput measures a subject under full load. units is the number of requests or tokens that each response adds
+// to the throughput.
 func (b *benchmark) measureThroughput(subject *process, clients int, request []byte, units float64) (throughput, error) {
 	cpuBefore := subject.cpuTime()
 	startedAt := time.Now()
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -39,8 +39,8 @@
 	request  []byte
 }
 
-// runLoad runs the clients and returns the latencies of all responses. If clients fail, it returns the error of the last one
-// to fail.
+// runLoad runs the clients and returns the latencies of all responses. If clients fail, it returns the error of the
+// client that failed last.
 func runLoad(options loadOptions) (*latency.Histogram, error) {
 	all := latency.NewHistogram()
 	end := time.Now().Add(options.span)
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -61,7 +61,7 @@
 	return command.Start()
 }
 
-// avoidMeasuredCores restricts all threads of this process, which runs the load, to the cores from firstFreeCore on. On a
+// avoidMeasuredCores restricts all threads of this process, which runs the load, to firstFreeCore and higher cores. On a
 // machine without such cores it does nothing.
 func avoidMeasuredCores() error {
 	var free unix.CPUSet
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -2,8 +2,8 @@
 // requests while faults are injected, and the five rules of package invariant are checked afterwards.
 //
 // It does not model a real deployment. Fake engines compute their speed with a simple formula and make up their answers, and
-// clients, router and engines share one machine and its loopback interface. The verdicts on the rules hold for other
-// deployments as well; latency and throughput do not.
+// clients, router and engines share one machine and its loopback interface. The verdicts on the rules are meaningful for
+// other deployments, but latency and throughput are not.
 package demo
 
 import (
--- a/internal/demo/faultscenario.go
+++ b/internal/demo/faultscenario.go
@@ -31,7 +31,7 @@
 type Load struct {
 	Name            string
 	Class           string  // request class in the router's settings
-	Share           float64 // share of all requests, relative to the other loads' shares
+	Share           float64 // share of all requests, after division by the sum of all loads' shares
 	API             openai.API
 	StreamShare     float64          // share of requests with a streamed answer
 	Effect          invariant.Effect // whether a request may be executed more than once
--- a/internal/demo/parsescenario.go
+++ b/internal/demo/parsescenario.go
@@ -63,7 +63,7 @@
 	return load
 }
 
-// parsePromptRange parses a range of tokens such as 100-1000, which includes both ends. isRange is false if text is not
+// parsePromptRange parses a range of tokens such as 100-1000. Both ends are included. isRange is false if text is not
 // a valid range.
 func parsePromptRange(text string) (low, high int, isRange bool) {
 	lowText, highText, _ := strings.Cut(text, "-")
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -54,9 +54,9 @@
 	closeTimer *timerwheel.Timer // bounds a close; nil until needed
 }
 
-// Dial starts a connection to addr. It returns only local errors, such as the lack of a descriptor or
-// a port. Network errors and refusals of the peer are passed to the handler's Closed. Dial calls no
-// method of the handler itself.
+// Dial starts a connection to addr and returns before it is established. It returns only local errors,
+// such as the lack of a descriptor or a port. Errors of the network or the peer are passed to the
+// handler's Closed, but never during the call of Dial.
 func (l *Loop) Dial(addr netip.AddrPort, h Handler) (*Conn, error) {
 	family, sa := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -48,7 +48,7 @@
 	MaxUnsentBytes int // unsent bytes above which a connection is closed with ErrOverflow [8 MiB]
 	HighWaterMark  int // unsent bytes at which the writer of a connection's output should pause [128 KiB]
 	LowWaterMark   int // unsent bytes at which Handler.Writable is called after a pause [a quarter of the high-water mark]
-	MaxFreeBytes   int // bytes of free buffers of each size that are kept for reuse [4 MiB]
+	MaxFreeBytes   int // bytes of free buffers kept for reuse, for each size class [4 MiB]
 	// OnPanic is called on the loop with the value of a handler's panic. The panic closes only the
 	// handler's connection. If OnPanic is nil, a panic ends the program. A panic in a timer or in a
 	// posted or deferred function always ends it.
@@ -70,7 +70,7 @@
 	}
 }
 
-// Loop runs connections, listeners and timers, and owns the descriptors. Create it with New.
+// Loop runs connections, listeners and timers. It owns the descriptors that it opens. Create it with New.
 type Loop struct {
 	opts    Options
 	poller  poller
@@ -91,7 +91,7 @@
 	buffers   bufferPool
 }
 
-// source is a connection or a listener: each has a descriptor on the loop.
+// source is a connection or a listener, whose descriptor the loop watches.
 type source interface {
 	// ready handles the events that epoll reports for the descriptor.
 	ready(events uint32)
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -19,8 +19,8 @@
 	// not delay the open ones.
 	acceptsPerEvent = 64
 	// starvedRetryDelay is how long a listener pauses for lack of descriptors or memory. It resumes
-	// earlier if a connection of the loop closes. The loop does not notice what is released elsewhere in
-	// the process.
+	// earlier if a connection of the loop closes. The loop does not notice descriptors and
+	// memory that are released elsewhere.
 	starvedRetryDelay = 100 * time.Millisecond
 )
 
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -115,7 +115,7 @@
 }
 
 // TestUnwatchableConnectionGetsNoHandler: a descriptor that epoll rejects, here a directory, is closed
-// without a call of the accept function, as Closed of the handler would never be called.
+// without a call of the accept function, as the handler's Closed would never be called.
 func TestUnwatchableConnectionGetsNoHandler(t *testing.T) {
 	l, do := start(t, Options{})
 	accepted := 0
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// send sends a request and reports whether it was served. due is the time for which the request was scheduled. For a response
-// with status 200 it records the time from due to the first byte of the body, which includes any delay before sending.
+// send sends a request and reports whether it was served. due is the time for which the request was scheduled. If the
+// response has status 200, send records the time from due to the first byte of the body. This includes any delay before
+// sending.
 func (l *loadGenerator) send(path, class string, body []byte, due time.Time) bool {
 	request, err := http.NewRequest(http.MethodPost, l.baseURL+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/fakeengine/generation.go
+++ b/internal/fakeengine/generation.go
@@ -16,7 +16,7 @@
 // yields to other connections.
 const unpacedBurstTokens = 64
 
-// vocabulary contains the words of every response, which repeats them as needed. Each word is a token.
+// vocabulary contains the words of which responses consist, repeated as needed. Each word is a token.
 var vocabulary = strings.Fields("snow on the roof and ice in the pipe keep the boiler warm until the crew has come over the hill")
 
 // completePrefill ends a job's prefill and continues with its next stage. Embeddings and rerank requests
--- a/internal/fakeengine/rerank.go
+++ b/internal/fakeengine/rerank.go
@@ -55,7 +55,7 @@
 	return documents
 }
 
-// relevance returns the score of a document, which is about the share of the query's words that it contains.
+// relevance returns the score of a document, which grows with the share of the query's words in the document.
 func relevance(queryWords []string, text string) float64 {
 	const offset = 0.1 // keeps scores above 0 and below 1
 	text = strings.ToLower(text)
--- a/internal/httpserver/conns.go
+++ b/internal/httpserver/conns.go
@@ -73,7 +73,8 @@
 	return true
 }
 
-// StopKeepAlive makes every response whose head is not yet written the last one of its connection.
+// StopKeepAlive makes connections close after their responses. It does not affect a response whose head
+// is already written.
 func (cs *Conns) StopKeepAlive() { cs.stopsKeepAlive = true }
 
 // CloseAfterResponses makes the current response of each connection its last one, even if its head
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -46,7 +46,7 @@
 
 // The texts of the reasons are used in the log.
 const (
-	// IdleTimeout means that the client sent no request within the time-out of an idle connection.
+	// IdleTimeout means that no request began within Options.IdleTimeout or Options.FirstRequestTimeout.
 	IdleTimeout CloseReason = iota // idle_timeout
 	// WriteStalled means that the client did not read its response within Options.WriteStallTimeout.
 	WriteStalled // write_stalled
--- a/internal/invariant/event.go
+++ b/internal/invariant/event.go
@@ -85,6 +85,6 @@
 	Effect      Effect
 	Result      Result
 	Deadline    time.Duration // time on the same clock as At
-	DedupWindow time.Duration // time after the first execution in which engines deduplicate the request
+	DedupWindow time.Duration // time after the first execution during which engines deduplicate the request
 	Work        float64       // time that the engine needs at full speed, in seconds
 }
--- a/internal/invariant/kvretention.go
+++ b/internal/invariant/kvretention.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// kvRetentionRule checks that KV state is released within the retention limit while its request has no attempt in flight.
+// kvRetentionRule checks that KV state is not retained beyond the limit while its request has no attempt in flight.
 // Time during which the engine hangs doesn't count, since a hung engine can't process a release.
 type kvRetentionRule struct {
 	verdict *Verdict
--- a/internal/printer/printer.go
+++ b/internal/printer/printer.go
@@ -1,4 +1,4 @@
-// Package printer prints text of many lines, such as reports, for which one check for write errors at the end is enough.
+// Package printer prints long texts, such as reports, and lets the caller check for write errors once, at the end.
 package printer
 
 import (
