--- a/cmd/martenlock/bench.go
+++ b/cmd/martenlock/bench.go
@@ -8,7 +8,7 @@
 	"martenlock/internal/bench"
 )
 
-// defaultSpan is the default of --span.
+// defaultSpan is the default duration of one measurement.
 const defaultSpan = 4 * time.Second
 
 const benchHelp = `Compare the router with the reverse proxy of Go's standard library
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -8,8 +8,8 @@
 	"martenlock/internal/inifile"
 )
 
-// Class is a request class of the file. It has two classes in the decision module: an answer that is not
-// streamed arrives only when it is complete, so its time to first token has its own objective.
+// Class is a request class of the configuration. The decision module has two classes for it, because the
+// objective for the time to first token differs: an answer that is not streamed arrives only when it is complete.
 type Class struct {
 	Name        string
 	StreamIndex int // index in Control.Classes of the class of streamed answers
@@ -24,7 +24,6 @@
 	dedupScopes   = []control.DedupScope{control.DedupScopeAll, control.DedupScopeZone, control.DedupScopeCell}
 )
 
-// parseClass parses a section [class NAME].
 func (c *Config) parseClass(section *inifile.Section) {
 	if !section.RequireName() {
 		return
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -45,7 +45,7 @@
 	maxItems        = 1 << 20 // of a request
 	maxRouters      = 100_000
 	maxSeed         = 1 << 62
-	maxClientConns  = 1 << 20 // Linux's default of fs.nr_open, the most file descriptors of a process
+	maxClientConns  = 1 << 20 // Linux's default of fs.nr_open, the maximum number of file descriptors of a process
 )
 
 // Load reads and parses a file. A relative path of the endpoint list is relative to the directory of
@@ -106,7 +106,6 @@
 	}
 }
 
-// logLevels are the values of log_level.
 var logLevels = []string{"debug", "info", "warn", "error"}
 
 // parseRouter parses the section [router], which configures the process as a whole.
--- a/internal/config/kind.go
+++ b/internal/config/kind.go
@@ -11,7 +11,6 @@
 	roles      = []control.Role{control.RolePrefill, control.RoleDecode, control.RoleColocated}
 )
 
-// parseKind parses a section [kind NAME], which describes a kind of engine.
 func (c *Config) parseKind(section *inifile.Section) {
 	if !section.RequireName() {
 		return
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -11,7 +11,7 @@
 type Limits struct {
 	HTTP                http1.Limits  // limits on a client's request
 	MaxResponseBytes    int64         // body of an engine's response
-	MaxRetryBufferBytes int           // of a chat or completions answer that is not streamed, buffered to allow a retry; a longer one is forwarded and no longer retried
+	MaxRetryBufferBytes int           // buffered part of a chat or completions answer that is not streamed; a longer answer is forwarded as it arrives and can't be retried
 	IdleTimeout         time.Duration // of a client's connection without a request
 	RequestTimeout      time.Duration // from a request's first byte to its last
 	WriteStallTimeout   time.Duration // within which a client must accept more of its answer
@@ -24,7 +24,6 @@
 	MaxRequests         int           // open requests
 }
 
-// parseLimits parses the section [limits].
 func (c *Config) parseLimits(section *inifile.Section) {
 	c.Limits = Limits{
 		HTTP: http1.Limits{
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -22,7 +22,7 @@
 	ReportFields         []control.ReportField // meanings of ReportMetrics, by the same index
 	ShardLimits          scatter.Limits        // of embeddings and rerank requests
 	MaxContextTokens     float64               // tokens of prompt and answer together; 0 for unknown
-	LargeTokens          float64               // a request of more tokens is large and waits for admission; 0: no request is
+	LargeTokens          float64               // a request of more tokens is large and waits for admission; 0: no request is large
 	OutstandingLargeWork time.Duration         // limit on admitted large requests: the pool must be able to serve them in this time
 	Batching             batching.Settings     // of small embeddings requests
 	Coalesces            bool                  // identical embeddings inputs that arrive while one is computed share its result
@@ -30,7 +30,6 @@
 	SharesCache          bool                  // tenants may get embeddings that were computed for other tenants
 }
 
-// parsePool parses a section [pool NAME].
 func (c *Config) parsePool(section *inifile.Section) {
 	if !section.RequireName() {
 		return
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -28,7 +28,6 @@
 	"upgrade", "keep-alive", "expect", "x-request-id", "content-type",
 }
 
-// parseRequest parses the section [request].
 func (c *Config) parseRequest(section *inifile.Section) {
 	c.Request = RequestRules{
 		ClassHeader:     strings.ToLower(section.Text("class_header", "x-request-class")),
--- a/internal/config/tenant.go
+++ b/internal/config/tenant.go
@@ -7,7 +7,6 @@
 	"martenlock/internal/inifile"
 )
 
-// parseTenant parses a section [tenant NAME].
 func (c *Config) parseTenant(section *inifile.Section) {
 	if !section.RequireName() {
 		return
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -32,7 +32,7 @@
 	StartedAt time.Time // start of its process; zero if unknown, which is treated as long ago
 }
 
-// maxEndpoints is the most endpoints of a list. A longer list is treated as a mistake.
+// maxEndpoints is the maximum number of endpoints in a list. A longer list is treated as a mistake.
 const maxEndpoints = 100_000
 
 // Load reads and parses the list in a file. Errors in the list are those of Parse.
@@ -107,8 +107,8 @@
 	return endpoint
 }
 
-// checkIdentity checks that the endpoint has a name, and that no earlier one has the same address or, with
-// another name, the same id. Package inifile reports two endpoints with the same name.
+// checkIdentity checks that the endpoint has a name, that no earlier endpoint has the same address, and that no
+// earlier endpoint with another name has the same id. Package inifile reports endpoints with the same name.
 func (p *parser) checkIdentity(section *inifile.Section, endpoint *Endpoint) {
 	section.RequireName()
 	idOwner, isUsed := p.nameByID[endpoint.ID]
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -10,10 +10,8 @@
 	"martenlock/internal/endpointlist"
 )
 
-// validConfig is the text of a valid configuration.
 var validConfig = fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "info")
 
-// validList is a valid endpoint list.
 const validList = `[node r1]
 pool = chat
 address = 127.0.0.1:9001
--- a/internal/endpointlist/watch.go
+++ b/internal/endpointlist/watch.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// inotifyBufferBytes is the size of the buffer for events. It holds over two hundred events, even with the
-// longest file names.
+// inotifyBufferBytes is the size of the buffer for events. It must hold at least one event with the longest
+// file name.
 const inotifyBufferBytes = 64 << 10
 
 // Watcher calls a function each time that a file has been written or replaced.
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -70,7 +70,6 @@
 	}
 }
 
-// addSection adds a section that the INI library has parsed.
 func (f *File) addSection(section *ini.Section) *Section {
 	kind, name, _ := strings.Cut(section.Name(), " ")
 	s := newSection(f, kind)
@@ -86,7 +85,6 @@
 	return s
 }
 
-// newSection returns an empty section without a name.
 func newSection(f *File, kind string) *Section {
 	return &Section{file: f, Kind: kind, values: map[string]string{}, read: map[string]bool{}}
 }
@@ -102,9 +100,9 @@
 	return sections
 }
 
-// Section returns the section of a kind that has no names, such as "[router]". It records an error if
-// the section has a name. If the file has no such section, it returns an empty one, from which all
-// values are read as their fallbacks.
+// Section returns the section of a kind whose sections have no names, such as "[router]". It records an
+// error if the section has a name. If the file has no such section, it returns an empty one, whose keys
+// are all missing.
 func (f *File) Section(kind string) *Section {
 	sections := f.Sections(kind)
 	if len(sections) == 0 {
--- a/internal/openai/items.go
+++ b/internal/openai/items.go
@@ -86,7 +86,7 @@
 }
 
 // Batch returns one request for the items of several requests that have the same batch key. r is one
-// of these requests. The result has no user, since the requests may come from different ones.
+// of these requests. The result has no user, since the requests may come from different users.
 func (r *Request) Batch(items [][]byte, tokens float64) *Request {
 	batch := r.Shard(items, tokens)
 	batch.members = slices.DeleteFunc(batch.members, func(m member) bool { return m.name == userMember })
--- a/internal/openai/json.go
+++ b/internal/openai/json.go
@@ -6,7 +6,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// maxDepth is the most levels of nesting in a JSON text. The JSON library recurses on each level,
+// maxDepth is the maximum nesting depth of a JSON text. The JSON library recurses on each level,
 // so without a limit a client could overflow the stack.
 const maxDepth = 200
 
--- a/internal/openai/merge.go
+++ b/internal/openai/merge.go
@@ -58,7 +58,6 @@
 	return results
 }
 
-// mergedResult is one result of a merged response.
 type mergedResult struct {
 	index int // of the item in the whole request
 	score float64
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -10,11 +10,11 @@
 // DecodeOptions are the limits on requests and the parameters for estimating their token counts.
 type DecodeOptions struct {
 	BytesPerToken    float64 // average length of a token, by which token counts are estimated
-	PrefixMessages   int     // first messages of a chat that form its shared prefix; 0 for no shared prefix
-	PrefixBytes      int     // first bytes of a completion's prompt that form its shared prefix; 0 for no shared prefix
+	PrefixMessages   int     // number of first messages of a chat that form its shared prefix; 0 for no shared prefix
+	PrefixBytes      int     // number of first bytes of a completion's prompt that form its shared prefix; 0 for no shared prefix
 	DefaultMaxTokens int     // limit on output tokens for requests that set none
-	MaxInputs        int     // most inputs of an embeddings request, or prompts of a completion
-	MaxDocuments     int     // most documents of a rerank request
+	MaxInputs        int     // maximum number of inputs of an embeddings request, or of prompts of a completion
+	MaxDocuments     int     // maximum number of documents of a rerank request
 }
 
 // tokens returns the estimated number of tokens of a text, given its length in bytes.
@@ -33,9 +33,9 @@
 	PrefixHash         uint64  // hash of the prefix that requests of other sessions may share; 0 for none
 	PrefixTokens       float64 // tokens of that prefix; 0 for none
 	User               string
-	PromptCacheKey     string // prompt_cache_key
+	PromptCacheKey     string // names the session of a request without a session header
 	ItemCount          int    // inputs of an embeddings request, prompts of a completion, or documents of a rerank request
-	TopN               int    // most results of a rerank response; 0 for all
+	TopN               int    // maximum number of results of a rerank response; 0 for all
 	Dimensions         int    // requested length of an embedding; 0 for the model's default
 	members            []member
 }
@@ -48,8 +48,8 @@
 }
 
 const (
-	// maxMembers is the most members that a request may have. Each name is compared with all earlier
-	// ones, so without a limit a client could cause quadratic work.
+	// maxMembers is the maximum number of members of a request. Each name is compared with all earlier
+	// names, so without a limit a client could cause quadratic work.
 	maxMembers = 200
 
 	// memberCapacity is the initial capacity of Request.members, enough for most requests.
--- a/internal/serve/service_test.go
+++ b/internal/serve/service_test.go
@@ -16,7 +16,7 @@
 
 var validConfig = fmt.Sprintf(demo.Settings, "127.0.0.1:0", 1, "info")
 
-// validList is a valid endpoint list. Nothing listens at its address.
+// validList has one engine, at an address where nothing listens.
 const validList = "[node m1]\npool = chat\naddress = 127.0.0.1:1\nkind = mixed\n"
 
 func writeFile(t *testing.T, path, text string) {
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -74,7 +74,7 @@
 	return b, c.err
 }
 
-// AppendBatch encodes a batch, for tests and tools.
+// AppendBatch appends the frame of a batch to dst, for tests and tools. It returns the first encoding error.
 func AppendBatch(dst []byte, b Batch) ([]byte, error) {
 	c := &codec{isEncoding: true}
 	size := uint32(0) // set after the records are encoded
@@ -87,7 +87,7 @@
 	return append(dst, c.buf...), c.err
 }
 
-// AppendReply encodes a reply.
+// AppendReply appends the frame of a reply to dst. It returns the first encoding error.
 func AppendReply(dst []byte, r Reply) ([]byte, error) {
 	c := &codec{isEncoding: true, buf: make([]byte, 0, replyHeaderBytes+typicalActionBytes*len(r.Records))}
 	size := uint32(0) // set after the records are encoded
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -89,7 +89,6 @@
 // Scope says what the EndpointTable of an EndpointListUpdate contains.
 type Scope uint8
 
-// The scopes of an EndpointListUpdate.
 const (
 	// ScopeDelta is a table of the endpoints that have changed.
 	ScopeDelta Scope = iota // delta
