--- a/internal/openaiserver/admission_test.go
+++ b/internal/openaiserver/admission_test.go
@@ -93,8 +93,8 @@
 }
 
 // TestOversizedRequestIsRejectedWithoutAnEngine: a request that no engine has memory for, or that exceeds max_context, is
-// rejected with OpenAI's error for it, and no engine receives the request. A request that may fit is forwarded. The more
-// prompt lengths engines have reported, the more accurate is the router's estimate.
+// rejected with the error that OpenAI's API has for this case, and no engine receives the request. A request that may
+// fit is forwarded. The router's estimate becomes more accurate as engines report the lengths of prompts.
 func TestOversizedRequestIsRejectedWithoutAnEngine(t *testing.T) {
 	specs := append(prefillDecodeSpecs(1, 8), embeddingSpec("e1"))
 	h := startHarness(t, specs, "models = demo-embed\n", "models = demo-embed\nmax_context = 500\n")
--- a/internal/openaiserver/admissionqueue.go
+++ b/internal/openaiserver/admissionqueue.go
@@ -13,10 +13,9 @@
 	queue    *admission.Queue
 	requests map[admission.RequestID]*scatteredRequest // all requests that have not ended
 	lastID   admission.RequestID
-	rejected uint64 // number of rejected requests
+	rejected uint64
 }
 
-// newAdmissionQueue returns an empty queue with the pool's settings.
 func newAdmissionQueue(p *pool) *admissionQueue {
 	settings := admission.Settings{
 		LargeTokens:     p.settings.LargeTokens,
@@ -32,8 +31,8 @@
 	return q
 }
 
-// enqueue adds a large request. If package admission rejects it, the client is answered at the end of this event loop
-// iteration, after the request's operation was returned to the caller.
+// enqueue adds a large request. If package admission rejects the request, the client is answered at the end of this
+// event loop iteration, because the caller must first receive the request's operation.
 func (q *admissionQueue) enqueue(scattered *scatteredRequest) {
 	s := q.pool.server
 	q.lastID++
@@ -62,7 +61,8 @@
 	}
 }
 
-// reject rejects a request with a shard that has not started. The rejection counts as the answer of that shard.
+// reject processes a rejection by package admission. It records the rejection as the answer of the first shard that has
+// not started. It has no effect if the request has ended.
 func (q *admissionQueue) reject(scattered *scatteredRequest, retryAfter time.Duration) {
 	if scattered.hasEnded {
 		return
@@ -76,7 +76,7 @@
 	}
 }
 
-// remove removes a request that has ended.
+// remove removes a request that has ended, and cancels it in package admission.
 func (q *admissionQueue) remove(scattered *scatteredRequest) {
 	delete(q.requests, scattered.admissionID)
 	q.queue.Cancel(q.pool.server.now(), scattered.admissionID)
--- a/internal/openaiserver/attempt.go
+++ b/internal/openaiserver/attempt.go
@@ -77,7 +77,8 @@
 	if exchange.client == nil || exchange.client.isBatch() && batching.MayBeRequestFault(result) {
 		isFinal = true
 	}
-	// The client's next request may follow its answer at once. The module must get the outcome before that request.
+	// The outcome is pushed before the client is answered: once answered, the client may send its next request, which the
+	// module must not get before this outcome.
 	exchange.pool.push(control.Outcome{
 		ID:           exchange.id,
 		Attempt:      a.number,
--- a/internal/openaiserver/attemptresponse.go
+++ b/internal/openaiserver/attemptresponse.go
@@ -37,9 +37,9 @@
 	a.loadReport = openai.ParseLoadReport(head.Get("endpoint-load-metrics"), a.exchange.pool.settings.ReportMetrics)
 }
 
-// Data implements upstream.ResponseHandler. It buffers the body up to attempt.bufferLimit. If the body is longer,
-// it is streamed, or an error response is truncated, or the attempt fails. The attempt ends with control.NotSent if the
-// server's memory for buffers is exhausted.
+// Data implements upstream.ResponseHandler. It buffers the body up to attempt.bufferLimit. Above the limit, an error
+// response is truncated, a prefill response or an answer that has to be checked fails the attempt, and any other answer
+// is streamed. The attempt ends with control.NotSent if the server's memory for buffers is exhausted.
 func (a *attempt) Data(data []byte) {
 	server := a.exchange.pool.server
 	isPrefill := a.role == control.RolePrefill
@@ -56,8 +56,8 @@
 		server.bufferedBytes += int64(len(data))
 	case a.status != http.StatusOK: // truncates an error response
 	case isPrefill || a.exchange.apiRequest.NeedsResponseCheck():
-		// The connection allows responses above maxPrefillResponseBytes. It also allows one whose head arrived
-		// before a reload lowered the limit.
+		// The connection may have accepted a body of this length: its own limit is not maxPrefillResponseBytes, and
+		// a reload may have lowered MaxResponseBytes after the head arrived.
 		a.finish(control.Failed, false)
 	default:
 		a.startStream(data)
@@ -126,7 +126,7 @@
 		return
 	}
 	exchange.kvHolders = nil
-	if !exchange.apiRequest.NeedsResponseCheck() { // in a long checked response, finding the usage at its end is too slow
+	if !exchange.apiRequest.NeedsResponseCheck() { // searching a long checked response for its usage would be slow
 		exchange.pool.tokenEstimator.Observe(exchange.apiRequest.PromptTokens, openai.ParsePromptTokens(a.buffered))
 	}
 	exchange.setAnswer(a, outcome.Served)
@@ -149,7 +149,7 @@
 	}
 }
 
-// Failed implements upstream.ResponseHandler. It ends an attempt whose connection was lost, or never established,
+// Failed implements upstream.ResponseHandler. It ends an attempt whose connection could not be established, or was lost
 // before the response was complete.
 func (a *attempt) Failed(connError upstream.ConnError) {
 	a.conn = nil
--- a/internal/openaiserver/batch.go
+++ b/internal/openaiserver/batch.go
@@ -20,12 +20,12 @@
 	id              batching.RequestID
 	inputs          [][]byte
 	inputTokens     []float64
-	retryExchange   *exchange        // of its retry; nil until it starts
+	retryExchange   *exchange        // of the member's own retry; nil until the retry starts
 	sequentialRetry *sequentialRetry // set if the members of its batch are retried one after another
 	expiryTimer     timerwheel.Timer // rejects the member if its deadline passes before its turn to be retried
 }
 
-// batch is one exchange that computes the answers for one or more members. It is the exchange's responder.
+// batch is a group of one or more members whose answers are computed by one exchange. It is the exchange's responder.
 type batch struct {
 	bufferedResponder
 	scheduler   *batchScheduler
@@ -48,7 +48,6 @@
 	batchedRequests uint64 // number of requests answered by a batch with other members
 }
 
-// newBatchScheduler returns a scheduler without members. It uses the pool's settings.
 func newBatchScheduler(p *pool) *batchScheduler {
 	settings := p.settings.Batching
 	settings.Routers = p.config.Control.Identity.Routers
@@ -148,7 +147,8 @@
 // clientWritable implements operation. It has no effect because the answer is not streamed.
 func (m *batchMember) clientWritable() {}
 
-// poll rejects members whose deadlines have passed during a shared batch, and starts the batches that are due.
+// poll starts the batches that are due. It rejects members whose deadlines have passed while the batches that they
+// share with others are in flight.
 func (b *batchScheduler) poll() {
 	result := b.batcher.Poll(b.pool.server.now())
 	for _, id := range result.Expired {
@@ -163,7 +163,6 @@
 	}
 }
 
-// startBatch starts the exchange of a batch.
 func (b *batchScheduler) startBatch(due batching.Batch) {
 	started := &batch{scheduler: b, id: due.ID, firstInput: map[batching.RequestID]int{}}
 	b.inFlight[due.ID] = started
--- a/internal/openaiserver/batch_test.go
+++ b/internal/openaiserver/batch_test.go
@@ -50,9 +50,8 @@
 }
 
 // TestSmallRequestsShareABatchAndGetTheirOwnAnswers: small requests that wait for an engine share a batch, and each gets
-// its own vectors. Requests of different tenants are not batched, nor those of a class that is idempotent only with a
-// key or not at all.
-// Requests with other parameters or input types get valid answers too.
+// its own vectors. Requests with other parameters or input types get valid answers too. Requests of different tenants
+// don't share a batch. Requests of classes that are idempotent only with a key, or not idempotent, are never batched.
 func TestSmallRequestsShareABatchAndGetTheirOwnAnswers(t *testing.T) {
 	h := startHarness(t, embeddingSpecs(1), longBatchWait...)
 	engine := h.engine("e1")
--- a/internal/openaiserver/batchheaders.go
+++ b/internal/openaiserver/batchheaders.go
@@ -15,8 +15,8 @@
 // of a header field.
 const maxClientRequestIDListBytes = 4 << 10
 
-// commonHeaders returns the header fields for a batch: those that all members have, and one with the list of the
-// members' own ids. headers holds the header fields of each member, each ending with CRLF.
+// commonHeaders returns the header fields for a batch: the fields that all members have, and a field with the list of
+// the members' own ids. headers holds the header fields of each member, each ending with CRLF.
 func commonHeaders(headers [][]byte) (common []byte) {
 	for line := range bytes.Lines(headers[0]) {
 		name, _, _ := strings.Cut(string(line), ":")
--- a/internal/openaiserver/cachefill.go
+++ b/internal/openaiserver/cachefill.go
@@ -9,8 +9,8 @@
 	"martenlock/internal/openai"
 )
 
-// cacheFill computes some or all inputs of an embeddings request by an operation of its own. It is the responder of
-// that operation.
+// cacheFill computes the embeddings of some or all inputs of an embeddings request, in an operation of its own. It is
+// the responder of that operation.
 type cacheFill struct {
 	bufferedResponder
 	parent       *embeddingRequest
@@ -129,7 +129,8 @@
 	}
 }
 
-// endFollowers ends the other requests that wait for a computation that was not served. They get the same answer.
+// endFollowers ends the other requests that wait for a computation that was not served. They get the computation's
+// answer.
 func endFollowers(followers []follower, a answer) {
 	for _, waiting := range followers {
 		waiting.request.pendingIDs[waiting.index] = 0
--- a/internal/openaiserver/client_test.go
+++ b/internal/openaiserver/client_test.go
@@ -40,7 +40,7 @@
 // effects says for each class of the demo what a repeated execution does. Classes that are not listed are idempotent.
 var effects = map[string]invariant.Effect{"job": invariant.IdempotentWithKey, "note": invariant.NotIdempotent}
 
-// response is what a client received in response to a request.
+// response is the router's response as far as the client has received it.
 type response struct {
 	status  int
 	header  http.Header
@@ -177,7 +177,6 @@
 	return "[" + strings.Join(list, ",") + "]"
 }
 
-// embeddingsAnswer is the answer to an embeddings request.
 type embeddingsAnswer struct {
 	vectors      [][]float64
 	promptTokens int
--- a/internal/openaiserver/clientcancel_test.go
+++ b/internal/openaiserver/clientcancel_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestClientDisconnectLeavesRouterAndEnginesIdle: a client disconnects while its request waits for a prefill engine, is
-// in prefill, waits for a decode engine with its KV state retained, or is streamed. Within a second, the router and the
-// engines have no open request and no KV state.
+// in prefill, or waits for a decode engine with its KV state retained, or while its answer is streamed. Within a
+// second, the router and the engines have no open request and no KV state.
 func TestClientDisconnectLeavesRouterAndEnginesIdle(t *testing.T) {
 	slowDecode := prefillDecodeSpecs(1, 1)
 	slowDecode[1].TokenInterval, slowDecode[1].AnswerTokens = 20*ms, 1000
--- a/internal/openaiserver/clientconn_test.go
+++ b/internal/openaiserver/clientconn_test.go
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("POST /v1/embeddings HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", fields, len(body), body)
 }
 
-// TestHTTPResponsesToValidAndInvalidRequests writes requests to client connections, and matches everything received
-// until the connection closes with a regular expression.
+// TestHTTPResponsesToValidAndInvalidRequests writes requests to client connections. All that a connection receives
+// until it is closed must match a regular expression.
 func TestHTTPResponsesToValidAndInvalidRequests(t *testing.T) {
 	h := startHarness(t, embeddingSpecs(1), "[limits]\n", "[limits]\nbody = 5000\n")
 	body := `{"model":"demo-embed","input":"pipe"}`
@@ -328,7 +328,7 @@
 
 	engine.mustEnd.Store(true)
 	sent := <-engine.sentEvents
-	time.Sleep(50 * ms) // lets the router receive the end; too short a pause can only hide a fault
+	time.Sleep(50 * ms) // lets the router receive the end of the answer; if the pause is too short, the test can only miss a fault
 	body, err := io.ReadAll(httpResponse.Body)
 
 	received := strings.Count(string(body), "forty")
--- a/internal/openaiserver/clients.go
+++ b/internal/openaiserver/clients.go
@@ -6,7 +6,6 @@
 	"martenlock/internal/httpserver"
 )
 
-// clientOptions returns the options of client connections according to the configured limits.
 func clientOptions(limits *config.Limits) httpserver.Options {
 	return httpserver.Options{
 		Parsing:            &limits.HTTP,
@@ -18,7 +17,7 @@
 }
 
 // accept returns the handler of a new client connection. If the listener has reached its maximum of open connections,
-// the longest idle connection is closed, so that the next client can connect too.
+// the connection that has been idle longest is closed, so that the next client can connect too.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
 	if s.clients.Listener.Open() >= s.clients.Listener.MaxOpen {
 		s.clients.EvictIdle()
--- a/internal/openaiserver/dispatch.go
+++ b/internal/openaiserver/dispatch.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// respondHealth answers a health check of this server.
+// respondHealth answers a health check of this server: with status 200, or with 503 once a shutdown has started.
 func (c *clientConn) respondHealth() {
 	if c.server.shutdown.inProgress {
 		c.respondJSON(http.StatusServiceUnavailable, []byte(`{"status":"stopping"}`))
@@ -60,7 +60,7 @@
 	}
 }
 
-// respondMethodNotAllowed rejects a request whose method is not the allowed one.
+// respondMethodNotAllowed responds with status 405. allowed is the value of the Allow field.
 func (c *clientConn) respondMethodNotAllowed(allowed string) {
 	c.respondError(&openai.Error{
 		Status:  http.StatusMethodNotAllowed,
@@ -127,7 +127,8 @@
 	}
 }
 
-// startOperation starts the operation that computes the answer to a request.
+// startOperation accepts a request for the pool, counts it as open and starts its operation. The request uses the
+// embedding cache if startCached allows it.
 func (c *clientConn) startOperation(p *pool, apiRequest *openai.Request, class config.Class) {
 	s := c.server
 	request := c.newInferenceRequest(p, apiRequest, class)
--- a/internal/openaiserver/embeddingcache.go
+++ b/internal/openaiserver/embeddingcache.go
@@ -18,13 +18,12 @@
 	pool      *pool
 	group     *coalesce.Group
 	entries   *otter.Cache[coalesce.Key, openai.EmbeddingResult] // nil if cache_bytes is 0
-	pending   map[coalesce.RequestID]inputRef                    // inputs that are computed by their own or another request
+	pending   map[coalesce.RequestID]inputRef                    // inputs that are being computed, by the same request or another
 	lastID    coalesce.RequestID
 	hits      uint64 // number of inputs answered from the cache
 	coalesced uint64 // number of inputs that waited for another request's computation
 }
 
-// inputRef refers to an input of a request.
 type inputRef struct {
 	request *embeddingRequest
 	index   int
@@ -34,7 +33,6 @@
 // the data of the eviction policy.
 const cacheEntryOverheadBytes = 150
 
-// newEmbeddingCache returns an empty cache. It uses the pool's settings.
 func newEmbeddingCache(p *pool) *embeddingCache {
 	c := &embeddingCache{pool: p, group: coalesce.NewGroup(), pending: map[coalesce.RequestID]inputRef{}}
 	c.pollTimer = newPollTimer(p.server, c.expire, c.group.NextPoll)
--- a/internal/openaiserver/embeddingrequest.go
+++ b/internal/openaiserver/embeddingrequest.go
@@ -28,7 +28,7 @@
 	inputUsage   []int64            // by input: prompt tokens used
 	missingCount int                // number of distinct inputs whose embeddings are not known yet
 	cacheHits    int                // number of distinct inputs answered from the cache
-	template     []byte             // engine's answer whose other members are copied; nil until an engine has answered
+	template     []byte             // answer of an engine, copied except for embeddings and usage; nil until there is one
 	fills        []*cacheFill
 	partialFills int   // number of fills that were started for only some of the inputs
 	copiedBytes  int64 // size of the embeddings copied from answers; counted in Server.bufferedBytes
@@ -148,8 +148,8 @@
 	request.shardLabel = fmt.Sprintf("%d.", e.partialFills) // startShard appends to it if the fill is scattered
 }
 
-// setEmbedding sets an input's embedding. If the request still waits for other inputs, it stores a copy, so that the
-// answer that contains the embedding can be freed.
+// setEmbedding sets an input's embedding. It copies the embedding if the request still waits for other inputs, so that
+// the answer that contains the embedding can be freed.
 func (e *embeddingRequest) setEmbedding(index int, result openai.EmbeddingResult) {
 	embedding := result.Embedding
 	e.missingCount--
@@ -204,7 +204,7 @@
 	return "x-cache: partial\r\n"
 }
 
-// end answers the request with the answer to one of its computations and cancels the others. It has no effect if the
+// end answers the request with the answer of one of its computations and cancels the others. It has no effect if the
 // request has ended.
 func (e *embeddingRequest) end(a answer) {
 	if !e.hasEnded {
--- a/internal/openaiserver/engine.go
+++ b/internal/openaiserver/engine.go
@@ -21,17 +21,15 @@
 
 // engineTable holds the engines and the options and budget that their connections share.
 type engineTable struct {
-	byID        map[control.EndpointID]*engine // listed ones, and others that have connections or pending KV releases
+	byID        map[control.EndpointID]*engine // listed engines, and unlisted ones with connections or pending KV releases
 	connOptions upstream.Options
 	connBudget  upstream.Budget
 }
 
-// newEngineTable returns an empty table.
 func newEngineTable() engineTable {
 	return engineTable{byID: map[control.EndpointID]*engine{}}
 }
 
-// newEngine returns an engine without connections.
 func newEngine(s *Server) *engine {
 	e := &engine{
 		server:   s,
@@ -77,7 +75,6 @@
 	s.log.Info().Int("endpoints", len(list)).Msg("endpoint list applied")
 }
 
-// addOrUpdateEngine adds the engine of a listed endpoint, or updates it if it is already known.
 func (s *Server) addOrUpdateEngine(endpoint endpointlist.Endpoint) {
 	e := s.engines.byID[endpoint.ID]
 	if e == nil {
--- a/internal/openaiserver/exchange.go
+++ b/internal/openaiserver/exchange.go
@@ -17,7 +17,7 @@
 	client       responder         // nil once it has the answer or has disconnected
 	id           control.RequestID // the decision module's id of the request
 	requestID    string            // sent to engines as X-Request-Id
-	apiRequest   *openai.Request   // the decoded API request
+	apiRequest   *openai.Request
 	path         string
 	engineFields []byte // additional header fields for engines, each ending with CRLF: the forwarded ones and X-Request-Part
 
--- a/internal/openaiserver/harness_test.go
+++ b/internal/openaiserver/harness_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// waitUntilIdle waits until the router has no open requests, buffered bytes and pending KV releases, and the engines
+// waitUntilIdle waits until the router has no open requests, buffered bytes or pending KV releases, and the engines
 // have no requests and retain no KV state. It returns without an error if the router has stopped.
 func (h *harness) waitUntilIdle() {
 	h.t.Helper()
--- a/internal/openaiserver/kvrelease.go
+++ b/internal/openaiserver/kvrelease.go
@@ -23,7 +23,6 @@
 	return kvReleases{pending: map[string]time.Duration{}}
 }
 
-// Delays, time-outs and limits of KV releases.
 const (
 	minKVReleaseRetryDelay = 50 * time.Millisecond  // after the first failure; doubled after each further failure
 	maxKVReleaseRetryDelay = 500 * time.Millisecond // limits how long a recovered engine retains unused KV state
--- a/internal/openaiserver/kvrelease_test.go
+++ b/internal/openaiserver/kvrelease_test.go
@@ -21,7 +21,7 @@
 	if !received.rejected() {
 		t.Errorf("request was not rejected: %v", received)
 	}
-	time.Sleep(700 * ms) // lets some release calls fail; too short a pause can only hide a fault
+	time.Sleep(700 * ms) // lets some release calls fail; if the pause is too short, the test can only miss a fault
 
 	prefill.SetFault(fakeengine.Fault{})
 	recoveredAt := time.Now()
--- a/internal/openaiserver/mixedload_test.go
+++ b/internal/openaiserver/mixedload_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// randomRequest returns the request with number i and the time after which its client cancels it, or 0 if it does not.
+// randomRequest returns the request with number i and the time after which its client cancels it. The time is 0 for a
+// request that is not cancelled.
 func randomRequest(rng *rand.Rand, i int) (r request, cancelAfter time.Duration) {
 	r = request{
 		class: []string{"search", "search", "search", "job", "note"}[rng.IntN(5)],
--- a/internal/openaiserver/pool.go
+++ b/internal/openaiserver/pool.go
@@ -187,7 +187,7 @@
 	p.readyEndpoints++
 }
 
-// maxAttempts returns the maximum number of attempts for a request of the class.
+// maxAttempts returns the lower of the class's own limit on attempts, if it has one, and the limit for all classes.
 func (p *pool) maxAttempts(class *control.Class) int {
 	if class.MaxAttempts > 0 {
 		return min(class.MaxAttempts, p.config.Control.Limits.MaxAttempts)
--- a/internal/openaiserver/reload.go
+++ b/internal/openaiserver/reload.go
@@ -26,8 +26,9 @@
 // Reload applies a configuration and an endpoint list that was checked against it, and waits until both are in force.
 // If a setting of the pools or their decision modules has changed, new pools are created. They start without load,
 // health and session state. Requests that were accepted before complete on the old pools. If the listen address
-// differs, Reload returns a *ListenChangedError and changes nothing. A change from port 0, with which the kernel has
-// chosen the port, is ignored. After Run has returned, Reload would wait forever.
+// differs, Reload returns a *ListenChangedError and changes nothing. If the current listen address has port 0, for
+// which the kernel has chosen a port, the new listen address is ignored. After Run has returned, Reload would wait
+// forever.
 func (s *Server) Reload(cfg *config.Config, list []endpointlist.Endpoint) error {
 	if cfg.Listen != s.config.Listen && s.config.Listen.Port() != 0 {
 		return &ListenChangedError{File: cfg.File, Old: s.config.Listen.String(), New: cfg.Listen.String()}
--- a/internal/openaiserver/scatter.go
+++ b/internal/openaiserver/scatter.go
@@ -85,7 +85,6 @@
 	return sum
 }
 
-// startShard starts the exchange of a shard.
 func (r *scatteredRequest) startShard(index int) {
 	started := &shard{parent: r, index: index}
 	r.shards[index] = started
@@ -167,9 +166,9 @@
 	}
 }
 
-// retryAfter returns the Retry-After of a rejected request. after is that of the shard that was rejected. The admission
-// queue calculates it for the whole request, the decision module for one shard. If the request passes the admission
-// queue, after is assumed to be for the whole request.
+// retryAfter returns the Retry-After of a rejected request. after is the Retry-After of the rejected shard: the time
+// for the whole request if the admission queue has rejected the shard, or the time for one shard if the decision module
+// has. If the request passes the admission queue, after is assumed to be the time for the whole request.
 func (r *scatteredRequest) retryAfter(after time.Duration) time.Duration {
 	limit := r.request.pool.config.Control.Limits.MaxRetryAfter
 	if r.needsAdmission {
--- a/internal/openaiserver/scatter_test.go
+++ b/internal/openaiserver/scatter_test.go
@@ -74,7 +74,6 @@
 	}
 }
 
-// parsedAnswer is a decoded answer.
 type parsedAnswer struct {
 	usage        tokenUsage
 	otherMembers map[string]any // all members except usage and id, which differs in each answer
--- a/internal/openaiserver/sequentialretry.go
+++ b/internal/openaiserver/sequentialretry.go
@@ -6,11 +6,10 @@
 // another, because one of them may crash engines. Package batching decides when each retry starts.
 type sequentialRetry struct {
 	order       batching.SequentialRetry
-	members     map[batching.RequestID]*batchMember // those that have not ended
+	members     map[batching.RequestID]*batchMember // members that have not ended
 	batchAnswer answer                              // of the failed batch; its attempts count as attempts of each member
 }
 
-// newSequentialRetry returns a retry without members.
 func newSequentialRetry(batchAnswer answer) *sequentialRetry {
 	return &sequentialRetry{members: map[batching.RequestID]*batchMember{}, batchAnswer: batchAnswer}
 }
--- a/internal/openaiserver/server.go
+++ b/internal/openaiserver/server.go
@@ -45,7 +45,7 @@
 }
 
 // counters count requests and evicted connections since the server's start. The first four count requests that were
-// accepted for a pool, by their end.
+// accepted for a pool, by outcome.
 type counters struct {
 	served    uint64
 	rejected  uint64
@@ -140,7 +140,6 @@
 	return requestIDs{prefix: "ml-" + strconv.FormatUint(random, idBase) + "-"}
 }
 
-// next returns a new id.
 func (r *requestIDs) next() string {
 	r.sequence++
 	return r.prefix + strconv.FormatUint(r.sequence, idBase)
--- a/internal/openaiserver/service_test.go
+++ b/internal/openaiserver/service_test.go
@@ -192,7 +192,7 @@
 	}
 	clients.Wait()
 
-	time.Sleep(50 * ms) // lets log lines arrive; too short a pause can only hide a fault
+	time.Sleep(50 * ms) // lets log lines arrive; if the pause is too short, the test can only miss a fault
 	if served.Load() == 0 {
 		t.Error("no request was served")
 	}
--- a/internal/openaiserver/shutdown.go
+++ b/internal/openaiserver/shutdown.go
@@ -9,8 +9,8 @@
 // shutdown is the state of a server's shutdown.
 type shutdown struct {
 	inProgress   bool
-	drainTimer   timerwheel.Timer // fires when open connections are checked again
-	timeoutTimer timerwheel.Timer // fires when open requests are aborted
+	drainTimer   timerwheel.Timer // starts the next check for open connections
+	timeoutTimer timerwheel.Timer // aborts the requests that are still open at the shutdown time-out
 }
 
 // drainCheckInterval is the time between two checks for open connections. Run returns at most this long after the last
--- a/internal/openaiserver/stats.go
+++ b/internal/openaiserver/stats.go
@@ -7,8 +7,8 @@
 
 // Stats holds a server's counters since its start and its current resource use.
 type Stats struct {
-	// Numbers of requests that were accepted for a pool, by their end. A request that an engine rejected as invalid
-	// counts as served.
+	// Numbers of requests that were accepted for a pool, by outcome. A request that an engine rejected as invalid counts
+	// as served.
 	Served, Rejected, Failed, Canceled uint64
 
 	// Other counters. Those of pools restart at 0 when a reload replaces the pools.
