--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// startInstance starts an instance. If one with this number is running, the new one replaces it, and the events
-// queued for the old one are discarded.
+// startInstance starts an instance. If an instance with this number is running, the new one replaces it, and the
+// events queued for the old one are discarded.
 func (h *host) startInstance(now control.Time, instance uint16, body simwire.Start, queues *instanceQueues) error {
 	settings, err := platformsettings.Parse(body.Seed, body.Settings)
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the router's configuration from its INI file. The names of fields differ from
-// those of the keys in the file. docs/operating.md explains each key.
+// Package config reads the router's configuration from an INI file. The names of fields differ from
+// the names of the keys in the file. docs/operating.md explains each key.
 package config
 
 import (
@@ -49,7 +49,7 @@
 )
 
 // Load reads and parses a file. A relative path of the endpoint list is relative to the directory of
-// the file. Errors in the file are those of Parse.
+// the file. It returns errors in the file as Parse does.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -35,7 +35,7 @@
 // maxEndpoints is the maximum number of endpoints in a list. A longer list is treated as a mistake.
 const maxEndpoints = 100_000
 
-// Load reads and parses the list in a file. Errors in the list are those of Parse.
+// Load reads and parses the list in a file. It returns errors in the list as Parse does.
 func Load(path string, c *config.Config) ([]Endpoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -123,7 +123,7 @@
 	p.nameByAddr[endpoint.Addr] = endpoint.Name
 }
 
-// findPool returns the pool with a name. If there is none, it records an error and returns nil.
+// findPool returns the pool with the given name. If there is none, it records an error and returns nil.
 func (p *parser) findPool(section *inifile.Section, name string) *config.Pool {
 	pools := p.config.Pools
 	i := slices.IndexFunc(pools, func(pool config.Pool) bool { return pool.Name == name })
--- a/internal/endpointlist/watch_test.go
+++ b/internal/endpointlist/watch_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestWatchReportsOnlyWholeFiles: a file that is written in pieces is reported once, after it is closed. Its
-// replacement by a rename is reported, and other files in the directory are not.
+// replacement by a rename is reported. Other files in the directory are not reported.
 func TestWatchReportsOnlyWholeFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "nodes.ini")
--- a/internal/inifile/errors.go
+++ b/internal/inifile/errors.go
@@ -42,13 +42,13 @@
 // Unwrap returns e.Err.
 func (e *Error) Unwrap() error { return e.Err }
 
-// AddError records an error that concerns the whole file. format and args are those of fmt.Errorf.
+// AddError records an error that concerns the whole file. format and args are passed to fmt.Errorf.
 func (f *File) AddError(format string, args ...any) {
 	f.errs = append(f.errs, &Error{File: f.Name, Err: fmt.Errorf(format, args...)})
 }
 
 // AddError records an error that concerns a key, or the whole section if key is "". format and args
-// are those of fmt.Errorf.
+// are passed to fmt.Errorf.
 func (s *Section) AddError(key, format string, args ...any) {
 	s.file.errs = append(s.file.errs, &Error{
 		File:    s.file.Name,
--- a/internal/openai/check.go
+++ b/internal/openai/check.go
@@ -119,7 +119,7 @@
 	return &ResponseError{Field: field, Err: reason}
 }
 
-// checkIndex checks that the index is that of an item without an earlier result.
+// checkIndex checks that the index belongs to an item of the request, and that no earlier result has it.
 func (c *resultChecker) checkIndex(value gjson.Result) error {
 	index, err := strconv.Atoi(value.Raw)
 	if err != nil || index < 0 || index >= len(c.seen) || c.seen[index] {
--- a/internal/openai/enginebody.go
+++ b/internal/openai/enginebody.go
@@ -19,8 +19,8 @@
 	return size
 }
 
-// AppendPrefillBody appends the body for a prefill engine. It asks for one token, not streamed, and
-// for the KV state to be retained until another engine fetches it.
+// AppendPrefillBody appends the body for a prefill engine. The body asks for one token, not streamed,
+// and for the KV state to be retained until another engine fetches it.
 func (r *Request) AppendPrefillBody(out []byte) []byte {
 	out = r.appendOpenObject(out, kvMember, "stream", "stream_options", "max_tokens", "max_completion_tokens", "n")
 	return append(out, prefillBodyEnd...)
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -26,7 +26,7 @@
 func (e *Error) Error() string { return e.Message }
 
 // InvalidRequest returns an Error with status 400. param is the name of the invalid member, or "" if
-// the error concerns the whole request. format and args are those of fmt.Sprintf.
+// the error concerns the whole request. format and args are passed to fmt.Sprintf.
 func InvalidRequest(param, format string, args ...any) *Error {
 	return &Error{
 		Status:  http.StatusBadRequest,
--- a/internal/openai/items.go
+++ b/internal/openai/items.go
@@ -34,8 +34,8 @@
 	return raw, tokens
 }
 
-// singleInput returns the input of an embeddings request that has only one, as raw JSON. A list of
-// tokens is one input as a whole; any other list is reduced to its only element.
+// singleInput returns the input of an embeddings request that has only one input, as raw JSON. A list
+// of tokens is one input as a whole; any other list is reduced to its only element.
 func singleInput(value []byte) []byte {
 	list := gjson.ParseBytes(value)
 	if !list.IsArray() {
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -34,7 +34,7 @@
 	return names
 }
 
-// ParseAPI returns the operation with a name in the configuration. The second result reports
+// ParseAPI returns the operation with the given name in the configuration. The second result reports
 // whether there is one.
 func ParseAPI(name string) (API, bool) {
 	for _, api := range allAPIs {
@@ -45,7 +45,7 @@
 	return 0, false
 }
 
-// APIByPath returns the operation that is served at a path. The second result reports whether
+// APIByPath returns the operation that is served at the given path. The second result reports whether
 // there is one.
 func APIByPath(path string) (API, bool) {
 	switch path {
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -92,7 +92,7 @@
 }
 
 // addMember records one member of the body. It returns an error if the body has too many members
-// or repeats a name, because engines differ in which of two equal names they use.
+// or repeats a name. Engines differ in which of two members with the same name they use.
 func (r *Request) addMember(body []byte, key, value gjson.Result) *Error {
 	name := key.Str
 	if r.indexOf(name) >= 0 {
--- a/internal/openaiserver/clientconn.go
+++ b/internal/openaiserver/clientconn.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// ClientGone implements httpserver.Handler. It cancels the operation of the request being served. There may be none if
-// an earlier call panicked.
+// ClientGone implements httpserver.Handler. It cancels the operation of the request being served. There may be no such
+// operation if an earlier call panicked.
 func (c *clientConn) ClientGone() {
 	current := c.exchange
 	if current == nil {
--- a/internal/openaiserver/exchange.go
+++ b/internal/openaiserver/exchange.go
@@ -24,7 +24,7 @@
 	kvTransfer []byte    // kv_transfer_params from the prefill engine, for the decode engine; nil without a prefill
 	kvHolders  []*engine // prefill engines that may retain the request's KV state
 
-	attempt             *attempt // the one in flight; nil if there is none
+	attempt             *attempt // attempt in flight; nil if there is none
 	attemptCount        int
 	lostConnections     int // attempts that failed because their connection was lost
 	lastAttemptTimedOut bool
--- a/internal/openaiserver/pool.go
+++ b/internal/openaiserver/pool.go
@@ -36,7 +36,6 @@
 	isRemoved bool // the pool has no requests left and is in no poolTable
 }
 
-// poolTable holds the pools of a server.
 type poolTable struct {
 	current []*pool // of the current configuration
 	retired []*pool // of earlier configurations, with requests that are not answered yet
--- a/internal/openaiserver/scatter.go
+++ b/internal/openaiserver/scatter.go
@@ -131,7 +131,7 @@
 	parent.shardEnded(s.index, a)
 }
 
-// shardEnded processes the answer of a shard. If it decides how the request ends, it answers the request.
+// shardEnded processes the answer of a shard. If this answer decides how the request ends, the request is answered.
 func (r *scatteredRequest) shardEnded(index int, a answer) {
 	decision := r.gather.Complete(index, a.outcome)
 	switch decision {
--- a/internal/openaiserver/sequentialretry.go
+++ b/internal/openaiserver/sequentialretry.go
@@ -2,8 +2,8 @@
 
 import "martenlock/control/batching"
 
-// sequentialRetry retries the members of a batch that lost its connection to an engine. They are retried one after
-// another, because one of them may crash engines. Package batching decides when each retry starts.
+// sequentialRetry retries the members of a batch whose connection to an engine was lost. The members are retried one
+// after another, because one of them may crash engines. Package batching decides when each retry starts.
 type sequentialRetry struct {
 	order       batching.SequentialRetry
 	members     map[batching.RequestID]*batchMember // members that have not ended
--- a/internal/openaiserver/server.go
+++ b/internal/openaiserver/server.go
@@ -102,7 +102,8 @@
 	return s, nil
 }
 
-// Addr returns the address on which the server listens.
+// Addr returns the address on which the server listens. If the configured port is 0, the address has the port that the
+// kernel has chosen.
 func (s *Server) Addr() string { return s.clients.Listener.Addr().String() }
 
 // Run serves until a shutdown is complete. It returns an error if the event loop fails.
--- a/internal/openaiserver/shutdown.go
+++ b/internal/openaiserver/shutdown.go
@@ -6,7 +6,6 @@
 	"martenlock/internal/timerwheel"
 )
 
-// shutdown is the state of a server's shutdown.
 type shutdown struct {
 	inProgress   bool
 	drainTimer   timerwheel.Timer // starts the next check for open connections
--- a/internal/serve/log.go
+++ b/internal/serve/log.go
@@ -44,7 +44,7 @@
 	}
 	l.ring = diode.NewWriter(nopCloser{out}, ringBufferLines, logPollInterval, func(missed int) {
 		l.dropped.Add(uint64(missed))
-		// The ring buffer has overflowed, so the warning is written without it.
+		// The ring buffer has overflowed, so the warning bypasses it.
 		direct := zerolog.New(out)
 		direct.Warn().Msgf("%d log lines dropped, %d in all", missed, l.dropped.Load())
 	})
--- a/internal/serve/service.go
+++ b/internal/serve/service.go
@@ -19,7 +19,7 @@
 type Service struct {
 	Router    *openaiserver.Server
 	path      string                        // of the configuration
-	config    atomic.Pointer[config.Config] // the one in force
+	config    atomic.Pointer[config.Config] // configuration in force
 	log       *logFile
 	watcher   *endpointlist.Watcher
 	runResult chan error // receives the result of Router.Run
